--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -2,10 +2,10 @@
 //! and the platform.
 #![warn(missing_docs)]
 
-mod asking;
+mod discovery_schedule;
 mod blocks;
 mod cli;
-mod clients;
+mod client_server;
 mod clock;
 mod config;
 mod connections;
@@ -19,15 +19,15 @@
 mod membership;
 mod message;
 mod node;
-mod notices;
+mod notice_queue;
 mod peers;
-mod places;
+mod client_connections;
 mod platform;
 mod serve;
-mod speech;
+mod partner_protocol;
 mod streams;
 mod table;
-mod targets;
+mod call;
 mod told;
 
 use config::Config;
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -96,7 +96,7 @@
         let imports = self.own_statements();
         let Some(side) = &mut self.peers else { return };
         // Of a block that outlived the process its own record tells what is left.
-        for (network, left) in side.hands.blocks.standing() {
+        for (network, left) in side.hands.blocks.active() {
             side.peers.left(&Subject::Network(network.to_string()), left);
         }
         if side.peers.ledger().is_empty() {
@@ -166,7 +166,7 @@
         let removed = state.site().endpoints.keys().filter(|name| !state.endpoints().contains_key(*name));
         statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), Word::Remove)));
         let paused = state.partners().iter().filter(|(_, p)| p.paused);
-        let blocks = self.peers.iter().flat_map(|side| side.hands.blocks.standing());
+        let blocks = self.peers.iter().flat_map(|side| side.hands.blocks.active());
         let blocks = blocks.filter(|(_, left)| *left > 0);
         statements.extend(
             blocks.map(|(network, for_ms)| (Subject::Network(network.to_string()), Word::Close { for_ms })),
@@ -302,18 +302,18 @@
         let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
         let verdict = side.peers.verdict(subject);
         if verdict.closed.is_none() {
-            if verdict.opened && side.hands.blocks.lift(&network) {
-                side.hands.blocks.keep_later();
+            if verdict.opened && side.hands.blocks.remove(&network) {
+                side.hands.blocks.save_in_background();
             }
             return;
         }
         let left = side.peers.closed_for(subject);
-        let standing = side.hands.blocks.standing();
+        let standing = side.hands.blocks.active();
         if standing.iter().any(|(known, for_ms)| *known == network && for_ms.abs_diff(left) < SAME_SPAN_MS) {
             return;
         }
-        match side.hands.blocks.hold(network, left) {
-            Ok(()) => side.hands.blocks.keep_later(),
+        match side.hands.blocks.apply(network, left) {
+            Ok(()) => side.hands.blocks.save_in_background(),
             Err(problem) => self.tell("no_effect", &format!("{network} is not blocked here: {problem}")),
         }
     }
@@ -388,7 +388,7 @@
                 if there.as_ref() == Some(&(partner.clone(), *address)) {
                     return;
                 }
-                if self.speeches.shows_secrets(partner, *address) {
+                if self.partner_protocols.exposes_secrets(partner, *address) {
                     let text = format!(
                         "{name} at {address} is not called from here: {partner} is spoken to without TLS, and its \
                          secret would go over the wire in plain text"
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -163,7 +163,7 @@
     /// Tells operators.
     pub fn tell(&self, kind: &str, text: &str) {
         eprintln!("peers: {kind}: {text}");
-        self.blocks.tell(kind, text);
+        self.blocks.publish(kind, text);
     }
 }
 
