--- a/crates/admission/src/bucket.rs
+++ b/crates/admission/src/bucket.rs
@@ -2,16 +2,16 @@
 
 use crate::Micros;
 
-/// So many at once after a pause, and so many a second.
+/// A token rate with a burst.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Above 0.
+    /// Tokens per second, above 0.
     pub per_second: f64,
-    /// At least 1 counts.
+    /// Size of the bucket in tokens; values below 1 count as 1.
     pub burst: f64,
 }
 
-/// What is left of a [`Rate`].
+/// The state of a token bucket; its [`Rate`] is passed with each call.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     tokens: f64,
@@ -19,15 +19,15 @@
 }
 
 impl Bucket {
-    /// A full one, less what was used up already.
+    /// Creates a full bucket, less the tokens that are used up already.
     pub fn new(now: Micros, rate: Rate, used: f64) -> Bucket {
         Bucket { tokens: (rate.burst - used).max(0.0), filled: now }
     }
 
-    /// Takes one, or tells in how many microseconds there is one.
+    /// Takes one token.
     ///
     /// # Errors
-    /// That span.
+    /// None is available; the error is the time in microseconds until there is one.
     pub fn take(&mut self, now: Micros, rate: Rate) -> Result<(), Micros> {
         let passed = now.saturating_sub(self.filled) as f64 / 1e6;
         self.tokens = (self.tokens + passed * rate.per_second).min(rate.burst.max(1.0));
--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -1,31 +1,33 @@
-//! Descriptors as a budget: what is left for clients once everything else has its minimum.
+//! Splits the process's file descriptors: how many connections clients may have once everything
+//! else has its minimum.
 
-/// Connections of clients below which nothing can work.
+/// The least number of client connections that the process can work with.
 pub const MIN_CLIENT_CONNECTIONS: usize = 4;
 
-/// What is kept for everything but clients.
+/// Descriptors that are reserved for other uses than client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reserved {
-    /// Calls to partners, and connections that stand idle between them.
+    /// Calls to partners, and idle connections between calls.
     pub calls: usize,
-    /// The journal, the ends, the control line, what is closing, and the runtime's own.
+    /// The journal, the outcomes, the control socket, connections being closed, and the runtime.
     pub internal: usize,
 }
 
-/// Places for clients where the process may hold `limit` descriptors: half of what the house leaves, and what calls leave
-/// if that is less. The clients give way first when the limit is lowered: what is out to partners has to end, and the
-/// journal to be written.
+/// Returns how many client connections a process may hold that is limited to `limit` descriptors:
+/// half of what internal use leaves, or what the calls leave if that is less. When the limit is
+/// lowered, clients give way first: calls in flight have to finish, and the journal has to be
+/// written.
 ///
 /// # Errors
-/// So few are left that nothing would work: told with what is needed.
+/// Fewer than [`MIN_CLIENT_CONNECTIONS`] are left; the text states how many descriptors are needed.
 pub fn max_client_connections(limit: usize, reserved: Reserved) -> Result<usize, String> {
     let left = limit.saturating_sub(reserved.internal);
-    let places = (left / 2).min(left.saturating_sub(reserved.calls));
-    if places < MIN_CLIENT_CONNECTIONS {
+    let connections = (left / 2).min(left.saturating_sub(reserved.calls));
+    if connections < MIN_CLIENT_CONNECTIONS {
         let needed = reserved.internal + reserved.calls + MIN_CLIENT_CONNECTIONS;
         return Err(format!("{limit} descriptors are too few: {needed} are the least that works ({} for calls, {} for the journal, the control line and the like, {MIN_CLIENT_CONNECTIONS} for clients)", reserved.calls, reserved.internal));
     }
-    Ok(places)
+    Ok(connections)
 }
 
 #[cfg(test)]
@@ -34,7 +36,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn clients_give_way_to_calls_and_the_house() {
+    fn client_connections_yield_to_calls_and_internal_use() {
         let reserved = Reserved { calls: 100, internal: 32 };
         assert_eq!(max_client_connections(1024, reserved), Ok(496));
         assert_eq!(max_client_connections(200, reserved), Ok(68));
@@ -45,9 +47,9 @@
 
     proptest! {
         #[test]
-        fn the_sum_never_passes_the_limit(limit in 0..100_000usize, calls in 0..10_000usize, internal in 0..1_000usize) {
-            if let Ok(places) = max_client_connections(limit, Reserved { calls, internal }) {
-                prop_assert!(places >= MIN_CLIENT_CONNECTIONS && places + calls + internal <= limit);
+        fn reserved_and_client_descriptors_stay_within_the_limit(limit in 0..100_000usize, calls in 0..10_000usize, internal in 0..1_000usize) {
+            if let Ok(connections) = max_client_connections(limit, Reserved { calls, internal }) {
+                prop_assert!(connections >= MIN_CLIENT_CONNECTIONS && connections + calls + internal <= limit);
             }
         }
     }
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -1,9 +1,10 @@
-//! The gate: every connection and request is decided on here.
+//! The admission gate: decides on every connection and request.
 //!
-//! Places are shared in two groups. Of `places`, clients that are not known together have at most what is left of the
-//! larger of the reserve and what the known ones hold; so a known client finds a place as long as known ones hold less
-//! than the reserve. Within what is short an address that holds more gives way to one that holds less (max-min
-//! fairness); none gives way to one that holds as much.
+//! Connection slots are shared by two groups, known and unknown clients. Unknown clients together
+//! get at most what is left of `max_connections` after the reserve, or after the connections of
+//! known clients if those are more. So a known client finds a slot as long as known clients hold
+//! fewer than the reserve. Within scarce capacity, an address with more connections gives way to
+//! one with fewer (max-min fairness); none gives way to an address that holds as many.
 
 use crate::account::Account;
 use crate::bucket::Bucket;
@@ -13,191 +14,196 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
-/// Addresses that are looked at, the largest holders first, for a connection that can go.
-const LOOKED_AT: usize = 8;
-/// Connections of one address turned away within a second that are a flood; its end, once so long none was.
-const FLOOD: u32 = 20;
-const FLOOD_OVER: Micros = 10_000_000;
-/// Floods that are told apart. Beyond, they are one of many addresses.
-const FLOODS: usize = 16;
-/// Hashes and slots of the sketch of new connections by addresses that are not remembered, and the span after which it
-/// is begun anew. Its estimate is never too low, and too high by a share e/slots of all connections at most, but with
-/// probability exp(-hashes) (Cormode and Muthukrishnan 2005).
-const SKETCH: (usize, usize) = (4, 2048);
-const SKETCH_SPAN: Micros = 1_000_000;
-/// Blocks at once.
-pub const MOST_BLOCKS: usize = 1_000;
-/// A share may be exceeded by this factor before it counts as used up.
-const OVER_SHARE: f64 = 1.25;
-
-/// What a connection is doing.
+/// Addresses examined, largest holders first, when looking for a connection to evict.
+const MAX_HOLDERS_EXAMINED: usize = 8;
+/// Connections of one address rejected within a second that count as a flood. The flood ends once
+/// none was rejected for [`FLOOD_QUIET_US`].
+const FLOOD_THRESHOLD: u32 = 20;
+const FLOOD_QUIET_US: Micros = 10_000_000;
+/// Floods tracked by address. Any further one counts as part of a distributed flood.
+const MAX_TRACKED_FLOODS: usize = 16;
+/// Hashes and slots of the count-min sketch that counts new connections of unremembered addresses,
+/// and the window after which it is reset. Its estimate is never too low, and too high by more than
+/// a share e/slots of all connections with a probability of only exp(-hashes) (Cormode and
+/// Muthukrishnan 2005).
+const SKETCH_SIZE: (usize, usize) = (4, 2048);
+const SKETCH_WINDOW_US: Micros = 1_000_000;
+/// Maximum number of blocks at a time.
+pub const MAX_BLOCKS: usize = 1_000;
+/// Factor by which an address may exceed its share before its requests are refused.
+const SHARE_TOLERANCE: f64 = 1.25;
+
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
-    /// Nothing has been asked on it yet.
+pub enum ConnectionState {
+    /// No request has arrived on it yet.
     Silent,
-    /// Between two requests.
+    /// It is between two requests.
     Idle,
-    /// A request is open.
-    Request,
+    /// A request is in flight.
+    Active,
 }
 
-/// Why somebody is turned away.
+/// Why a connection or a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Why {
-    /// An order blocks it.
+    /// The operator blocked the network of the address.
     Blocked,
-    /// Too many new connections a second.
+    /// There are too many new connections per second.
     TooFast,
-    /// Its address has as many connections as one may have.
+    /// The address has its maximum number of connections.
     Address,
-    /// Its prefix has.
+    /// The prefix of the address has its maximum number of connections.
     Prefix,
-    /// Every place that it could have is taken by those who hold no more than it does.
+    /// Every slot that the address could get is held by addresses with no more connections than it
+    /// has.
     Full,
-    /// As many requests of its address are open as may be.
+    /// The address has its maximum number of requests in flight.
     Requests,
-    /// Its share of what is short is used up.
+    /// The address has used up its share of scarce capacity.
     Share,
 }
 
 impl Why {
-    /// A word for people and programs.
-    pub fn word(self) -> &'static str {
+    /// The stable name of the reason.
+    pub fn as_str(self) -> &'static str {
         match self {
-            Why::Blocked => "blocked",
-            Why::TooFast => "too_fast",
-            Why::Address => "address",
-            Why::Prefix => "prefix",
-            Why::Full => "full",
-            Why::Requests => "requests",
-            Why::Share => "share",
+            RejectReason::Blocked => "blocked",
+            RejectReason::RateLimited => "too_fast",
+            RejectReason::AddressLimit => "address",
+            RejectReason::PrefixLimit => "prefix",
+            RejectReason::NoCapacity => "full",
+            RejectReason::RequestLimit => "requests",
+            RejectReason::ShareExceeded => "share",
         }
     }
 }
 
-/// What becomes of a connection.
+/// Decision on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admit {
-    /// It has a place; in its stead another goes, by its number.
+    /// The connection gets a slot, and another one may have to be closed for it.
     In {
-        /// Which one has to go.
-        let_go: Option<u64>,
+        /// The number of the connection to close.
+        evicted: Option<u64>,
     },
-    /// Every place is taken by an open request: it waits until one is free.
+    /// Every slot is held by a request in flight: the connection waits until one is free.
     Wait,
-    /// It is closed, and told when to come again where that is known (microseconds; 0 if not).
+    /// The connection is closed.
     Away {
-        /// Why.
-        why: Why,
-        /// When to come again.
-        retry: Micros,
+        /// Why it is rejected.
+        reason: RejectReason,
+        /// Microseconds after which the client may retry; 0 if unknown.
+        retry_after: Micros,
     },
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// It is answered.
-    Go,
-    /// It is refused, and may come again after a while.
-    Away {
-        /// Why.
-        why: Why,
-        /// When to come again, microseconds.
-        retry: Micros,
+pub enum RequestDecision {
+    /// The request is processed.
+    Accept,
+    /// The request is refused.
+    Reject {
+        /// Why it is refused.
+        reason: RejectReason,
+        /// Microseconds after which the client may retry.
+        retry_after: Micros,
     },
 }
 
-/// Something that is worth a line to whoever runs the site.
+/// An event that the operator should see.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// An address is being turned away again and again; none where they are many.
-    FloodBegan {
-        /// Whose.
+    /// Connections are being rejected at a high rate.
+    FloodStarted {
+        /// The address that causes the flood; none if many addresses do.
         address: Option<IpAddr>,
     },
-    /// It has stopped.
+    /// The flood is over.
     FloodEnded {
-        /// Whose.
+        /// The address that caused it; none if many addresses did.
         address: Option<IpAddr>,
-        /// So many connections were turned away.
+        /// Connections rejected during the flood.
         turned_away: u64,
-        /// For so long, microseconds.
+        /// Duration in microseconds.
         lasted: Micros,
     },
 }
 
-/// What is seen of an address.
+/// Statistics of one address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
-    /// Which.
+pub struct ClientStats {
+    /// The address.
     pub address: IpAddr,
-    /// Known by name, or by what it has earned.
+    /// It is on the configured list of known clients.
     pub named: bool,
-    /// See `named`.
+    /// It counts as a known client, by the list or by its accepted messages.
     pub known: bool,
-    /// Connections.
-    pub open: usize,
-    /// Requests open.
-    pub requests: usize,
-    /// Since the start: requests, those that were taken on, refused, and connections turned away.
-    pub asked: u64,
-    /// See `asked`.
-    pub taken: u64,
-    /// See `asked`.
+    /// Open connections.
+    pub connections: usize,
+    /// Requests in flight.
+    pub open_requests: usize,
+    /// Requests received since the process started.
+    pub requests_total: u64,
+    /// Messages accepted since the process started.
+    pub accepted: u64,
+    /// Requests refused since the process started.
     pub refused: u64,
-    /// See `asked`.
-    pub turned_away: u64,
-    /// Requests a second, and the part that they are of all.
+    /// Connections rejected since the process started.
+    pub rejected: u64,
+    /// Requests per second.
     pub rate: f64,
-    /// See `rate`.
-    pub part: f64,
-    /// It floods.
-    pub floods: bool,
+    /// Share of the address in all requests per second, 0 to 1.
+    pub share: f64,
+    /// The address causes a flood at the moment.
+    pub flooding: bool,
 }
 
 #[derive(Debug)]
 struct Connection {
     address: IpAddr,
-    doing: Doing,
+    state: ConnectionState,
     since: Micros,
 }
 
-/// Those that are known, or those that are not.
+/// The connections of either known or unknown clients.
 #[derive(Debug, Default)]
 struct Group {
-    /// Connections.
-    open: usize,
-    /// Addresses with connections, by how many.
+    /// Open connections.
+    connections: usize,
+    /// Addresses with connections, ordered by how many they have.
     holders: BTreeSet<(usize, IpAddr)>,
 }
 
-/// The gate.
+/// Decides which connections and requests are admitted. Performs no I/O and reads no clock.
 pub struct Gate {
     settings: Settings,
     now: Micros,
     connections: HashMap<u64, Connection>,
     accounts: HashMap<IpAddr, Account>,
-    /// Accounts with nothing open, by whether they have earned anything and when they were last seen.
-    resting: BTreeSet<(bool, Micros, IpAddr)>,
+    /// Accounts without connections, ordered by whether they have credit and by when they were last
+    /// seen.
+    idle_accounts: BTreeSet<(bool, Micros, IpAddr)>,
     prefixes: HashMap<IpNet, usize>,
     groups: [Group; 2],
-    requests: usize,
-    /// Connections on which something has been asked.
-    spoken: usize,
-    /// Weights of the addresses that have a connection, of those not known and of those known; and requests of all a
-    /// second.
+    open_requests: usize,
+    /// Connections on which a request has arrived.
+    used_connections: usize,
+    /// Sums of the weights of the addresses that have connections: unknown, known.
     weights: [f64; 2],
+    /// Requests per second of all clients, as of `rate_at`.
     rate: f64,
     rate_at: Micros,
     sketches: [Estimator; 2],
-    sketch_from: Micros,
-    /// New connections of all who are not known.
-    strangers: Bucket,
+    sketch_started: Micros,
+    /// Rate limit for the new connections of all unknown clients together.
+    unknown_rate: Bucket,
     blocks: BTreeMap<IpNet, Micros>,
     floods: BTreeSet<IpAddr>,
-    /// A flood of many addresses: since when, how many connections, the last, and those of the current second.
-    many: (Option<Micros>, u64, Micros, (Micros, u32)),
+    /// A flood from many addresses: its start, the connections rejected, the last rejection, and
+    /// the current one-second window with its count.
+    distributed_flood: (Option<Micros>, u64, Micros, (Micros, u32)),
     events: Vec<Event>,
 }
 
@@ -208,399 +214,440 @@
 }
 
 impl Gate {
-    /// A gate with nobody in.
+    /// Creates a gate without connections.
     pub fn new(settings: Settings) -> Gate {
-        let sketch = || Estimator::new(SKETCH.0, SKETCH.1);
+        let sketch = || Estimator::new(SKETCH_SIZE.0, SKETCH_SIZE.1);
         Gate {
-            strangers: Bucket::new(0, settings.unknown_connections, 0.0),
+            unknown_rate: Bucket::new(0, settings.unknown_connections, 0.0),
             settings,
             now: 0,
             connections: HashMap::new(),
             accounts: HashMap::new(),
-            resting: BTreeSet::new(),
+            idle_accounts: BTreeSet::new(),
             prefixes: HashMap::new(),
             groups: Default::default(),
-            requests: 0,
-            spoken: 0,
+            open_requests: 0,
+            used_connections: 0,
             weights: [0.0; 2],
             rate: 0.0,
             rate_at: 0,
             sketches: [sketch(), sketch()],
-            sketch_from: 0,
+            sketch_started: 0,
             blocks: BTreeMap::new(),
             floods: BTreeSet::new(),
-            many: (None, 0, 0, (0, 0)),
+            distributed_flood: (None, 0, 0, (0, 0)),
             events: Vec::new(),
         }
     }
 
-    /// The clock never runs back here, whatever it does outside; a jump ahead only fills buckets and forgets.
-    fn at(&mut self, now: Micros) -> Micros {
+    /// Advances the gate's clock, which never runs backwards, whatever the caller's clock does. A
+    /// jump ahead only refills buckets and lets credit decay.
+    fn advance_clock(&mut self, now: Micros) -> Micros {
         self.now = self.now.max(now);
         self.now
     }
 
-    /// Changes the number of places, as descriptors come and go. Gives those who have to leave for it: of who is not known
-    /// first, and nobody with an open request.
-    pub fn set_places(&mut self, now: Micros, places: usize) -> Vec<u64> {
-        let now = self.at(now);
-        self.settings.max_connections = places;
-        let mut gone = Vec::new();
-        while self.connections.len() > places {
-            let [others, knowns] = &self.groups;
-            let Some(number) = self.largest(others, 0, now).or_else(|| self.largest(knowns, 0, now)) else {
+    /// Changes the number of slots, as the descriptor limit changes. Returns the connections to
+    /// close: those of unknown clients first, and none with a request in flight.
+    pub fn set_max_connections(&mut self, now: Micros, max_connections: usize) -> Vec<u64> {
+        let now = self.advance_clock(now);
+        self.settings.max_connections = max_connections;
+        let mut evicted = Vec::new();
+        while self.connections.len() > max_connections {
+            let [unknown_group, known_group] = &self.groups;
+            let Some(number) = self
+                .evict_from_largest(unknown_group, 0, now)
+                .or_else(|| self.evict_from_largest(known_group, 0, now))
+            else {
                 break;
             };
-            self.leaves(now, number);
-            gone.push(number);
+            self.disconnect(now, number);
+            evicted.push(number);
         }
-        gone
+        evicted
     }
 
-    /// Somebody connects; `number` names the connection from now on, if it is let in, and must not be in use.
-    pub fn connects(&mut self, now: Micros, number: u64, address: IpAddr) -> Admit {
-        let (now, address) = (self.at(now), address.to_canonical());
-        let blocked = self.block_of(address, now);
-        let used = self.count(address, now);
+    /// Decides on a new connection. `number` identifies it from now on if it is admitted, and must
+    /// not be in use.
+    pub fn connect(&mut self, now: Micros, number: u64, address: IpAddr) -> ConnectDecision {
+        let (now, address) = (self.advance_clock(now), address.to_canonical());
+        let blocked = self.blocked_until(address, now);
+        let used = self.recent_connections(address, now);
         if let Some(until) = blocked {
-            self.turn_away(address, now);
-            return Admit::Away { why: Why::Blocked, retry: until.saturating_sub(now) };
+            self.record_rejection(address, now);
+            return ConnectDecision::Reject {
+                reason: RejectReason::Blocked,
+                retry_after: until.saturating_sub(now),
+            };
         }
-        self.account(address, now, used);
-        let Some(account) = self.accounts.get_mut(&address) else { return Admit::Wait };
-        account.review(now, &self.settings);
+        self.ensure_account(address, now, used);
+        let Some(account) = self.accounts.get_mut(&address) else { return ConnectDecision::Wait };
+        account.update_known(now, &self.settings);
         if !account.known {
-            let own = account.new.take(now, self.settings.new_connections);
-            // Whoever is over its own rate uses up nothing of what all share.
-            let taken = own.and_then(|()| self.strangers.take(now, self.settings.unknown_connections));
-            if let Err(retry) = taken {
-                self.turn_away(address, now);
-                return Admit::Away { why: Why::TooFast, retry };
+            let own_rate = account.new_connection_rate.take(now, self.settings.new_connections);
+            // A client above its own rate takes nothing from the shared bucket.
+            let taken =
+                own_rate.and_then(|()| self.unknown_rate.take(now, self.settings.unknown_connections));
+            if let Err(retry_after) = taken {
+                self.record_rejection(address, now);
+                return ConnectDecision::Reject { reason: RejectReason::RateLimited, retry_after };
             }
         }
-        self.place(number, address, now)
+        self.allocate(number, address, now)
     }
 
-    /// One that was told to wait asks again. It is no new connection, and counts as none.
-    pub fn waits(&mut self, now: Micros, number: u64, address: IpAddr) -> Admit {
-        let (now, address) = (self.at(now), address.to_canonical());
-        if let Some(until) = self.block_of(address, now) {
-            self.turn_away(address, now);
-            return Admit::Away { why: Why::Blocked, retry: until.saturating_sub(now) };
+    /// Decides again on a connection that was told to wait. It does not count as a new connection.
+    pub fn retry_waiting(&mut self, now: Micros, number: u64, address: IpAddr) -> ConnectDecision {
+        let (now, address) = (self.advance_clock(now), address.to_canonical());
+        if let Some(until) = self.blocked_until(address, now) {
+            self.record_rejection(address, now);
+            return ConnectDecision::Reject {
+                reason: RejectReason::Blocked,
+                retry_after: until.saturating_sub(now),
+            };
         }
-        // It may have been forgotten meanwhile.
-        self.account(address, now, 0.0);
-        self.place(number, address, now)
+        // The account may have been dropped while the connection waited.
+        self.ensure_account(address, now, 0.0);
+        self.allocate(number, address, now)
     }
 
-    /// A place for an address that may connect.
-    fn place(&mut self, number: u64, address: IpAddr, now: Micros) -> Admit {
+    /// Finds a slot for a connection that has passed the rate limits.
+    fn allocate(&mut self, number: u64, address: IpAddr, now: Micros) -> ConnectDecision {
         let settings = &self.settings;
-        let Some(account) = self.accounts.get_mut(&address) else { return Admit::Wait };
-        let (known, open, prefix) = (account.known, account.open, account.prefix);
+        let Some(account) = self.accounts.get_mut(&address) else { return ConnectDecision::Wait };
+        let (known, open, prefix) = (account.known, account.connections, account.prefix);
         let cap = if known { settings.per_known } else { settings.per_address };
         let in_prefix = self.prefixes.get(&prefix).copied().unwrap_or(0);
-        let own = account.first_to_go(now, settings);
-        let over = match () {
-            () if open >= cap => Some(Why::Address),
-            () if !known && in_prefix >= settings.per_prefix => Some(Why::Prefix),
+        let own_candidate = account.eviction_candidate(now, settings);
+        let limit_reached = match () {
+            () if open >= cap => Some(RejectReason::AddressLimit),
+            () if !known && in_prefix >= settings.per_prefix => Some(RejectReason::PrefixLimit),
             () => None,
         };
-        let decided = match over {
-            // Its own silent ones make room for its own next one: who is at its cap takes nothing from others.
-            Some(why) => match own.filter(|n| self.is_silent(*n, now)) {
-                Some(own) => Ok(Some(own)),
-                None => Err(why),
+        let capacity = match limit_reached {
+            // At its limit, an address may replace one of its own silent connections, which takes
+            // nothing from others.
+            Some(reason) => match own_candidate.filter(|n| self.is_silent(*n, now)) {
+                Some(number) => Ok(Some(number)),
+                None => Err(reason),
             },
-            None => self.room(known, open, own, now),
+            None => self.find_capacity(known, open, own_candidate, now),
         };
-        match decided {
-            Ok(let_go) => {
-                self.enter(number, address, now);
-                let_go.iter().for_each(|number| self.leaves(now, *number));
-                Admit::In { let_go }
+        match capacity {
+            Ok(evicted) => {
+                self.insert(number, address, now);
+                evicted.iter().for_each(|number| self.disconnect(now, *number));
+                ConnectDecision::Admit { evicted }
             }
-            Err(Why::Full) if known => Admit::Wait,
-            Err(why) => {
-                self.turn_away(address, now);
-                Admit::Away { why, retry: 0 }
+            Err(RejectReason::NoCapacity) if known => ConnectDecision::Wait,
+            Err(reason) => {
+                self.record_rejection(address, now);
+                ConnectDecision::Reject { reason, retry_after: 0 }
             }
         }
     }
 
-    /// Whether there is a place, or who makes one.
-    fn room(&self, known: bool, open: usize, own: Option<u64>, now: Micros) -> Result<Option<u64>, Why> {
-        let [others, knowns] = &self.groups;
-        let places = self.settings.max_connections;
+    /// Returns the connection to evict for a new one, or `None` if a slot is free.
+    fn find_capacity(
+        &self, known: bool, open: usize, own_candidate: Option<u64>, now: Micros,
+    ) -> Result<Option<u64>, RejectReason> {
+        let [unknown_group, known_group] = &self.groups;
+        let max_connections = self.settings.max_connections;
         let free = match known {
-            true => others.open + knowns.open < places,
-            false => others.open + knowns.open.max(self.settings.reserve) < places,
+            true => unknown_group.connections + known_group.connections < max_connections,
+            false => {
+                unknown_group.connections + known_group.connections.max(self.settings.reserve)
+                    < max_connections
+            }
         };
         if free {
             return Ok(None);
         }
         if known {
-            // Those who are not known give way first: as far as the reserve goes all of them, beyond it those who hold more.
-            let more_than = if knowns.open < self.settings.reserve { 0 } else { open + 1 };
-            if let Some(number) = self.largest(others, more_than, now) {
+            // Unknown clients give way first: up to the reserve all of them, beyond it those that
+            // hold more.
+            let more_than = if known_group.connections < self.settings.reserve { 0 } else { open + 1 };
+            if let Some(number) = self.evict_from_largest(unknown_group, more_than, now) {
                 return Ok(Some(number));
             }
         }
         let group = &self.groups[usize::from(known)];
-        let larger = self.largest(group, open + 1, now);
-        // Known clients take turns with themselves too: a front's idle connections make room for its next.
-        larger.or(own.filter(|n| known || self.is_silent(*n, now))).map(Some).ok_or(Why::Full)
+        let from_larger = self.evict_from_largest(group, open + 1, now);
+        // A known client may also replace its own idle connection, so that a proxy's next
+        // connection gets in.
+        from_larger
+            .or(own_candidate.filter(|n| known || self.is_silent(*n, now)))
+            .map(Some)
+            .ok_or(RejectReason::NoCapacity)
     }
 
-    /// The first to go of the address that holds most, and more than so many.
-    fn largest(&self, group: &Group, more_than: usize, now: Micros) -> Option<u64> {
-        let holders = group.holders.iter().rev().take(LOOKED_AT).filter(|(open, _)| *open > more_than);
+    /// The connection to evict from the address that holds most, if it holds more than `more_than`.
+    fn evict_from_largest(&self, group: &Group, more_than: usize, now: Micros) -> Option<u64> {
+        let holders =
+            group.holders.iter().rev().take(MAX_HOLDERS_EXAMINED).filter(|(open, _)| *open > more_than);
         let mut accounts = holders.filter_map(|(_, address)| self.accounts.get(address));
-        accounts.find_map(|account| account.first_to_go(now, &self.settings))
+        accounts.find_map(|account| account.eviction_candidate(now, &self.settings))
     }
 
     fn is_silent(&self, number: u64, now: Micros) -> bool {
-        self.connections
-            .get(&number)
-            .is_some_and(|c| c.doing == Doing::Silent && now.saturating_sub(c.since) > self.settings.silent)
+        self.connections.get(&number).is_some_and(|c| {
+            c.state == ConnectionState::Silent && now.saturating_sub(c.since) > self.settings.silent_after
+        })
     }
 
-    /// Connections of an address that is not remembered, in the last span or two.
-    fn count(&mut self, address: IpAddr, now: Micros) -> f64 {
-        if now >= self.sketch_from + SKETCH_SPAN {
+    /// Estimates the connections of an unremembered address in the last one or two windows.
+    fn recent_connections(&mut self, address: IpAddr, now: Micros) -> f64 {
+        if now >= self.sketch_started + SKETCH_WINDOW_US {
             self.sketches.swap(0, 1);
             self.sketches[0].reset();
-            if now >= self.sketch_from + 2 * SKETCH_SPAN {
+            if now >= self.sketch_started + 2 * SKETCH_WINDOW_US {
                 self.sketches[1].reset();
             }
-            self.sketch_from = now;
+            self.sketch_started = now;
         }
         let before = self.sketches[1].get(address);
-        // The one that is being decided on takes its own part of the burst.
+        // The connection being decided on takes its own token, so it is not counted here.
         let now = self.sketches[0].incr(address, 1) - 1;
         now.max(0).saturating_add(before.max(0)) as f64
     }
 
-    fn account(&mut self, address: IpAddr, now: Micros, used: f64) {
+    fn ensure_account(&mut self, address: IpAddr, now: Micros, used: f64) {
         if self.accounts.contains_key(&address) {
             return;
         }
-        if self.accounts.len() >= self.settings.addresses + self.settings.max_connections {
-            // Of those with nothing open the longest unseen, and those that have earned something last.
-            if let Some(oldest) = self.resting.pop_first() {
+        if self.accounts.len() >= self.settings.max_idle_accounts + self.settings.max_connections {
+            // Drops the account that has been idle for longest; accounts with credit are dropped
+            // last.
+            if let Some(oldest) = self.idle_accounts.pop_first() {
                 self.accounts.remove(&oldest.2);
             }
         }
-        let (prefix, named) = (self.settings.prefix(address), self.settings.names(address));
+        let (prefix, named) = (self.settings.prefix(address), self.settings.is_named(address));
         let mut account = Account::new(prefix, named, now, &self.settings, used);
-        account.rests = Some((false, now));
+        account.resting = Some((false, now));
         self.accounts.insert(address, account);
-        self.resting.insert((false, now, address));
+        self.idle_accounts.insert((false, now, address));
     }
 
-    fn enter(&mut self, number: u64, address: IpAddr, now: Micros) {
+    fn insert(&mut self, number: u64, address: IpAddr, now: Micros) {
         let Some(account) = self.accounts.get_mut(&address) else { return };
-        if account.open == 0 {
-            account.rests.take().map(|(earned, since)| self.resting.remove(&(earned, since, address)));
+        if account.connections == 0 {
+            account
+                .resting
+                .take()
+                .map(|(has_credit, since)| self.idle_accounts.remove(&(has_credit, since, address)));
             self.weights[usize::from(account.known)] += account.weight();
         }
         let group = &mut self.groups[usize::from(account.known)];
-        group.holders.remove(&(account.open, address));
-        account.open += 1;
-        group.open += 1;
-        group.holders.insert((account.open, address));
+        group.holders.remove(&(account.connections, address));
+        account.connections += 1;
+        group.connections += 1;
+        group.holders.insert((account.connections, address));
         account.silent.insert((now, number));
-        account.last = now;
+        account.last_active = now;
         *self.prefixes.entry(account.prefix).or_default() += 1;
-        self.connections.insert(number, Connection { address, doing: Doing::Silent, since: now });
+        self.connections.insert(number, Connection { address, state: ConnectionState::Silent, since: now });
     }
 
-    /// A connection is over. One that is not there is none: who was let go of may also say so itself.
-    pub fn leaves(&mut self, now: Micros, number: u64) {
-        let now = self.at(now);
+    /// Removes a closed connection. Unknown numbers are ignored: an evicted connection is removed
+    /// at once and reports its own close later.
+    pub fn disconnect(&mut self, now: Micros, number: u64) {
+        let now = self.advance_clock(now);
         let Some(connection) = self.connections.remove(&number) else { return };
-        let Connection { address, doing, since } = connection;
+        let Connection { address, state, since } = connection;
         let Some(account) = self.accounts.get_mut(&address) else { return };
-        self.spoken -= usize::from(doing != Doing::Silent);
-        match doing {
-            Doing::Silent => drop(account.silent.remove(&(since, number))),
-            Doing::Idle => drop(account.idle.remove(&(since, number))),
-            Doing::Request => {
-                account.requests = account.requests.saturating_sub(1);
-                self.requests = self.requests.saturating_sub(1);
+        self.used_connections -= usize::from(state != ConnectionState::Silent);
+        match state {
+            ConnectionState::Silent => drop(account.silent.remove(&(since, number))),
+            ConnectionState::Idle => drop(account.idle.remove(&(since, number))),
+            ConnectionState::Active => {
+                account.open_requests = account.open_requests.saturating_sub(1);
+                self.open_requests = self.open_requests.saturating_sub(1);
             }
         }
         let group = &mut self.groups[usize::from(account.known)];
-        group.holders.remove(&(account.open, address));
-        account.open = account.open.saturating_sub(1);
-        group.open = group.open.saturating_sub(1);
-        account.last = now;
+        group.holders.remove(&(account.connections, address));
+        account.connections = account.connections.saturating_sub(1);
+        group.connections = group.connections.saturating_sub(1);
+        account.last_active = now;
         if let Some(count) = self.prefixes.get_mut(&account.prefix) {
             *count -= 1;
             if *count == 0 {
                 self.prefixes.remove(&account.prefix);
             }
         }
-        if account.open > 0 {
-            group.holders.insert((account.open, address));
+        if account.connections > 0 {
+            group.holders.insert((account.connections, address));
             return;
         }
         let weights = &mut self.weights[usize::from(account.known)];
         *weights = (*weights - account.weight()).max(0.0);
-        account.review(now, &self.settings);
-        let earned = account.earned(now, &self.settings) >= 1.0;
-        account.rests = Some((earned, now));
-        self.resting.insert((earned, now, address));
+        account.update_known(now, &self.settings);
+        let has_credit = account.credit(now, &self.settings) >= 1.0;
+        account.resting = Some((has_credit, now));
+        self.idle_accounts.insert((has_credit, now, address));
     }
 
-    /// Something is asked on a connection. A request that is refused is open until it is answered, as any other.
-    pub fn asks(&mut self, now: Micros, number: u64) -> Ask {
-        let now = self.at(now);
+    /// Decides on a request. A refused request stays in flight until its response is written, like
+    /// any other.
+    pub fn begin_request(&mut self, now: Micros, number: u64) -> RequestDecision {
+        let now = self.advance_clock(now);
         let all = self.rate(now);
         (self.rate, self.rate_at) = (all + 1.0, now);
-        let Some(connection) = self.connections.get_mut(&number) else { return Ask::Go };
-        let Some(account) = self.accounts.get_mut(&connection.address) else { return Ask::Go };
-        match connection.doing {
-            Doing::Silent => {
+        let Some(connection) = self.connections.get_mut(&number) else { return RequestDecision::Accept };
+        let Some(account) = self.accounts.get_mut(&connection.address) else {
+            return RequestDecision::Accept;
+        };
+        match connection.state {
+            ConnectionState::Silent => {
                 account.silent.remove(&(connection.since, number));
-                self.spoken += 1;
+                self.used_connections += 1;
             }
-            Doing::Idle => drop(account.idle.remove(&(connection.since, number))),
-            Doing::Request => return Ask::Go,
+            ConnectionState::Idle => drop(account.idle.remove(&(connection.since, number))),
+            ConnectionState::Active => return RequestDecision::Accept,
         }
-        (connection.doing, connection.since) = (Doing::Request, now);
-        let open = account.requests;
-        account.requests += 1;
-        account.last = now;
-        account.ask(now);
-        self.requests += 1;
+        (connection.state, connection.since) = (ConnectionState::Active, now);
+        let open = account.open_requests;
+        account.open_requests += 1;
+        account.last_active = now;
+        account.record_request(now);
+        self.open_requests += 1;
         if open >= self.settings.max_requests_per_address {
             account.refused += 1;
-            return Ask::Away { why: Why::Requests, retry: 100_000 };
+            return RequestDecision::Reject { reason: RejectReason::RequestLimit, retry_after: 100_000 };
         }
-        // Where there is time for all, nobody's share is short.
-        // Known clients share among themselves: however many others come, they do not dilute them.
-        let [others, knowns] = self.weights;
-        let weights = if account.known { knowns } else { others + knowns };
-        // Those who ask little leave their part to the others: half of all is never too much for one.
+        // While there is capacity for all, no share is enforced. Known clients share among
+        // themselves, so that unknown clients, however many, do not dilute their share.
+        let [unknown_weight, known_weight] = self.weights;
+        let weights = if account.known { known_weight } else { unknown_weight + known_weight };
+        // Idle clients leave their share to the others: half of the total rate is always allowed.
         let share = all * (account.weight() / weights.max(account.weight())).max(0.5);
-        if self.requests > self.settings.busy_from && account.rate(now) > OVER_SHARE * share + 1.0 {
-            let retry = account.falls_to(now, share);
-            if retry > 0 && account.weight() < weights {
+        if self.open_requests > self.settings.sharing_threshold
+            && account.rate(now) > SHARE_TOLERANCE * share + 1.0
+        {
+            let retry_after = account.time_until_rate(now, share);
+            if retry_after > 0 && account.weight() < weights {
                 account.refused += 1;
-                return Ask::Away { why: Why::Share, retry };
+                return RequestDecision::Reject { reason: RejectReason::ShareExceeded, retry_after };
             }
         }
-        Ask::Go
+        RequestDecision::Accept
     }
 
     fn rate(&self, now: Micros) -> f64 {
         self.rate * (-(now.saturating_sub(self.rate_at) as f64) / 1e6).exp()
     }
 
-    /// A request has been answered; `taken` if a message was taken on.
-    pub fn answered(&mut self, now: Micros, number: u64, taken: bool) {
-        let now = self.at(now);
+    /// Records that a request was answered; `accepted` if a message was accepted with it.
+    pub fn end_request(&mut self, now: Micros, number: u64, accepted: bool) {
+        let now = self.advance_clock(now);
         let Some(connection) = self.connections.get_mut(&number) else { return };
         let Some(account) = self.accounts.get_mut(&connection.address) else { return };
-        if connection.doing == Doing::Request {
-            account.requests = account.requests.saturating_sub(1);
-            self.requests = self.requests.saturating_sub(1);
-            (connection.doing, connection.since) = (Doing::Idle, now);
+        if connection.state == ConnectionState::Active {
+            account.open_requests = account.open_requests.saturating_sub(1);
+            self.open_requests = self.open_requests.saturating_sub(1);
+            (connection.state, connection.since) = (ConnectionState::Idle, now);
             account.idle.insert((now, number));
         }
-        if !taken {
+        if !accepted {
             return;
         }
-        let (before, weight) = (account.known, account.weight());
-        account.earn(now, &self.settings);
-        if account.known && !before {
-            // From now on its connections count among those of known clients: that many more places are left to others.
-            let (open, address) = (account.open, connection.address);
+        let (was_known, weight) = (account.known, account.weight());
+        account.add_credit(now, &self.settings);
+        if account.known && !was_known {
+            // The address has become known: its connections move to the known group and free that
+            // many slots for unknown clients.
+            let (open, address) = (account.connections, connection.address);
             self.weights[0] = (self.weights[0] - weight).max(0.0);
             self.weights[1] += account.weight();
             self.groups[0].holders.remove(&(open, address));
-            self.groups[0].open = self.groups[0].open.saturating_sub(open);
+            self.groups[0].connections = self.groups[0].connections.saturating_sub(open);
             self.groups[1].holders.insert((open, address));
-            self.groups[1].open += open;
+            self.groups[1].connections += open;
         }
     }
 
-    /// A connection's client was too slow, or sent what is no request: half of what its address has earned is lost.
-    pub fn misbehaved(&mut self, now: Micros, number: u64) {
-        let now = self.at(now);
+    /// Records that the client was too slow or violated HTTP: its address loses half of its credit.
+    pub fn penalize(&mut self, now: Micros, number: u64) {
+        let now = self.advance_clock(now);
         let Some(connection) = self.connections.get(&number) else { return };
         if let Some(account) = self.accounts.get_mut(&connection.address) {
-            account.lose(now, &self.settings);
+            account.halve_credit(now, &self.settings);
         }
     }
 
-    /// Whether a connection is a known client's.
+    /// Whether the connection belongs to a known client.
     pub fn is_known(&self, number: u64) -> bool {
         let address = self.connections.get(&number).map(|c| c.address);
         address.and_then(|a| self.accounts.get(&a)).is_some_and(|a| a.known)
     }
 
-    /// Connections that have asked something, and all.
-    pub fn open(&self) -> (usize, usize) {
-        (self.spoken, self.connections.len())
+    /// Number of connections that have carried a request, and of all connections.
+    pub fn connection_counts(&self) -> (usize, usize) {
+        (self.used_connections, self.connections.len())
     }
 
-    fn turn_away(&mut self, address: IpAddr, now: Micros) {
-        let Some(account) = self.accounts.get_mut(&address) else { return self.of_many(now) };
-        account.turned_away += 1;
-        account.last = now;
-        if now >= account.away.0 + 1_000_000 {
-            account.away = (now, 0);
+    fn record_rejection(&mut self, address: IpAddr, now: Micros) {
+        let Some(account) = self.accounts.get_mut(&address) else {
+            return self.record_distributed_rejection(now);
+        };
+        account.rejected += 1;
+        account.last_active = now;
+        if now >= account.recent_rejections.0 + 1_000_000 {
+            account.recent_rejections = (now, 0);
         }
-        account.away.1 += 1;
+        account.recent_rejections.1 += 1;
         if let Some((_, count, last)) = &mut account.flood {
             (*count, *last) = (*count + 1, now);
-        } else if account.away.1 >= FLOOD && self.floods.len() < FLOODS && self.many.0.is_none() {
-            account.flood = Some((now, u64::from(account.away.1), now));
+        } else if account.recent_rejections.1 >= FLOOD_THRESHOLD
+            && self.floods.len() < MAX_TRACKED_FLOODS
+            && self.distributed_flood.0.is_none()
+        {
+            account.flood = Some((now, u64::from(account.recent_rejections.1), now));
             self.floods.insert(address);
-            self.events.push(Event::FloodBegan { address: Some(address) });
+            self.events.push(Event::FloodStarted { address: Some(address) });
         } else {
-            self.of_many(now);
+            self.record_distributed_rejection(now);
         }
     }
 
-    /// Connections turned away of addresses that do not flood one by one.
-    fn of_many(&mut self, now: Micros) {
-        let (since, count, last, second) = &mut self.many;
+    /// Counts rejected connections of addresses that are not tracked as floods of their own.
+    fn record_distributed_rejection(&mut self, now: Micros) {
+        let (since, count, last, second) = &mut self.distributed_flood;
         if now >= second.0 + 1_000_000 {
             *second = (now, 0);
         }
         second.1 += 1;
         if since.is_some() {
             (*count, *last) = (*count + 1, now);
-        } else if second.1 >= FLOOD * FLOODS as u32 {
+        } else if second.1 >= FLOOD_THRESHOLD * MAX_TRACKED_FLOODS as u32 {
             (*since, *count, *last) = (Some(now), u64::from(second.1), now);
-            self.events.push(Event::FloodBegan { address: None });
+            self.events.push(Event::FloodStarted { address: None });
         }
     }
 
-    /// What has happened since the last call that is worth a line. Call it once in a while: it notices ends.
-    pub fn events(&mut self, now: Micros) -> Vec<Event> {
-        let now = self.at(now);
-        let over: Vec<(IpAddr, (Micros, u64, Micros))> = self
+    /// Returns the events since the last call. It has to be called regularly, since this is also
+    /// where the end of a flood is noticed.
+    pub fn take_events(&mut self, now: Micros) -> Vec<Event> {
+        let now = self.advance_clock(now);
+        let ended: Vec<(IpAddr, (Micros, u64, Micros))> = self
             .floods
             .iter()
             .filter_map(|a| Some((*a, self.accounts.get(a)?.flood?)))
-            .filter(|(_, (.., last))| now >= last + FLOOD_OVER)
+            .filter(|(_, (.., last))| now >= last + FLOOD_QUIET_US)
             .collect();
-        for (address, (since, turned_away, last)) in over {
+        for (address, (since, turned_away, last)) in ended {
             self.floods.remove(&address);
             self.accounts.entry(address).and_modify(|a| a.flood = None);
             let lasted = last.saturating_sub(since);
             self.events.push(Event::FloodEnded { address: Some(address), turned_away, lasted });
         }
-        // One whose account was forgotten meanwhile has long ended.
+        // The flood of an address whose account was dropped has ended long ago.
         let accounts = &self.accounts;
         self.floods.retain(|a| accounts.get(a).is_some_and(|a| a.flood.is_some()));
-        if let (Some(since), count, last, _) = self.many {
-            if now >= last + FLOOD_OVER {
-                self.many.0 = None;
+        if let (Some(since), count, last, _) = self.distributed_flood {
+            if now >= last + FLOOD_QUIET_US {
+                self.distributed_flood.0 = None;
                 self.events.push(Event::FloodEnded {
                     address: None,
                     turned_away: count,
@@ -611,23 +658,23 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Nobody of a network gets in until then. Gives the connections of it that are to go; one with an open request
-    /// goes when it has its answer.
+    /// Rejects all connections from a network until `until`. Returns the open connections of the
+    /// network that are to be closed; one with a request in flight closes after its response.
     ///
     /// # Errors
-    /// There are [`MOST_BLOCKS`] already.
+    /// There are [`MAX_BLOCKS`] blocks already.
     pub fn block(&mut self, now: Micros, network: IpNet, until: Micros) -> Result<Vec<u64>, String> {
-        let now = self.at(now);
+        let now = self.advance_clock(now);
         self.blocks.retain(|_, until| *until > now);
-        if self.blocks.len() >= MOST_BLOCKS && !self.blocks.contains_key(&network) {
-            return Err(format!("{MOST_BLOCKS} blocks stand already"));
+        if self.blocks.len() >= MAX_BLOCKS && !self.blocks.contains_key(&network) {
+            return Err(format!("{MAX_BLOCKS} blocks stand already"));
         }
         self.blocks.insert(network, until);
-        let of = |c: &Connection| network.contains(&c.address) && c.doing != Doing::Request;
-        Ok(self.connections.iter().filter(|(_, c)| of(c)).map(|(number, _)| *number).collect())
+        let evictable = |c: &Connection| network.contains(&c.address) && c.state != ConnectionState::Active;
+        Ok(self.connections.iter().filter(|(_, c)| evictable(c)).map(|(number, _)| *number).collect())
     }
 
-    /// Ends a block. False if there was none.
+    /// Ends a block. Returns false if there was none.
     pub fn unblock(&mut self, network: &IpNet) -> bool {
         self.blocks.remove(network).is_some()
     }
@@ -637,46 +684,49 @@
         &self.blocks
     }
 
-    fn block_of(&self, address: IpAddr, now: Micros) -> Option<Micros> {
+    fn blocked_until(&self, address: IpAddr, now: Micros) -> Option<Micros> {
         let blocks = self.blocks.iter().filter(|(net, until)| **until > now && net.contains(&address));
         blocks.map(|(_, until)| *until).max()
     }
 
-    /// What is seen of the busiest addresses, at most so many: those with most open, then those with most refused.
-    pub fn seen(&self, now: Micros, most: usize) -> Vec<Seen> {
+    /// Statistics of the busiest addresses, at most `most`: ordered by open connections, then by
+    /// rejections and refusals.
+    pub fn client_stats(&self, now: Micros, most: usize) -> Vec<ClientStats> {
         let now = self.now.max(now);
         let all = self.rate(now).max(1e-9);
-        let mut seen: Vec<Seen> = self
+        let mut stats: Vec<ClientStats> = self
             .accounts
             .iter()
-            .map(|(address, a)| Seen {
+            .map(|(address, a)| ClientStats {
                 address: *address,
                 named: a.named,
                 known: a.known,
-                open: a.open,
-                requests: a.requests,
-                asked: a.asked,
-                taken: a.taken,
+                connections: a.connections,
+                open_requests: a.open_requests,
+                requests_total: a.requests_total,
+                accepted: a.accepted,
                 refused: a.refused,
-                turned_away: a.turned_away,
+                rejected: a.rejected,
                 rate: a.rate(now),
-                part: (a.rate(now) / all).min(1.0),
-                floods: a.flood.is_some(),
+                share: (a.rate(now) / all).min(1.0),
+                flooding: a.flood.is_some(),
             })
             .collect();
-        let order = |s: &Seen| std::cmp::Reverse((s.open, s.turned_away + s.refused, s.asked, s.address));
-        seen.sort_by_key(order);
-        seen.truncate(most);
-        seen
+        let order = |s: &ClientStats| {
+            std::cmp::Reverse((s.connections, s.rejected + s.refused, s.requests_total, s.address))
+        };
+        stats.sort_by_key(order);
+        stats.truncate(most);
+        stats
     }
 
-    /// Connections of known clients, and of the others.
-    pub fn held(&self) -> (usize, usize) {
-        (self.groups[1].open, self.groups[0].open)
+    /// Number of connections of known clients, and of all others.
+    pub fn connections_by_group(&self) -> (usize, usize) {
+        (self.groups[1].connections, self.groups[0].connections)
     }
 
-    /// Addresses that are remembered.
-    pub fn remembered(&self) -> usize {
+    /// Number of addresses with an account.
+    pub fn account_count(&self) -> usize {
         self.accounts.len()
     }
 }
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -1,86 +1,90 @@
-//! Descriptors as a ledger: whoever opens one draws it here and gives it back. Each party has a part that nobody else can
-//! take, and beyond it draws from what is left over, up to a bound of its own.
+//! Accounts for the file descriptors of the process. Each user has a guaranteed number that nobody
+//! else can take, and may take more from what is left over, up to a maximum of its own.
 
-/// Who draws.
+/// Who uses descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorUser {
-    /// Connections of clients, also those that have been told to leave and are not closed yet.
+    /// Client connections, including those that were asked to close and have not closed yet.
     Clients,
-    /// Connections to partners: calls that are out, dials, and what stands idle between calls.
+    /// Connections to partners: calls in flight, dials, and idle connections.
     Calls,
-    /// Readers of the control line.
+    /// Connections to the control socket.
     Control,
 }
 
-const PARTIES: usize = 3;
+const USER_COUNT: usize = 3;
 
-/// What a party may hold.
+/// How many descriptors a user may hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
-    /// Its own, whatever others hold.
+pub struct Quota {
+    /// Descriptors that are reserved for the user, whatever others hold.
     pub guaranteed: usize,
-    /// Its bound, at least `guaranteed`.
-    pub most: usize,
+    /// Maximum for the user, at least `guaranteed`.
+    pub max: usize,
 }
 
-/// The ledger. `limit` counts what the process may hold; `house` of it is never drawn one by one: the runtime, the journal,
-/// the ends, and connections to the platform, whose numbers are fixed.
+/// The ledger. `limit` is the limit of the process; `internal` of it is reserved for what is not
+/// counted one by one, since its number is fixed: the runtime, the journal, the outcomes, and
+/// connections to the platform.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct DescriptorLedger {
     limit: usize,
-    house: usize,
-    parts: [Part; PARTIES],
-    held: [usize; PARTIES],
+    internal: usize,
+    quotas: [Quota; USER_COUNT],
+    held: [usize; USER_COUNT],
 }
 
-impl Ledger {
-    /// A ledger in which nothing is drawn. Parts in the order of [`DescriptorUser`].
-    pub fn new(limit: usize, house: usize, parts: [Part; PARTIES]) -> Ledger {
-        let parts = parts.map(|p| Part { most: p.most.max(p.guaranteed), ..p });
-        Ledger { limit, house, parts, held: [0; PARTIES] }
+impl DescriptorLedger {
+    /// Creates a ledger in which nothing is held. The quotas are in the order of
+    /// [`DescriptorUser`].
+    pub fn new(limit: usize, internal: usize, quotas: [Quota; USER_COUNT]) -> DescriptorLedger {
+        let quotas = quotas.map(|p| Quota { max: p.max.max(p.guaranteed), ..p });
+        DescriptorLedger { limit, internal, quotas, held: [0; USER_COUNT] }
     }
 
-    /// How many a party may hold just now: its own part, and what is left over beyond the others' parts and holdings.
-    pub fn room(&self, party: DescriptorUser) -> usize {
-        let at = party as usize;
-        let taken = |i: usize| self.held[i].max(self.parts[i].guaranteed);
-        let others: usize = (0..PARTIES).filter(|i| *i != at).map(taken).sum();
-        let free = self.limit.saturating_sub(self.house + others);
-        free.clamp(self.parts[at].guaranteed, self.parts[at].most)
+    /// How many descriptors a user may hold at the moment: its guarantee, and what the guarantees
+    /// and holdings of the others leave over.
+    pub fn limit_for(&self, user: DescriptorUser) -> usize {
+        let at = user as usize;
+        let taken = |i: usize| self.held[i].max(self.quotas[i].guaranteed);
+        let others: usize = (0..USER_COUNT).filter(|i| *i != at).map(taken).sum();
+        let free = self.limit.saturating_sub(self.internal + others);
+        free.clamp(self.quotas[at].guaranteed, self.quotas[at].max)
     }
 
-    /// Draws one, unless the party holds all that it may.
-    pub fn draw(&mut self, party: DescriptorUser) -> bool {
-        let granted = self.held(party) < self.room(party);
-        self.held[party as usize] += usize::from(granted);
+    /// Takes one descriptor. Returns false if the user holds all that it may.
+    pub fn acquire(&mut self, user: DescriptorUser) -> bool {
+        let granted = self.held(user) < self.limit_for(user);
+        self.held[user as usize] += usize::from(granted);
         granted
     }
 
-    /// Notes one that is open already, decided on elsewhere by [`Ledger::room`].
-    pub fn note(&mut self, party: DescriptorUser) {
-        self.held[party as usize] += 1;
+    /// Counts a descriptor that is open already; the caller has checked
+    /// [`DescriptorLedger::limit_for`].
+    pub fn acquire_unchecked(&mut self, user: DescriptorUser) {
+        self.held[user as usize] += 1;
     }
 
-    /// Gives one back.
-    pub fn give(&mut self, party: DescriptorUser) {
-        let held = &mut self.held[party as usize];
+    /// Returns one descriptor.
+    pub fn release(&mut self, user: DescriptorUser) {
+        let held = &mut self.held[user as usize];
         *held = held.saturating_sub(1);
     }
 
-    /// How many a party holds.
-    pub fn held(&self, party: DescriptorUser) -> usize {
-        self.held[party as usize]
+    /// How many descriptors a user holds.
+    pub fn held(&self, user: DescriptorUser) -> usize {
+        self.held[user as usize]
     }
 
-    /// The limit, and with it the parts, have changed while the process runs. What is held beyond a party's room is its
-    /// own to give back.
-    pub fn set_limits(&mut self, limit: usize, parts: [Part; PARTIES]) {
-        *self = Ledger { held: self.held, ..Ledger::new(limit, self.house, parts) };
+    /// Changes the process limit and the quotas at run time. A user that holds more than it may
+    /// keeps it until it returns it by itself.
+    pub fn set_limits(&mut self, limit: usize, quotas: [Quota; USER_COUNT]) {
+        *self = DescriptorLedger { held: self.held, ..DescriptorLedger::new(limit, self.internal, quotas) };
     }
 
-    /// How many a party holds beyond what it may by now, as when the limit was lowered.
-    pub fn over(&self, party: DescriptorUser) -> usize {
-        self.held(party).saturating_sub(self.room(party))
+    /// How many descriptors a user holds beyond what it may, as after the limit was lowered.
+    pub fn excess(&self, user: DescriptorUser) -> usize {
+        self.held(user).saturating_sub(self.limit_for(user))
     }
 }
 
@@ -89,68 +93,78 @@
     use super::*;
     use proptest::prelude::*;
 
-    const ALL: [DescriptorUser; PARTIES] = [DescriptorUser::Clients, DescriptorUser::Calls, DescriptorUser::Control];
+    const ALL: [DescriptorUser; USER_COUNT] =
+        [DescriptorUser::Clients, DescriptorUser::Calls, DescriptorUser::Control];
 
-    fn part(guaranteed: usize, most: usize) -> Part {
-        Part { guaranteed, most }
+    fn quota(guaranteed: usize, max: usize) -> Quota {
+        Quota { guaranteed, max }
     }
 
     #[test]
-    fn who_wants_all_leaves_the_others_their_part() {
-        let parts = [part(4, 60), part(30, 50), part(8, 32)];
-        let mut ledger = Ledger::new(100, 20, parts);
-        let draw_all = |ledger: &mut Ledger, party| (0..1_000).filter(|_| ledger.draw(party)).count();
-        assert_eq!(draw_all(&mut ledger, DescriptorUser::Clients), 42, "what the parts of calls and control leave");
-        assert_eq!(draw_all(&mut ledger, DescriptorUser::Calls), 30);
-        assert_eq!(draw_all(&mut ledger, DescriptorUser::Control), 8);
-        assert!(!ledger.draw(DescriptorUser::Clients) && ledger.over(DescriptorUser::Clients) == 0);
-        // What one gives back beyond its part is anybody's.
-        (0..10).for_each(|_| ledger.give(DescriptorUser::Clients));
-        assert_eq!(draw_all(&mut ledger, DescriptorUser::Control), 10);
-        // Lowered while it runs: who holds more than its part is told by how much.
-        ledger.set_limits(70, parts);
-        assert_eq!((ledger.over(DescriptorUser::Clients), ledger.over(DescriptorUser::Control)), (32 - 4, 18 - 8));
-        assert!(ledger.over(DescriptorUser::Calls) == 0 && !ledger.draw(DescriptorUser::Calls));
+    fn a_greedy_user_leaves_the_others_their_guarantee() {
+        let quotas = [quota(4, 60), quota(30, 50), quota(8, 32)];
+        let mut ledger = DescriptorLedger::new(100, 20, quotas);
+        let acquire_all =
+            |ledger: &mut DescriptorLedger, user| (0..1_000).filter(|_| ledger.acquire(user)).count();
+        assert_eq!(
+            acquire_all(&mut ledger, DescriptorUser::Clients),
+            42,
+            "what the guarantees of calls and control leave"
+        );
+        assert_eq!(acquire_all(&mut ledger, DescriptorUser::Calls), 30);
+        assert_eq!(acquire_all(&mut ledger, DescriptorUser::Control), 8);
+        assert!(!ledger.acquire(DescriptorUser::Clients) && ledger.excess(DescriptorUser::Clients) == 0);
+        // What a user returns above its guarantee is available to all.
+        (0..10).for_each(|_| ledger.release(DescriptorUser::Clients));
+        assert_eq!(acquire_all(&mut ledger, DescriptorUser::Control), 10);
+        // After the limit was lowered, users above their guarantee are reported with their excess.
+        ledger.set_limits(70, quotas);
+        assert_eq!(
+            (ledger.excess(DescriptorUser::Clients), ledger.excess(DescriptorUser::Control)),
+            (32 - 4, 18 - 8)
+        );
+        assert!(ledger.excess(DescriptorUser::Calls) == 0 && !ledger.acquire(DescriptorUser::Calls));
     }
 
     proptest! {
-        /// Drawn one by one in any order, also while the limit moves above what the parts need: nobody is refused its own
-        /// part, and no draw takes the sum over the limit.
+        /// For any order of acquisitions, and with a limit that moves above the sum of the
+        /// guarantees: no user is denied its guarantee, and no acquisition takes the sum over the
+        /// limit.
         #[test]
-        fn parts_are_kept_and_the_limit_is(
+        fn guarantees_and_the_limit_hold(
             limit in 80..200usize,
             steps in prop::collection::vec((0..4usize, 0..3usize, 80..200usize), 1..400),
         ) {
-            let parts = [part(4, 90), part(30, 60), part(8, 32)];
-            let mut ledger = Ledger::new(limit, 20, parts);
+            let quotas = [quota(4, 90), quota(30, 60), quota(8, 32)];
+            let mut ledger = DescriptorLedger::new(limit, 20, quotas);
             let mut limit = limit;
-            for (what, who, other) in steps {
-                let party = ALL[who];
-                let before = ledger.held(party);
-                match what {
+            for (action, user_index, new_limit) in steps {
+                let user = ALL[user_index];
+                let before = ledger.held(user);
+                match action {
                     0 | 1 => {
-                        let granted = ledger.draw(party);
-                        prop_assert!(granted || before >= parts[who].guaranteed);
-                        let taken = |i: usize| ledger.held(ALL[i]).max(parts[i].guaranteed);
-                        let sum: usize = 20 + (0..PARTIES).map(taken).sum::<usize>();
-                        prop_assert!(!granted || before < parts[who].guaranteed || sum <= limit, "{sum} of {limit}");
-                        prop_assert!(!granted || before < parts[who].most);
+                        let granted = ledger.acquire(user);
+                        prop_assert!(granted || before >= quotas[user_index].guaranteed);
+                        let taken = |i: usize| ledger.held(ALL[i]).max(quotas[i].guaranteed);
+                        let sum: usize = 20 + (0..USER_COUNT).map(taken).sum::<usize>();
+                        prop_assert!(!granted || before < quotas[user_index].guaranteed || sum <= limit, "{sum} of {limit}");
+                        prop_assert!(!granted || before < quotas[user_index].max);
                     }
                     2 => {
-                        ledger.give(party);
-                        prop_assert_eq!(ledger.held(party), before.saturating_sub(1));
+                        ledger.release(user);
+                        prop_assert_eq!(ledger.held(user), before.saturating_sub(1));
                     }
                     _ => {
-                        limit = other;
-                        ledger.set_limits(limit, parts);
+                        limit = new_limit;
+                        ledger.set_limits(limit, quotas);
                     }
                 }
-                // Once each has given back what it is over, the sum is within the limit.
-                let mut kept = ledger.clone();
-                for party in ALL {
-                    (0..kept.over(party)).for_each(|_| kept.give(party));
+                // Once each user has returned its excess, the sum is within the limit.
+                let mut settled = ledger.clone();
+                for user in ALL {
+                    (0..settled.excess(user)).for_each(|_| settled.release(user));
                 }
-                prop_assert!(20 + ALL.iter().map(|p| kept.held(*p)).sum::<usize>() <= limit);
+                prop_assert!(20 + ALL.iter().map(|p| settled.held(*p)).sum::<usize>() <= limit);
             }
         }
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,8 +1,12 @@
-//! Who is let in. Decisions alone: time, who connects or asks, and what is held go in; admit, let wait, turn away or let
-//! go of whom comes out. No sockets, no clock, no I/O. `docs/design/admission.md` has the options.
+//! Admission control for clients: which connections and requests are admitted, and which
+//! connections are evicted. Decisions only: times, connections and requests go in, decisions come
+//! out; there are no sockets, no clock and no I/O. `docs/design/admission.md` compares the
+//! alternatives.
 //!
-//! [`gate`] decides on connections and requests, [`account`] is what is known of one address, [`settings`] the figures,
-//! [`descriptors`] says how many places there are, [`ledger`] who may open one more, [`pace`] who reads too slowly.
+//! [`gate`] decides on connections and requests, [`account`] holds the state of one address,
+//! [`settings`] the limits, [`bucket`] is a token bucket, [`descriptors`] computes how many
+//! connections there may be, [`ledger`] accounts for the descriptors in use, [`pace`] detects slow
+//! readers.
 
 pub mod account;
 pub mod bucket;
@@ -13,9 +17,9 @@
 pub mod settings;
 
 pub use bucket::Rate;
-pub use gate::{Admit, Ask, Doing, Event, Gate, Seen, Why};
-pub use ledger::{Ledger, Part, DescriptorUser};
+pub use gate::{ClientStats, ConnectDecision, ConnectionState, Event, Gate, RejectReason, RequestDecision};
+pub use ledger::{DescriptorLedger, DescriptorUser, Quota};
 pub use settings::Settings;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,48 +1,48 @@
-//! The figures of admission.
+//! Settings of admission control.
 
 use crate::{Micros, Rate};
 use ipnet::IpNet;
 use std::net::IpAddr;
 
-/// What may be used, and by whom.
+/// Limits for connections and requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Connections at once.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// Those of them that are kept for known clients.
+    /// How many of them are reserved for known clients.
     pub reserve: usize,
-    /// Connections of an address that is not known, and of one that is.
+    /// Maximum number of connections of an address that is not known.
     pub per_address: usize,
-    /// See `per_address`.
+    /// Maximum number of connections of a known address.
     pub per_known: usize,
-    /// Connections of all addresses of a prefix together that are not known.
+    /// Maximum number of connections of all unknown addresses in a prefix together.
     pub per_prefix: usize,
-    /// Bits of a prefix, 0 to 32.
+    /// Length of an IPv4 prefix in bits, 0 to 32.
     pub v4_prefix: u8,
-    /// Bits of a prefix, 0 to 128.
+    /// Length of an IPv6 prefix in bits, 0 to 128.
     pub v6_prefix: u8,
-    /// New connections of an address that is not known.
+    /// Rate of new connections for each unknown address.
     pub new_connections: Rate,
-    /// New connections of all such addresses together.
+    /// Rate of new connections for all unknown addresses together.
     pub unknown_connections: Rate,
-    /// Requests of one address that are open at once.
+    /// Maximum number of requests in flight of one address.
     pub max_requests_per_address: usize,
-    /// Open requests of all from which on shares are kept to.
-    pub busy_from: usize,
-    /// Known clients by name. An address of the list is known whatever it does.
+    /// Number of requests in flight above which shares are enforced.
+    pub sharing_threshold: usize,
+    /// Networks of known clients. Their addresses stay known whatever they do.
     pub known: Vec<IpNet>,
-    /// Messages taken on lately that make an address known.
-    pub earned_by: f64,
-    /// In this span half of what was earned is forgotten.
-    pub earned_half: Micros,
-    /// Addresses that are remembered while nothing of theirs is open.
-    pub addresses: usize,
-    /// A connection that has said nothing for so long is the first to go.
-    pub silent: Micros,
+    /// Credit, in accepted messages, at which an address counts as known.
+    pub known_credit: f64,
+    /// Half-life of the credit, in microseconds.
+    pub credit_half_life: Micros,
+    /// Maximum number of addresses without connections that are remembered.
+    pub max_idle_accounts: usize,
+    /// A connection that has sent nothing for this long, in microseconds, is evicted first.
+    pub silent_after: Micros,
 }
 
 impl Settings {
-    /// Figures for so many places, with nobody known by name.
+    /// Defaults for a number of connections, without configured known clients.
     pub fn for_connections(max_connections: usize) -> Settings {
         Settings {
             max_connections,
@@ -55,33 +55,34 @@
             new_connections: Rate { per_second: 50.0, burst: 50.0 },
             unknown_connections: Rate { per_second: 500.0, burst: max_connections.max(500) as f64 },
             max_requests_per_address: (max_connections / 4).max(2),
-            busy_from: (max_connections / 8).max(4),
+            sharing_threshold: (max_connections / 8).max(4),
             known: Vec::new(),
-            earned_by: 10.0,
-            earned_half: 600_000_000,
-            addresses: 4_096,
-            silent: 100_000,
+            known_credit: 10.0,
+            credit_half_life: 600_000_000,
+            max_idle_accounts: 4_096,
+            silent_after: 100_000,
         }
     }
 
-    /// Figures where every client comes through one front: its addresses are known, and it may have every place.
+    /// Settings for a forwarder behind a proxy: the proxy's networks are known, and may use every
+    /// connection.
     pub fn behind_proxy(max_connections: usize, front: Vec<IpNet>) -> Settings {
         Settings {
             reserve: 0,
             per_known: usize::MAX,
             max_requests_per_address: max_connections,
-            busy_from: max_connections,
+            sharing_threshold: max_connections,
             known: front,
             ..Settings::for_connections(max_connections)
         }
     }
 
-    /// Whether an address is known by name.
-    pub fn names(&self, address: IpAddr) -> bool {
+    /// Whether an address is on the list of known clients.
+    pub fn is_named(&self, address: IpAddr) -> bool {
         self.known.iter().any(|net| net.contains(&address))
     }
 
-    /// The prefix of an address.
+    /// The prefix that an address belongs to.
     pub fn prefix(&self, address: IpAddr) -> IpNet {
         let bits = if address.is_ipv4() { self.v4_prefix.min(32) } else { self.v6_prefix.min(128) };
         IpNet::new(address, bits).map_or(IpNet::from(address), |net| net.trunc())
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -1,4 +1,5 @@
-//! The gate in simulated time: floods, reserves, shares, and properties under any sequence of events.
+//! The gate in simulated time: floods, the reserve, shares, and invariants under any sequence of
+//! events.
 
 use foldtrack_admission::*;
 use proptest::prelude::*;
@@ -23,360 +24,399 @@
     text.parse().unwrap()
 }
 
-/// A gate with a clock and numbers.
-struct World {
+/// A gate with a simulated clock and a counter of connection numbers.
+struct Simulation {
     gate: Gate,
     now: Micros,
     next: u64,
 }
 
-impl World {
-    fn new(settings: Settings) -> World {
-        World { gate: Gate::new(settings), now: SECOND, next: 0 }
+impl Simulation {
+    fn new(settings: Settings) -> Simulation {
+        Simulation { gate: Gate::new(settings), now: SECOND, next: 0 }
     }
 
-    fn connect(&mut self, address: &str) -> (u64, Admit) {
+    fn connect(&mut self, address: &str) -> (u64, ConnectDecision) {
         self.next += 1;
-        (self.next, self.gate.connects(self.now, self.next, ip(address)))
+        (self.next, self.gate.connect(self.now, self.next, ip(address)))
     }
 
-    fn enters(&mut self, address: &str) -> u64 {
+    fn admit(&mut self, address: &str) -> u64 {
         let (number, admit) = self.connect(address);
-        assert!(matches!(admit, Admit::In { .. }), "{address}: {admit:?}");
+        assert!(matches!(admit, ConnectDecision::Admit { .. }), "{address}: {admit:?}");
         number
     }
 
-    fn pass(&mut self, span: Micros) {
+    fn advance(&mut self, span: Micros) {
         self.now += span;
     }
 
-    fn hand_in(&mut self, number: u64) -> Ask {
-        let ask = self.gate.asks(self.now, number);
-        self.gate.answered(self.now, number, ask == Ask::Go);
-        ask
+    fn submit(&mut self, number: u64) -> RequestDecision {
+        let decision = self.gate.begin_request(self.now, number);
+        self.gate.end_request(self.now, number, decision == RequestDecision::Accept);
+        decision
     }
 }
 
-fn why(admit: &Admit) -> Option<Why> {
+fn reject_reason(admit: &ConnectDecision) -> Option<RejectReason> {
     match admit {
-        Admit::Away { why, .. } => Some(*why),
+        ConnectDecision::Reject { reason, .. } => Some(*reason),
         _ => None,
     }
 }
 
 #[test]
-fn a_flood_from_one_address_keeps_to_its_cap_and_known_clients_find_a_place() {
-    let mut world = World::new(settings());
-    let mut away = 0;
+fn a_flood_from_one_address_stays_within_its_limit_and_known_clients_get_in() {
+    let mut sim = Simulation::new(settings());
+    let mut rejected = 0;
     for _ in 0..5_000 {
-        away += u64::from(why(&world.connect("192.0.2.9").1).is_some());
-        world.pass(100);
+        rejected += u64::from(reject_reason(&sim.connect("192.0.2.9").1).is_some());
+        sim.advance(100);
     }
-    assert_eq!(world.gate.held(), (0, 10));
-    assert!(away > 4_900, "its own silent ones make room for it, as fast as it may connect: {away}");
+    assert_eq!(sim.gate.connections_by_group(), (0, 10));
+    assert!(rejected > 4_900, "it replaces its own silent connections as fast as it may connect: {rejected}");
     for n in 0..40 {
-        let number = world.enters(&format!("10.0.0.{}", n % 8));
-        assert_eq!(world.hand_in(number), Ask::Go);
+        let number = sim.admit(&format!("10.0.0.{}", n % 8));
+        assert_eq!(sim.submit(number), RequestDecision::Accept);
     }
-    assert_eq!(world.gate.held(), (40, 10));
-    let events = world.gate.events(world.now);
-    assert_eq!(events, [Event::FloodBegan { address: Some(ip("192.0.2.9")) }], "one line, not thousands");
-    world.pass(11 * SECOND);
+    assert_eq!(sim.gate.connections_by_group(), (40, 10));
+    let events = sim.gate.take_events(sim.now);
+    assert_eq!(events, [Event::FloodStarted { address: Some(ip("192.0.2.9")) }], "one event, not thousands");
+    sim.advance(11 * SECOND);
     assert!(
-        matches!(world.gate.events(world.now)[..], [Event::FloodEnded { turned_away, .. }] if turned_away >= 4_000)
+        matches!(sim.gate.take_events(sim.now)[..], [Event::FloodEnded { turned_away, .. }] if turned_away >= 4_000)
     );
-    assert!(world.gate.events(world.now).is_empty());
+    assert!(sim.gate.take_events(sim.now).is_empty());
 }
 
-/// The flood was there first, and comes from a thousand addresses in as many prefixes.
+/// The flood comes first, from a thousand addresses in as many prefixes.
 #[test]
-fn a_flood_from_many_addresses_leaves_the_reserve_and_is_told_in_one_line() {
-    let mut world = World::new(settings());
+fn a_flood_from_many_addresses_leaves_the_reserve_and_is_one_event() {
+    let mut sim = Simulation::new(settings());
     for n in 0..20_000u32 {
         let address = format!("172.{}.{}.9", 16 + n % 8, n % 250);
-        let (number, admit) = world.connect(&address);
-        // Half of them ask something, and keep their request open.
-        if n % 2 == 0 && matches!(admit, Admit::In { .. }) {
-            world.gate.asks(world.now, number);
+        let (number, admit) = sim.connect(&address);
+        // Half of them send a request and keep it in flight.
+        if n % 2 == 0 && matches!(admit, ConnectDecision::Admit { .. }) {
+            sim.gate.begin_request(sim.now, number);
         }
-        world.pass(50);
+        sim.advance(50);
     }
-    assert_eq!(world.gate.held(), (0, 40));
-    assert!(world.gate.remembered() <= 4_096 + 60);
-    assert_eq!(world.gate.events(world.now), [Event::FloodBegan { address: None }]);
+    assert_eq!(sim.gate.connections_by_group(), (0, 40));
+    assert!(sim.gate.account_count() <= 4_096 + 60);
+    assert_eq!(sim.gate.take_events(sim.now), [Event::FloodStarted { address: None }]);
     for n in 0..20 {
-        world.enters(&format!("10.0.0.{n}"));
+        sim.admit(&format!("10.0.0.{n}"));
     }
 }
 
 #[test]
-fn mapped_addresses_are_the_same_and_prefixes_have_a_cap() {
-    let mut world = World::new(settings());
+fn ipv4_mapped_addresses_are_canonical_and_prefixes_are_limited() {
+    let mut sim = Simulation::new(settings());
     for n in 0..10 {
-        world.enters(if n % 2 == 0 { "192.0.2.1" } else { "::ffff:192.0.2.1" });
+        sim.admit(if n % 2 == 0 { "192.0.2.1" } else { "::ffff:192.0.2.1" });
     }
-    assert_eq!(why(&world.connect("192.0.2.1").1), Some(Why::Address));
+    assert_eq!(reject_reason(&sim.connect("192.0.2.1").1), Some(RejectReason::AddressLimit));
     for n in 0..20 {
-        world.enters(&format!("192.0.2.{}", 10 + n));
+        sim.admit(&format!("192.0.2.{}", 10 + n));
     }
-    assert_eq!(why(&world.connect("192.0.2.99").1), Some(Why::Prefix));
-    let mut world = World::new(settings());
+    assert_eq!(reject_reason(&sim.connect("192.0.2.99").1), Some(RejectReason::PrefixLimit));
+    let mut sim = Simulation::new(settings());
     for n in 0..30 {
-        world.enters(&format!("2001:db8::{n:x}"));
+        sim.admit(&format!("2001:db8::{n:x}"));
     }
-    assert_eq!(why(&world.connect("2001:db8::abcd").1), Some(Why::Prefix), "a /64 is one house");
-    world.enters("2001:db8:0:1::1");
+    assert_eq!(
+        reject_reason(&sim.connect("2001:db8::abcd").1),
+        Some(RejectReason::PrefixLimit),
+        "a /64 counts as one"
+    );
+    sim.admit("2001:db8:0:1::1");
 }
 
 #[test]
-fn a_client_becomes_known_by_what_was_taken_on_and_a_silent_one_does_not() {
-    let mut world = World::new(settings());
-    let number = world.enters("192.0.2.1");
+fn accepted_messages_make_a_client_known_until_it_is_forgotten() {
+    let mut sim = Simulation::new(settings());
+    let number = sim.admit("192.0.2.1");
     for _ in 0..9 {
-        world.hand_in(number);
+        sim.submit(number);
     }
-    assert_eq!(world.gate.held(), (0, 1));
-    world.hand_in(number);
-    assert_eq!(world.gate.held(), (1, 0), "ten messages");
-    // It stays so while it is there, and forgets after.
-    world.pass(3_600 * SECOND);
-    assert_eq!(world.gate.held(), (1, 0));
-    world.gate.leaves(world.now, number);
-    let number = world.enters("192.0.2.1");
-    assert_eq!(world.gate.held(), (0, 1));
-    // Whoever sends what is no request loses half of what it had.
+    assert_eq!(sim.gate.connections_by_group(), (0, 1));
+    sim.submit(number);
+    assert_eq!(sim.gate.connections_by_group(), (1, 0), "ten messages");
+    // The address stays known while it is connected, and is forgotten afterwards.
+    sim.advance(3_600 * SECOND);
+    assert_eq!(sim.gate.connections_by_group(), (1, 0));
+    sim.gate.disconnect(sim.now, number);
+    let number = sim.admit("192.0.2.1");
+    assert_eq!(sim.gate.connections_by_group(), (0, 1));
+    // An address that violates HTTP loses half of its credit.
     for _ in 0..10 {
-        world.hand_in(number);
+        sim.submit(number);
     }
-    world.gate.misbehaved(world.now, number);
-    world.gate.leaves(world.now, number);
-    world.enters("192.0.2.1");
-    assert_eq!(world.gate.held(), (0, 1));
+    sim.gate.penalize(sim.now, number);
+    sim.gate.disconnect(sim.now, number);
+    sim.admit("192.0.2.1");
+    assert_eq!(sim.gate.connections_by_group(), (0, 1));
 }
 
 #[test]
-fn who_holds_more_gives_way_to_who_holds_less_and_never_the_other_way() {
-    let mut world = World::new(Settings { per_address: 60, per_prefix: 60, ..settings() });
-    let greedy: Vec<u64> = (0..40).map(|_| world.enters("192.0.2.1")).collect();
-    world.pass(SECOND);
-    let (_, admit) = world.connect("198.51.100.7");
-    assert_eq!(admit, Admit::In { let_go: Some(greedy[0]) }, "the oldest silent one of the largest holder");
-    world.pass(SECOND);
-    // The greedy one takes turns with itself.
-    let (_, admit) = world.connect("192.0.2.1");
-    assert_eq!(admit, Admit::In { let_go: Some(greedy[1]) });
-    assert!(world.gate.held().1 == 40);
-    // Open requests never go.
-    let mut world = World::new(Settings { per_address: 60, per_prefix: 60, max_requests_per_address: 60, ..settings() });
+fn an_address_with_more_connections_yields_to_one_with_fewer_only() {
+    let mut sim = Simulation::new(Settings { per_address: 60, per_prefix: 60, ..settings() });
+    let greedy: Vec<u64> = (0..40).map(|_| sim.admit("192.0.2.1")).collect();
+    sim.advance(SECOND);
+    let (_, admit) = sim.connect("198.51.100.7");
+    assert_eq!(
+        admit,
+        ConnectDecision::Admit { evicted: Some(greedy[0]) },
+        "the oldest silent one of the largest holder"
+    );
+    sim.advance(SECOND);
+    // At its limit, an address replaces its own silent connections.
+    let (_, admit) = sim.connect("192.0.2.1");
+    assert_eq!(admit, ConnectDecision::Admit { evicted: Some(greedy[1]) });
+    assert!(sim.gate.connections_by_group().1 == 40);
+    // A connection with a request in flight is never evicted.
+    let mut sim = Simulation::new(Settings {
+        per_address: 60,
+        per_prefix: 60,
+        max_requests_per_address: 60,
+        ..settings()
+    });
     for _ in 0..40 {
-        let number = world.enters("192.0.2.1");
-        world.gate.asks(world.now, number);
+        let number = sim.admit("192.0.2.1");
+        sim.gate.begin_request(sim.now, number);
     }
-    assert_eq!(why(&world.connect("198.51.100.7").1), Some(Why::Full));
+    assert_eq!(reject_reason(&sim.connect("198.51.100.7").1), Some(RejectReason::NoCapacity));
 }
 
 #[test]
-fn a_greedy_client_is_refused_its_surplus_and_a_modest_one_never() {
-    let mut world = World::new(Settings { busy_from: 4, max_requests_per_address: 40, ..settings() });
-    let greedy: Vec<u64> = (0..20).map(|_| world.enters("10.0.0.1")).collect();
-    let modest: Vec<u64> = (0..5).map(|n| world.enters(&format!("10.0.1.{n}"))).collect();
+fn only_the_surplus_of_a_greedy_client_is_refused() {
+    let mut sim =
+        Simulation::new(Settings { sharing_threshold: 4, max_requests_per_address: 40, ..settings() });
+    let greedy: Vec<u64> = (0..20).map(|_| sim.admit("10.0.0.1")).collect();
+    let modest: Vec<u64> = (0..5).map(|n| sim.admit(&format!("10.0.1.{n}"))).collect();
     let (mut refused, mut open) = (0, Vec::new());
     for round in 0..2_000u64 {
         for number in &greedy {
-            match world.gate.asks(world.now, *number) {
-                Ask::Go => open.push(*number),
-                Ask::Away { why, retry } => {
-                    assert!(why == Why::Share && retry > 0 && retry < 10 * SECOND, "{why:?} {retry}");
+            match sim.gate.begin_request(sim.now, *number) {
+                RequestDecision::Accept => open.push(*number),
+                RequestDecision::Reject { reason, retry_after } => {
+                    assert!(
+                        reason == RejectReason::ShareExceeded && retry_after > 0 && retry_after < 10 * SECOND,
+                        "{reason:?} {retry_after}"
+                    );
                     refused += 1;
-                    world.gate.answered(world.now, *number, false);
+                    sim.gate.end_request(sim.now, *number, false);
                 }
             }
         }
         if round % 10 == 0 {
             for number in &modest {
-                assert_eq!(world.hand_in(*number), Ask::Go);
+                assert_eq!(sim.submit(*number), RequestDecision::Accept);
             }
         }
-        world.pass(MS);
-        // The loop is busy: answers take two milliseconds.
+        sim.advance(MS);
+        // The event loop is busy: responses take two milliseconds.
         if round % 2 == 1 {
             for number in std::mem::take(&mut open) {
-                world.gate.answered(world.now, number, true);
+                sim.gate.end_request(sim.now, number, true);
             }
         }
     }
     assert!(refused > 1_000, "{refused}");
-    let seen = world.gate.seen(world.now, 3);
+    let seen = sim.gate.client_stats(sim.now, 3);
     assert!(
-        seen[0].address == ip("10.0.0.1") && seen[0].part > 0.5 && seen[0].refused == refused,
+        seen[0].address == ip("10.0.0.1") && seen[0].share > 0.5 && seen[0].refused == refused,
         "{seen:?}"
     );
-    // Alone it may have everything.
-    let mut world = World::new(Settings { busy_from: 4, max_requests_per_address: 40, ..settings() });
-    let alone: Vec<u64> = (0..20).map(|_| world.enters("10.0.0.1")).collect();
+    // A client that is alone may use the whole capacity.
+    let mut sim =
+        Simulation::new(Settings { sharing_threshold: 4, max_requests_per_address: 40, ..settings() });
+    let alone: Vec<u64> = (0..20).map(|_| sim.admit("10.0.0.1")).collect();
     for _ in 0..500 {
         for number in &alone {
-            assert_eq!(world.gate.asks(world.now, *number), Ask::Go);
+            assert_eq!(sim.gate.begin_request(sim.now, *number), RequestDecision::Accept);
         }
-        world.pass(MS);
-        alone.iter().for_each(|n| world.gate.answered(world.now, *n, true));
+        sim.advance(MS);
+        alone.iter().for_each(|n| sim.gate.end_request(sim.now, *n, true));
     }
 }
 
-/// However many others ask, known clients are not refused a share that these would dilute.
+/// However many unknown clients send requests, they do not dilute the share of known clients.
 #[test]
-fn many_strangers_do_not_dilute_the_share_of_known_clients() {
-    let mut world = World::new(Settings { busy_from: 4, ..settings() });
-    let known = [world.enters("10.0.0.1"), world.enters("10.0.0.2")];
-    let strangers: Vec<u64> = (0..38).map(|n| world.enters(&format!("172.16.{n}.1"))).collect();
-    for number in &strangers[..10] {
-        world.gate.asks(world.now, *number);
+fn unknown_clients_do_not_dilute_the_share_of_known_ones() {
+    let mut sim = Simulation::new(Settings { sharing_threshold: 4, ..settings() });
+    let known = [sim.admit("10.0.0.1"), sim.admit("10.0.0.2")];
+    let unknown: Vec<u64> = (0..38).map(|n| sim.admit(&format!("172.16.{n}.1"))).collect();
+    for number in &unknown[..10] {
+        sim.gate.begin_request(sim.now, *number);
     }
     for round in 0..2_000 {
         for number in known {
-            assert_eq!(world.hand_in(number), Ask::Go, "{round}");
+            assert_eq!(sim.submit(number), RequestDecision::Accept, "{round}");
         }
         if round % 5 == 0 {
-            world.hand_in(strangers[10 + round / 5 % 28]);
+            sim.submit(unknown[10 + round / 5 % 28]);
         }
-        world.pass(4 * MS);
+        sim.advance(4 * MS);
     }
 }
 
 #[test]
-fn a_block_holds_until_its_end_and_lets_open_requests_end() {
-    let mut world = World::new(settings());
-    let (idle, busy) = (world.enters("192.0.2.1"), world.enters("192.0.2.2"));
-    world.gate.asks(world.now, busy);
-    let gone = world.gate.block(world.now, "192.0.2.0/24".parse().unwrap(), world.now + 60 * SECOND).unwrap();
-    assert_eq!(gone, [idle]);
-    assert_eq!(world.connect("192.0.2.9").1, Admit::Away { why: Why::Blocked, retry: 60 * SECOND });
-    world.enters("192.0.3.9");
-    world.pass(61 * SECOND);
-    world.enters("192.0.2.9");
-    world.gate.block(world.now, "192.0.2.9/32".parse().unwrap(), world.now + SECOND).unwrap();
-    assert!(world.gate.unblock(&"192.0.2.9/32".parse().unwrap()));
-    assert!(!world.gate.unblock(&"192.0.2.9/32".parse().unwrap()));
-    for n in 0..gate::MOST_BLOCKS {
+fn a_block_lasts_until_its_end_and_spares_requests_in_flight() {
+    let mut sim = Simulation::new(settings());
+    let (idle, busy) = (sim.admit("192.0.2.1"), sim.admit("192.0.2.2"));
+    sim.gate.begin_request(sim.now, busy);
+    let evicted = sim.gate.block(sim.now, "192.0.2.0/24".parse().unwrap(), sim.now + 60 * SECOND).unwrap();
+    assert_eq!(evicted, [idle]);
+    assert_eq!(
+        sim.connect("192.0.2.9").1,
+        ConnectDecision::Reject { reason: RejectReason::Blocked, retry_after: 60 * SECOND }
+    );
+    sim.admit("192.0.3.9");
+    sim.advance(61 * SECOND);
+    sim.admit("192.0.2.9");
+    sim.gate.block(sim.now, "192.0.2.9/32".parse().unwrap(), sim.now + SECOND).unwrap();
+    assert!(sim.gate.unblock(&"192.0.2.9/32".parse().unwrap()));
+    assert!(!sim.gate.unblock(&"192.0.2.9/32".parse().unwrap()));
+    for n in 0..gate::MAX_BLOCKS {
         let net = format!("2001:db8:{n:x}::/48").parse().unwrap();
-        assert!(world.gate.block(world.now, net, world.now + SECOND).is_ok());
+        assert!(sim.gate.block(sim.now, net, sim.now + SECOND).is_ok());
     }
-    assert!(world.gate.block(world.now, "203.0.113.0/24".parse().unwrap(), world.now + SECOND).is_err());
+    assert!(sim.gate.block(sim.now, "203.0.113.0/24".parse().unwrap(), sim.now + SECOND).is_err());
 }
 
-/// Many addresses that each keep to their own rate: together they have a bound, which touches nobody who is known, and one
-/// address that is over its own rate does not use up.
+/// Many unknown addresses that each keep to their own rate have a limit together. It does not apply
+/// to known clients, and an address above its own rate does not use it up.
 #[test]
-fn strangers_together_have_a_rate_and_known_clients_none() {
+fn unknown_clients_share_a_connection_rate_and_known_ones_have_none() {
     let unknown_connections = Rate { per_second: 10.0, burst: 20.0 };
-    let mut world = World::new(Settings { max_connections: 1_000, unknown_connections, ..settings() });
-    // One alone is over its own rate long before it has used up what all share.
-    let mut world_of_one =
-        World::new(Settings { new_connections: Rate { per_second: 5.0, burst: 5.0 }, unknown_connections, ..settings() });
+    let mut sim = Simulation::new(Settings { max_connections: 1_000, unknown_connections, ..settings() });
+    // A single address exceeds its own rate long before the shared one.
+    let mut single_address = Simulation::new(Settings {
+        new_connections: Rate { per_second: 5.0, burst: 5.0 },
+        unknown_connections,
+        ..settings()
+    });
     for _ in 0..200 {
-        world_of_one.connect("192.0.2.1");
+        single_address.connect("192.0.2.1");
     }
-    assert!(matches!(world_of_one.connect("192.0.2.2").1, Admit::In { .. }));
-    let admitted = |world: &mut World, from: u32| {
+    assert!(matches!(single_address.connect("192.0.2.2").1, ConnectDecision::Admit { .. }));
+    let admitted = |sim: &mut Simulation, from: u32| {
         let address = |n: u32| IpAddr::from((0xC612_0000_u32 + from + n).to_be_bytes()).to_string();
-        (0..500).filter(|n| matches!(world.connect(&address(*n)).1, Admit::In { .. })).count()
+        (0..500).filter(|n| matches!(sim.connect(&address(*n)).1, ConnectDecision::Admit { .. })).count()
     };
-    assert_eq!(admitted(&mut world, 0), 20);
-    assert_eq!(why(&world.connect("198.51.100.7").1), Some(Why::TooFast));
-    assert!(matches!(world.connect("10.0.0.1").1, Admit::In { .. }), "known by name");
-    world.pass(SECOND);
-    assert_eq!(admitted(&mut world, 1_000), 10);
+    assert_eq!(admitted(&mut sim, 0), 20);
+    assert_eq!(reject_reason(&sim.connect("198.51.100.7").1), Some(RejectReason::RateLimited));
+    assert!(matches!(sim.connect("10.0.0.1").1, ConnectDecision::Admit { .. }), "known by name");
+    sim.advance(SECOND);
+    assert_eq!(admitted(&mut sim, 1_000), 10);
 }
 
-/// Who is told to wait asks again without counting as one more.
+/// A connection that waits and asks again does not count as a new one.
 #[test]
-fn waiting_for_a_place_uses_up_no_rate() {
+fn waiting_for_a_slot_uses_no_rate_tokens() {
     let new_connections = Rate { per_second: 1.0, burst: 70.0 };
-    let mut world = World::new(Settings { max_connections: 2, per_known: 10, max_requests_per_address: 10, new_connections, ..settings() });
-    let first = world.enters("10.0.0.1");
-    let second = world.enters("10.0.0.1");
+    let mut sim = Simulation::new(Settings {
+        max_connections: 2,
+        per_known: 10,
+        max_requests_per_address: 10,
+        new_connections,
+        ..settings()
+    });
+    let first = sim.admit("10.0.0.1");
+    let second = sim.admit("10.0.0.1");
     for number in [first, second] {
-        world.gate.asks(world.now, number);
+        sim.gate.begin_request(sim.now, number);
     }
-    let (number, admit) = world.connect("10.0.0.2");
-    assert_eq!(admit, Admit::Wait);
+    let (number, admit) = sim.connect("10.0.0.2");
+    assert_eq!(admit, ConnectDecision::Wait);
     for _ in 0..1_000 {
-        assert_eq!(world.gate.waits(world.now, number, ip("10.0.0.2")), Admit::Wait);
+        assert_eq!(sim.gate.retry_waiting(sim.now, number, ip("10.0.0.2")), ConnectDecision::Wait);
     }
-    world.gate.leaves(world.now, first);
-    assert_eq!(world.gate.waits(world.now, number, ip("10.0.0.2")), Admit::In { let_go: None });
-    // A block that comes meanwhile counts.
-    world.gate.block(world.now, "10.0.0.0/24".parse().unwrap(), world.now + SECOND).unwrap();
-    assert_eq!(why(&world.gate.waits(world.now, number + 1, ip("10.0.0.2"))), Some(Why::Blocked));
+    sim.gate.disconnect(sim.now, first);
+    assert_eq!(
+        sim.gate.retry_waiting(sim.now, number, ip("10.0.0.2")),
+        ConnectDecision::Admit { evicted: None }
+    );
+    // A block that is set in the meantime applies.
+    sim.gate.block(sim.now, "10.0.0.0/24".parse().unwrap(), sim.now + SECOND).unwrap();
+    assert_eq!(
+        reject_reason(&sim.gate.retry_waiting(sim.now, number + 1, ip("10.0.0.2"))),
+        Some(RejectReason::Blocked)
+    );
 }
 
-/// Behind a front there is one client with every place: who has said nothing goes first, then the longest idle.
+/// Behind a proxy one client has every slot: silent connections are evicted first, then those idle
+/// for longest.
 #[test]
-fn behind_a_front_connections_take_turns_as_they_always_did() {
-    let front = vec!["127.0.0.0/8".parse().unwrap()];
-    let mut world = World::new(Settings::behind_proxy(3, front));
-    let first = world.enters("127.0.0.5");
-    world.gate.asks(world.now, first);
-    let silent = world.enters("127.0.0.5");
-    let idle = world.enters("127.0.0.5");
-    world.hand_in(idle);
-    world.pass(200 * MS);
-    assert_eq!(world.connect("127.0.0.5").1, Admit::In { let_go: Some(silent) });
-    assert_eq!(world.connect("127.0.0.5").1, Admit::In { let_go: Some(idle) });
+fn behind_a_proxy_silent_then_idle_connections_are_evicted() {
+    let proxy = vec!["127.0.0.0/8".parse().unwrap()];
+    let mut sim = Simulation::new(Settings::behind_proxy(3, proxy));
+    let first = sim.admit("127.0.0.5");
+    sim.gate.begin_request(sim.now, first);
+    let silent = sim.admit("127.0.0.5");
+    let idle = sim.admit("127.0.0.5");
+    sim.submit(idle);
+    sim.advance(200 * MS);
+    assert_eq!(sim.connect("127.0.0.5").1, ConnectDecision::Admit { evicted: Some(silent) });
+    assert_eq!(sim.connect("127.0.0.5").1, ConnectDecision::Admit { evicted: Some(idle) });
 }
 
-/// Descriptors are lowered while it runs: who is not known leaves first, and no open request is cut off.
+/// When the descriptor limit is lowered at run time, unknown clients are closed first, and no
+/// request in flight is cut off.
 #[test]
-fn fewer_places_let_go_of_who_can_go() {
-    let mut world = World::new(settings());
-    let others: Vec<u64> = (0..10).map(|_| world.enters("192.0.2.1")).collect();
-    let known: Vec<u64> = (0..10).map(|_| world.enters("10.0.0.1")).collect();
-    world.gate.asks(world.now, others[0]);
-    world.gate.asks(world.now, known[0]);
-    world.pass(SECOND);
-    let gone = world.gate.set_places(world.now, 5);
-    assert_eq!(gone.len(), 15);
-    assert!(!gone.contains(&others[0]) && !gone.contains(&known[0]));
-    assert_eq!(world.gate.held(), (4, 1));
-    assert_eq!(world.gate.set_places(world.now, 0).len(), 3);
-    assert_eq!(world.connect("10.0.0.2").1, Admit::Wait);
-    world.gate.set_places(world.now, 60);
-    world.enters("10.0.0.2");
+fn a_lower_limit_closes_unknown_idle_clients_first() {
+    let mut sim = Simulation::new(settings());
+    let others: Vec<u64> = (0..10).map(|_| sim.admit("192.0.2.1")).collect();
+    let known: Vec<u64> = (0..10).map(|_| sim.admit("10.0.0.1")).collect();
+    sim.gate.begin_request(sim.now, others[0]);
+    sim.gate.begin_request(sim.now, known[0]);
+    sim.advance(SECOND);
+    let evicted = sim.gate.set_max_connections(sim.now, 5);
+    assert_eq!(evicted.len(), 15);
+    assert!(!evicted.contains(&others[0]) && !evicted.contains(&known[0]));
+    assert_eq!(sim.gate.connections_by_group(), (4, 1));
+    assert_eq!(sim.gate.set_max_connections(sim.now, 0).len(), 3);
+    assert_eq!(sim.connect("10.0.0.2").1, ConnectDecision::Wait);
+    sim.gate.set_max_connections(sim.now, 60);
+    sim.admit("10.0.0.2");
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Connect(u8),
-    Ask(usize),
-    Answer(usize, bool),
-    Leave(usize),
-    Misbehave(usize),
-    Pass(u64),
-    /// The clock outside is set back.
-    Back(u64),
+    Request(usize),
+    Respond(usize, bool),
+    Disconnect(usize),
+    Penalize(usize),
+    Advance(u64),
+    /// Sets the outer clock back.
+    SetBack(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => any::<u8>().prop_map(Step::Connect),
-        6 => any::<usize>().prop_map(Step::Ask),
-        6 => (any::<usize>(), any::<bool>()).prop_map(|(n, taken)| Step::Answer(n, taken)),
-        3 => any::<usize>().prop_map(Step::Leave),
-        1 => any::<usize>().prop_map(Step::Misbehave),
-        3 => (0..2 * SECOND).prop_map(Step::Pass),
-        1 => (0..3600 * SECOND).prop_map(Step::Back),
+        6 => any::<usize>().prop_map(Step::Request),
+        6 => (any::<usize>(), any::<bool>()).prop_map(|(n, taken)| Step::Respond(n, taken)),
+        3 => any::<usize>().prop_map(Step::Disconnect),
+        1 => any::<usize>().prop_map(Step::Penalize),
+        3 => (0..2 * SECOND).prop_map(Step::Advance),
+        1 => (0..3600 * SECOND).prop_map(Step::SetBack),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// The total never passes the places; nobody known waits while the reserve is free; no open request is let go of; who
-    /// holds less than another never goes for it; bookkeeping is bounded and adds up, whatever the clock does.
+    /// Invariants: the total never exceeds the limit; no known client waits while the reserve is
+    /// free; no connection with a request in flight is evicted; no address is evicted for one that
+    /// holds more; the bookkeeping is bounded and adds up, whatever the clock does.
     #[test]
-    fn the_gate_keeps_its_promises(steps in prop::collection::vec(step(), 1..400)) {
-        let settings = Settings { addresses: 8, max_connections: 12, reserve: 4, per_address: 4, per_known: 8, per_prefix: 6, max_requests_per_address: 4,
-            earned_by: 3.0, new_connections: Rate { per_second: 50.0, burst: 20.0 }, ..settings() };
+    fn gate_invariants_hold(steps in prop::collection::vec(step(), 1..400)) {
+        let settings = Settings { max_idle_accounts: 8, max_connections: 12, reserve: 4, per_address: 4, per_known: 8, per_prefix: 6, max_requests_per_address: 4,
+            known_credit: 3.0, new_connections: Rate { per_second: 50.0, burst: 20.0 }, ..settings() };
         let mut gate = Gate::new(settings.clone());
         let (mut now, mut next) = (SECOND, 0);
         let mut open: BTreeMap<u64, IpAddr> = BTreeMap::new();
@@ -387,60 +427,61 @@
                 Step::Connect(n) => {
                     let address = if n < 90 { format!("10.0.0.{}", n % 6) } else { format!("192.0.{}.{}", n % 9, n % 7) };
                     let address = ip(&address);
-                    let known_by_name = settings.names(address);
-                    let reserve_free = gate.held().0 < settings.reserve;
-                    let counts = open.values().fold(HashMap::<IpAddr, usize>::new(), |mut all, a| {
+                    let known_by_name = settings.is_named(address);
+                    let reserve_free = gate.connections_by_group().0 < settings.reserve;
+                    let held = open.values().fold(HashMap::<IpAddr, usize>::new(), |mut all, a| {
                         *all.entry(*a).or_default() += 1;
                         all
                     });
                     next += 1;
-                    match gate.connects(now, next, address) {
-                        Admit::In { let_go } => {
-                            if let Some(gone) = let_go {
-                                prop_assert!(!busy.contains(&gone), "an open request was let go of");
-                                let from = open.remove(&gone);
+                    match gate.connect(now, next, address) {
+                        ConnectDecision::Admit { evicted } => {
+                            if let Some(evicted) = evicted {
+                                prop_assert!(!busy.contains(&evicted), "a request in flight was evicted");
+                                let from = open.remove(&evicted);
                                 prop_assert!(from.is_some());
                                 let from = from.unwrap_or(address);
-                                let less = counts.get(&from).copied().unwrap_or(0) <= counts.get(&address).copied().unwrap_or(0);
-                                // Only known clients, in their reserve, take from who holds no more.
-                                prop_assert!(from == address || !less || known_by_name || reserve_free);
+                                let holds_no_more = held.get(&from).copied().unwrap_or(0) <= held.get(&address).copied().unwrap_or(0);
+                                // Only known clients, within their reserve, may evict an address
+                                // that holds no more than they do.
+                                prop_assert!(from == address || !holds_no_more || known_by_name || reserve_free);
                             }
                             open.insert(next, address);
                         }
-                        Admit::Wait => prop_assert!(!(known_by_name && reserve_free), "a known client waits"),
-                        Admit::Away { why, .. } => {
-                            prop_assert!(!(known_by_name && matches!(why, Why::Full | Why::TooFast | Why::Prefix)));
+                        ConnectDecision::Wait => prop_assert!(!(known_by_name && reserve_free), "a known client waits"),
+                        ConnectDecision::Reject { reason, .. } => {
+                            prop_assert!(!(known_by_name && matches!(reason, RejectReason::NoCapacity | RejectReason::RateLimited | RejectReason::PrefixLimit)));
                         }
                     }
                 }
-                Step::Ask(n) => if let Some(number) = pick(&open, n) {
-                    gate.asks(now, number);
+                Step::Request(n) => if let Some(number) = pick(&open, n) {
+                    gate.begin_request(now, number);
                     busy.insert(number);
                 },
-                Step::Answer(n, taken) => if let Some(number) = pick(&open, n).filter(|n| busy.contains(n)) {
-                    gate.answered(now, number, taken);
+                Step::Respond(n, taken) => if let Some(number) = pick(&open, n).filter(|n| busy.contains(n)) {
+                    gate.end_request(now, number, taken);
                     busy.remove(&number);
                 },
-                Step::Leave(n) => if let Some(number) = pick(&open, n) {
-                    gate.leaves(now, number);
+                Step::Disconnect(n) => if let Some(number) = pick(&open, n) {
+                    gate.disconnect(now, number);
                     open.remove(&number);
                     busy.remove(&number);
                 },
-                Step::Misbehave(n) => if let Some(number) = pick(&open, n) {
-                    gate.misbehaved(now, number);
+                Step::Penalize(n) => if let Some(number) = pick(&open, n) {
+                    gate.penalize(now, number);
                 },
-                Step::Pass(span) => now += span,
-                Step::Back(span) => now = now.saturating_sub(span),
+                Step::Advance(span) => now += span,
+                Step::SetBack(span) => now = now.saturating_sub(span),
             }
-            let (known, others) = gate.held();
+            let (known, others) = gate.connections_by_group();
             prop_assert_eq!(known + others, open.len());
             prop_assert!(open.len() <= settings.max_connections);
             prop_assert!(others <= settings.max_connections - settings.reserve.min(settings.max_connections));
-            prop_assert!(gate.remembered() <= settings.addresses + settings.max_connections + 1);
-            let spoken = gate.open();
-            prop_assert!(spoken.0 <= spoken.1 && spoken.1 == open.len());
+            prop_assert!(gate.account_count() <= settings.max_idle_accounts + settings.max_connections + 1);
+            let counts = gate.connection_counts();
+            prop_assert!(counts.0 <= counts.1 && counts.1 == open.len());
         }
-        open.keys().for_each(|n| gate.leaves(now, *n));
-        prop_assert_eq!((gate.held(), gate.open()), ((0, 0), (0, 0)));
+        open.keys().for_each(|n| gate.disconnect(now, *n));
+        prop_assert_eq!((gate.connections_by_group(), gate.connection_counts()), ((0, 0), (0, 0)));
     }
 }
--- a/crates/dialect/src/answers.rs
+++ b/crates/dialect/src/answers.rs
@@ -1,32 +1,33 @@
-//! What a status means for the message. The table alone says that something has not run: what it lacks may have.
+//! Maps response statuses to what they mean for a message. Only this table can state that a call
+//! has not run; any status without an entry may have run.
 
 use std::ops::RangeInclusive;
 
-/// What an answer means.
+/// The meaning of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Meaning {
-    /// The partner has taken it.
+    /// The partner has accepted the message.
     Delivered,
-    /// It will never take it, and nothing has run: the message ends.
+    /// The partner will never accept the message, and nothing has run: the message ends.
     RefusedForGood,
-    /// Not now; nothing has run. A wait that is told is heeded.
+    /// The partner can't accept it now, and nothing has run. A requested wait is honoured.
     Wait,
-    /// Something went wrong, and it may have run.
+    /// The call failed and may have run.
     MayHaveRun,
-    /// Something went wrong before anything ran.
+    /// The call failed before anything ran.
     HasNotRun,
-    /// Not sent on behind a forwarder of this kind, or the message is over (PROTOCOL).
+    /// The forwarder at the other end did not send the message on (PROTOCOL).
     NotSent,
-    /// The message is over there (PROTOCOL).
+    /// The message has ended at the other forwarder (PROTOCOL).
     Over,
 }
 
 impl Meaning {
-    /// Reads the word of a site file.
+    /// Parses the name that a site file uses.
     ///
     /// # Errors
-    /// The words that there are.
-    pub fn read(word: &str) -> Result<Meaning, String> {
+    /// The name is unknown; the text lists those that exist.
+    pub fn parse(word: &str) -> Result<Meaning, String> {
         match word {
             "delivered" => Ok(Meaning::Delivered),
             "refused" => Ok(Meaning::RefusedForGood),
@@ -40,22 +41,22 @@
     }
 }
 
-/// What statuses mean that no line of a table names.
+/// The defaults for statuses that no override covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Usual {
+enum Defaults {
     Foldtrack,
     Http,
 }
 
-/// Statuses and what they mean.
+/// Meanings by status: overrides on top of defaults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusTable {
-    own: Vec<(RangeInclusive<u16>, Meaning)>,
-    usual: Usual,
+    overrides: Vec<(RangeInclusive<u16>, Meaning)>,
+    defaults: Defaults,
 }
 
-/// Today's protocol (PROTOCOL, "Forwarders to targets").
-fn foldtrack(status: u16) -> Meaning {
+/// Defaults of the native protocol (PROTOCOL, "Forwarders to targets").
+fn native_meaning(status: u16) -> Meaning {
     match status {
         200 => Meaning::Delivered,
         429 | 503 => Meaning::Wait,
@@ -65,9 +66,10 @@
     }
 }
 
-/// A usual service (RFC 9110, section 15; 425 by RFC 8470, 429 by RFC 6585). A redirect is not followed: what is meant for
-/// one place does not go to another. A server that says that it failed may have failed afterwards.
-fn http(status: u16) -> Meaning {
+/// Defaults of an HTTP service (RFC 9110, section 15; 425 by RFC 8470, 429 by RFC 6585). Redirects
+/// are not followed: a message for one address is not sent to another. A server that reports a
+/// failure may have failed after the effect.
+fn http_meaning(status: u16) -> Meaning {
     match status {
         200..=299 => Meaning::Delivered,
         408 | 425 | 429 | 503 => Meaning::Wait,
@@ -77,21 +79,24 @@
 }
 
 impl StatusTable {
-    /// Today's protocol.
+    /// The table of the native protocol.
     pub fn foldtrack() -> StatusTable {
-        StatusTable { own: Vec::new(), usual: Usual::Foldtrack }
+        StatusTable { overrides: Vec::new(), defaults: Defaults::Foldtrack }
     }
 
-    /// A usual service.
+    /// The table of an HTTP service.
     pub fn http() -> StatusTable {
-        StatusTable { own: Vec::new(), usual: Usual::Http }
+        StatusTable { overrides: Vec::new(), defaults: Defaults::Http }
     }
 
-    /// Adds lines of a site file: `("422", "delivered")`, `("500-599", "has-not-run")`.
+    /// Adds overrides from a site file, such as `("422", "delivered")` or `("500-599",
+    /// "has-not-run")`.
     ///
     /// # Errors
-    /// The first line that can't be read, or whose statuses another line has too.
-    pub fn with_overrides<'a>(mut self, lines: impl IntoIterator<Item = (&'a str, &'a str)>) -> Result<StatusTable, String> {
+    /// The first entry that can't be parsed, or whose statuses overlap another entry's.
+    pub fn with_overrides<'a>(
+        mut self, lines: impl IntoIterator<Item = (&'a str, &'a str)>,
+    ) -> Result<StatusTable, String> {
         for (statuses, word) in lines {
             let (from, to) = statuses.split_once('-').unwrap_or((statuses, statuses));
             let read = |text: &str| text.trim().parse::<u16>().ok().filter(|s| (200..=599).contains(s));
@@ -101,21 +106,23 @@
                     "{statuses:?} is no status or range of them: \"409\" or \"500-599\", 200 to 599"
                 ));
             };
-            if let Some((other, _)) = self.own.iter().find(|(r, _)| *r.start() <= to && from <= *r.end()) {
+            if let Some((other, _)) =
+                self.overrides.iter().find(|(r, _)| *r.start() <= to && from <= *r.end())
+            {
                 return Err(format!("{statuses:?} overlaps {}-{}", other.start(), other.end()));
             }
-            self.own.push((from..=to, Meaning::read(word)?));
+            self.overrides.push((from..=to, Meaning::parse(word)?));
         }
         Ok(self)
     }
 
-    /// What a status means.
+    /// Returns the meaning of a status.
     pub fn meaning(&self, status: u16) -> Meaning {
-        let own = self.own.iter().find(|(range, _)| range.contains(&status));
-        match (own, self.usual) {
+        let override_row = self.overrides.iter().find(|(range, _)| range.contains(&status));
+        match (override_row, self.defaults) {
             (Some((_, meaning)), _) => *meaning,
-            (None, Usual::Foldtrack) => foldtrack(status),
-            (None, Usual::Http) => http(status),
+            (None, Defaults::Foldtrack) => native_meaning(status),
+            (None, Defaults::Http) => http_meaning(status),
         }
     }
 }
@@ -126,8 +133,9 @@
     use proptest::prelude::*;
 
     #[test]
-    fn a_table_says_what_its_lines_say_and_else_what_is_usual() {
-        let table = StatusTable::http().with_overrides([("409", "delivered"), ("500-502", "has-not-run")]).unwrap();
+    fn overrides_apply_before_the_defaults() {
+        let table =
+            StatusTable::http().with_overrides([("409", "delivered"), ("500-502", "has-not-run")]).unwrap();
         for (status, meaning) in [
             (202, Meaning::Delivered),
             (204, Meaning::Delivered),
@@ -149,13 +157,17 @@
         ] {
             assert!(StatusTable::http().with_overrides(lines).is_err(), "{lines:?}");
         }
-        assert_eq!(StatusTable::foldtrack().meaning(202), Meaning::MayHaveRun, "today's protocol knows 200 alone");
+        assert_eq!(
+            StatusTable::foldtrack().meaning(202),
+            Meaning::MayHaveRun,
+            "the native protocol knows only 200"
+        );
     }
 
     proptest! {
-        /// Nothing is claimed not to have run but where the table says so.
+        /// A status counts as not having run only if an override says so.
         #[test]
-        fn what_no_line_names_is_as_usual(status in 0..1000u16, from in 200..600u16, width in 0..50u16) {
+        fn only_an_override_states_that_a_call_has_not_run(status in 0..1000u16, from in 200..600u16, width in 0..50u16) {
             let to = (from + width).min(599);
             let lines = format!("{from}-{to}");
             let table = StatusTable::http().with_overrides([(lines.as_str(), "has-not-run")]).unwrap();
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -1,8 +1,8 @@
-//! How a partner is spoken to, as data: what a call of a message looks like, and what comes back means. Pure functions,
-//! no I/O, no clock of their own. `docs/design/partners.md` has the options.
+//! How messages are mapped to HTTP calls to a partner, and its responses back. Pure functions
+//! without I/O or a clock. `docs/design/partners.md` compares the alternatives.
 //!
-//! [`template`] fills paths and headers, [`answers`] tells what a status means, [`waits`] reads `Retry-After`, [`limits`] what
-//! answers tell of a rate.
+//! [`template`] fills paths and headers, [`answers`] maps statuses to meanings, [`waits`] reads
+//! `Retry-After`, and [`limits`] reads rate limit headers.
 
 pub mod answers;
 pub mod limits;
@@ -15,11 +15,11 @@
 
 use http::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST};
 
-/// All slots of this forwarder are taken (PROTOCOL).
+/// Header of a forwarder whose call slots are all in use (PROTOCOL).
 const LINE_BUSY: &str = "x-line-busy";
-/// Headers that a call has by itself, that frame it, or that belong to one connection (RFC 9110, section 7.6.1): a site file
-/// can't set them.
-const KEPT: [&str; 12] = [
+/// Headers that a site file can't set: those that every call has, that frame the message, or that
+/// belong to one connection (RFC 9110, section 7.6.1).
+const RESERVED_HEADERS: [&str; 12] = [
     "host",
     "content-length",
     "content-type",
@@ -34,71 +34,72 @@
     "proxy-authorization",
 ];
 
-/// Reads the name of a header that a site may set.
+/// Parses the name of a header that a site file sets.
 ///
 /// # Errors
-/// It is none, or one that a call has by itself.
+/// The name is not a valid header name, or a reserved one.
 pub fn header_name(text: &str) -> Result<HeaderName, String> {
     let name =
         HeaderName::from_bytes(text.as_bytes()).map_err(|_| format!("{text:?} is no name of a header"))?;
-    if KEPT.contains(&name.as_str()) {
+    if RESERVED_HEADERS.contains(&name.as_str()) {
         return Err(format!("{text:?} is set by foldtrack itself"));
     }
     Ok(name)
 }
 
-/// A call as far as the message and the moment determine it.
+/// The inputs of a request head.
 #[derive(Clone, Copy, Debug)]
 pub struct CallContext<'a> {
-    /// What the message is called.
+    /// Values for the templates.
     pub values: Values<'a>,
-    /// Its idempotency key.
+    /// The idempotency key of the message.
     pub idempotency_key: Option<&'a str>,
-    /// The endpoint, for `Host`.
+    /// Address of the endpoint, for `Host`.
     pub authority: &'a str,
-    /// How long the answer is waited for, in microseconds.
+    /// How long the forwarder waits for the response, in microseconds.
     pub timeout_us: u64,
 }
 
-/// Why a message can't be sent in a dialect, now or ever.
+/// Why a message can never be sent to a partner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsendable {
-    /// Its path can't be filled.
+    /// The path template can't be filled.
     Path,
-    /// A header can't.
+    /// A header can't be filled.
     Header,
 }
 
-/// How one partner is spoken to.
+/// The HTTP mapping of one partner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dialect {
     /// `POST`, `PUT` or `PATCH`.
     pub method: http::Method,
-    /// Path and query of a call.
+    /// Path and query.
     pub path: Template,
-    /// `Host`; the endpoint's address where there is none.
+    /// Value of `Host`; the endpoint's address if not set.
     pub host: Option<String>,
-    /// `Content-Type`.
+    /// Value of `Content-Type`.
     pub content_type: String,
-    /// Header that carries the idempotency key, if any.
+    /// Header for the idempotency key, if any.
     pub key_header: Option<HeaderName>,
-    /// Header that carries how long the forwarder waits, in microseconds with the unit `u`, if any.
+    /// Header for the time that the forwarder waits, in microseconds with the unit `u`, if any.
     pub deadline_header: Option<HeaderName>,
-    /// Header that carries the message's id, if any.
+    /// Header for the message id, if any.
     pub id_header: Option<HeaderName>,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(HeaderName, Template)>,
-    /// What comes back means.
+    /// Meanings of response statuses.
     pub answers: StatusTable,
-    /// Answers have the headers of the project's own protocol (PROTOCOL): waits in milliseconds, and that all slots are
-    /// taken; otherwise those of usual services.
+    /// The partner speaks the native protocol (PROTOCOL): responses carry waits in milliseconds and
+    /// may report that all slots are in use. Otherwise the headers of usual HTTP services apply.
     pub native: bool,
-    /// For how many seconds a limit counts that is told without its window; none where such a limit is passed over.
+    /// Window in seconds of a rate limit that is reported without one. If not set, such limits are
+    /// ignored.
     pub limit_window: Option<f64>,
 }
 
 impl Dialect {
-    /// The project's own protocol: today's calls, and its table of answers.
+    /// The native protocol between forwarders.
     pub fn foldtrack() -> Dialect {
         Dialect {
             method: http::Method::POST,
@@ -115,7 +116,8 @@
         }
     }
 
-    /// A usual HTTP service: answers mean what RFC 9110 says, and no header tells more than it must.
+    /// An HTTP service: responses mean what RFC 9110 says, and requests carry no optional header
+    /// except the idempotency key.
     pub fn http() -> Dialect {
         Dialect {
             path: Template::fixed("/"),
@@ -128,29 +130,33 @@
         }
     }
 
-    /// A receiver of webhooks (Standard Webhooks 1.0): any 2xx delivers, 410 refuses for good as all 4xx do, and the id goes
-    /// into `webhook-id` with the proof.
+    /// A receiver of webhooks (Standard Webhooks 1.0): any 2xx delivers; any 4xx, 410 included,
+    /// refuses for good; the id is sent in `webhook-id` with the signature.
     pub fn webhook() -> Dialect {
         Dialect { key_header: None, ..Dialect::http() }
     }
 
-    /// What an answer's head means for the message.
+    /// The meaning of a response head.
     pub fn meaning(&self, status: u16, headers: &HeaderMap) -> Meaning {
         match self.answers.meaning(status) {
-            Meaning::Wait if self.native && status == 503 && headers.contains_key(LINE_BUSY) => Meaning::NotSent,
+            Meaning::Wait if self.native && status == 503 && headers.contains_key(LINE_BUSY) => {
+                Meaning::NotSent
+            }
             meaning => meaning,
         }
     }
 
-    /// What an answer tells of the partner's limit; the project's own protocol tells it elsewhere.
+    /// The rate limit that a response reports. The native protocol reports it in another header,
+    /// which is read elsewhere.
     pub fn limit(&self, headers: &HeaderMap) -> Option<Limit> {
         (!self.native).then(|| limits::limits(headers, self.limit_window)).flatten()
     }
 
-    /// The head of a call.
+    /// Builds the request head of a call.
     ///
     /// # Errors
-    /// The message lacks a value that the dialect needs, or has one that can't stand in its place: it can never be sent.
+    /// The message lacks a value that the mapping needs, or has one that can't be written there: it
+    /// can never be sent.
     pub fn head(&self, call: &CallContext<'_>) -> Result<http::request::Parts, Unsendable> {
         let path = self.path.fill_path(call.values).ok_or(Unsendable::Path)?;
         let mut request = http::Request::new(());
@@ -175,9 +181,11 @@
         Ok(request.into_parts().0)
     }
 
-    /// The wait that an answer tells, in microseconds from now, at most [`waits::LONGEST`]; none if it tells none.
+    /// The wait that a response requests, in microseconds from now, at most [`waits::MAX_WAIT_US`];
+    /// none if it requests none.
     pub fn wait(&self, headers: &HeaderMap, unix_us: u64) -> Option<u64> {
-        let told = if self.native { waits::come_back_ms(headers) } else { waits::retry_after(headers, unix_us) };
-        told.map(|wait| wait.min(waits::LONGEST))
+        let wait =
+            if self.native { waits::come_back_ms(headers) } else { waits::retry_after(headers, unix_us) };
+        wait.map(|wait| wait.min(waits::MAX_WAIT_US))
     }
 }
--- a/crates/dialect/src/template.rs
+++ b/crates/dialect/src/template.rs
@@ -1,86 +1,89 @@
-//! Texts with places for what a message is called: `/v2/charges/{id}`.
+//! Templates for paths and header values, such as `/v2/charges/{id}`.
 
 use percent_encoding::{utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 
-/// All but the unreserved characters of a URI (RFC 3986, section 2.3): nothing of a value can be read as a separator.
-const OUTSIDE: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
-/// Longest text that a template may be, and that it may become, in bytes.
-const LONGEST: usize = 2048;
+/// Every character except the unreserved ones of a URI (RFC 3986, section 2.3) is encoded, so that
+/// no part of a value can act as a separator.
+const ENCODE_SET: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
+/// Maximum length of a template in bytes; a filled one may be four times as long.
+const MAX_TEMPLATE_BYTES: usize = 2048;
 
-/// What a message is called.
+/// The values of a message for templates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Values<'a> {
-    /// Its id.
+    /// Message id.
     pub id: &'a str,
-    /// Its class.
+    /// Name of the class.
     pub class: &'a str,
-    /// Its key, empty for none.
+    /// Order key, empty for none.
     pub key: &'a str,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Name {
+enum Variable {
     Id,
     Class,
     Key,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Part {
-    Text(String),
-    Value(Name),
+enum Piece {
+    Literal(String),
+    Variable(Variable),
 }
 
-/// A text with places.
+/// A text with placeholders.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Template(Vec<Part>);
+pub struct Template(Vec<Piece>);
 
 impl Template {
-    /// A text without places.
+    /// A template without placeholders.
     pub fn fixed(text: &str) -> Template {
-        Template(vec![Part::Text(text.to_string())])
+        Template(vec![Piece::Literal(text.to_string())])
     }
 
-    /// Reads a template: `{id}`, `{class}` and `{key}` are places.
+    /// Parses a template with the placeholders `{id}`, `{class}` and `{key}`.
     ///
     /// # Errors
-    /// A place that is not known or not closed, a control character, or too long a text.
+    /// A placeholder is unknown or not closed, or the text has control characters or is too long.
     pub fn parse(text: &str) -> Result<Template, String> {
-        if text.len() > LONGEST || text.chars().any(char::is_control) {
-            return Err(format!("a template has {LONGEST} bytes at most, and no control characters"));
+        if text.len() > MAX_TEMPLATE_BYTES || text.chars().any(char::is_control) {
+            return Err(format!(
+                "a template has {MAX_TEMPLATE_BYTES} bytes at most, and no control characters"
+            ));
         }
-        let (mut parts, mut rest) = (Vec::new(), text);
+        let (mut pieces, mut rest) = (Vec::new(), text);
         while let Some(open) = rest.find(['{', '}']) {
             let (before, from) = rest.split_at(open);
             let inside = from.strip_prefix('{').and_then(|inside| inside.split_once('}'));
-            let Some((name, behind)) = inside else {
+            let Some((name, after)) = inside else {
                 return Err(format!("{text:?} has a brace without its other"));
             };
             let name = match name {
-                "id" => Name::Id,
-                "class" => Name::Class,
-                "key" => Name::Key,
+                "id" => Variable::Id,
+                "class" => Variable::Class,
+                "key" => Variable::Key,
                 _ => return Err(format!("{{{name}}} is no place; there are {{id}}, {{class}} and {{key}}")),
             };
-            parts.extend((!before.is_empty()).then(|| Part::Text(before.to_string())));
-            parts.push(Part::Value(name));
-            rest = behind;
+            pieces.extend((!before.is_empty()).then(|| Piece::Literal(before.to_string())));
+            pieces.push(Piece::Variable(name));
+            rest = after;
         }
-        parts.extend((!rest.is_empty()).then(|| Part::Text(rest.to_string())));
-        Ok(Template(parts))
+        pieces.extend((!rest.is_empty()).then(|| Piece::Literal(rest.to_string())));
+        Ok(Template(pieces))
     }
 
-    /// Reads a path: it begins with `/`, and is what it says byte for byte.
+    /// Parses a path template: it begins with `/`, and its literal parts are sent unchanged.
     ///
     /// # Errors
-    /// As [`Template::parse`], and characters that a path or query can't have.
+    /// As [`Template::parse`], and characters that a path or query can't contain.
     pub fn path(text: &str) -> Result<Template, String> {
         let template = Template::parse(text)?;
-        let sound =
+        let valid =
             |c: char| c.is_ascii_graphic() && !matches!(c, '"' | '<' | '>' | '\\' | '^' | '`' | '|' | '#');
         let texts =
-            template.0.iter().filter_map(|p| if let Part::Text(text) = p { Some(text) } else { None });
-        if !text.starts_with('/') || !texts.into_iter().all(|t| t.chars().all(sound)) {
+            template.0.iter().filter_map(|p| if let Piece::Literal(text) = p { Some(text) } else { None });
+        if !text.starts_with('/') || !texts.into_iter().all(|t| t.chars().all(valid)) {
             return Err(format!(
                 "{text:?} is no path: one begins with / and has its odd characters percent-encoded"
             ));
@@ -88,37 +91,39 @@
         Ok(template)
     }
 
-    /// Whether it names the key.
+    /// Whether the template uses the order key.
     pub fn needs_key(&self) -> bool {
-        self.0.contains(&Part::Value(Name::Key))
+        self.0.contains(&Piece::Variable(Variable::Key))
     }
 
     fn fill(&self, values: Values<'_>, write: impl Fn(&str) -> String) -> Option<String> {
-        let value = |name: &Name| match name {
-            Name::Id => values.id,
-            Name::Class => values.class,
-            Name::Key => values.key,
+        let value = |name: &Variable| match name {
+            Variable::Id => values.id,
+            Variable::Class => values.class,
+            Variable::Key => values.key,
         };
         let mut text = String::new();
         for part in &self.0 {
             match part {
-                Part::Text(fixed) => text.push_str(fixed),
-                Part::Value(name) if value(name).is_empty() => return None,
-                Part::Value(name) => text.push_str(&write(value(name))),
+                Piece::Literal(fixed) => text.push_str(fixed),
+                Piece::Variable(name) if value(name).is_empty() => return None,
+                Piece::Variable(name) => text.push_str(&write(value(name))),
             }
         }
-        (text.len() <= 4 * LONGEST).then_some(text)
+        (text.len() <= 4 * MAX_TEMPLATE_BYTES).then_some(text)
     }
 
-    /// The path of a call. Every value is percent-encoded, so that it stays within its place; none if a value is missing, or
-    /// a part of the path would be `.` or `..`, which servers take for a step, also where they are encoded.
+    /// Fills a path. Every value is percent-encoded and so stays within its placeholder. Returns
+    /// none if a value is missing, or if a path segment would be `.` or `..`, which servers resolve
+    /// even when it is encoded.
     pub fn fill_path(&self, values: Values<'_>) -> Option<String> {
-        let text = self.fill(values, |value| utf8_percent_encode(value, OUTSIDE).to_string())?;
+        let text = self.fill(values, |value| utf8_percent_encode(value, ENCODE_SET).to_string())?;
         let path = text.split('?').next().unwrap_or("");
         (!path.split('/').any(|part| part == "." || part == "..")).then_some(text)
     }
 
-    /// The value of a header; none if a value is missing or can't stand in a header (RFC 9110, section 5.5).
+    /// Fills a header value. Returns none if a value is missing or contains characters that a
+    /// header can't have (RFC 9110, section 5.5).
     pub fn fill_header(&self, values: Values<'_>) -> Option<http::HeaderValue> {
         let text = self.fill(values, str::to_string)?;
         http::HeaderValue::from_str(&text).ok()
@@ -131,13 +136,13 @@
     use proptest::prelude::*;
 
     #[test]
-    fn places_are_filled_and_stay_places() {
+    fn placeholders_are_filled_and_encoded() {
         let path = Template::path("/v2/{class}/{key}?ref={id}").unwrap();
         let values = Values { id: "a b", class: "fee", key: "škola/1" };
         assert_eq!(path.fill_path(values).unwrap(), "/v2/fee/%C5%A1kola%2F1?ref=a%20b");
         assert!(path.needs_key());
         assert_eq!(path.fill_path(Values { key: "", ..values }), None);
-        assert_eq!(path.fill_path(Values { key: "..", ..values }), None, "no step upwards");
+        assert_eq!(path.fill_path(Values { key: "..", ..values }), None, "no dot segment");
         let header = Template::parse("m-{id}").unwrap();
         assert_eq!(header.fill_header(values).unwrap(), "m-a b");
         assert_eq!(header.fill_header(Values { id: "x\r\ny: z", ..values }), None);
@@ -147,9 +152,9 @@
     }
 
     proptest! {
-        /// Whatever ids and keys hold, a path has the separators of its template and no others.
+        /// Whatever ids and keys contain, a path has exactly the separators of its template.
         #[test]
-        fn no_byte_leaves_its_place(id in ".{1,40}", key in "[\\PC\\r\\n\\x00/%.?#]{1,40}") {
+        fn values_stay_within_their_placeholders(id in ".{1,40}", key in "[\\PC\\r\\n\\x00/%.?#]{1,40}") {
             let template = Template::path("/v1/{key}/x?ref={id}").unwrap();
             if let Some(path) = template.fill_path(Values { id: &id, class: "c", key: &key }) {
                 prop_assert!(path.bytes().all(|b| b.is_ascii_graphic()));
@@ -160,7 +165,7 @@
         }
 
         #[test]
-        fn any_text_is_read_or_refused(text in ".{0,200}") {
+        fn any_text_is_parsed_or_rejected(text in ".{0,200}") {
             let _ = Template::path(&text).map(|t| t.fill_path(Values { id: "a", class: "b", key: "c" }));
         }
     }
--- a/crates/dialect/src/waits.rs
+++ b/crates/dialect/src/waits.rs
@@ -1,32 +1,35 @@
-//! How long an answer asks to wait.
+//! Reads how long a response asks the forwarder to wait.
 
 use http::{HeaderMap, HeaderName};
 use std::time::{Duration, UNIX_EPOCH};
 
-/// The longest wait that is heeded, in microseconds: a day. Guards against absurd values, which would shut a partner for good:
-/// who asks for more is called again after a day, and can say so again. No wait is shortened by what messages can stand: one
-/// that waits for longer than it has left ends as its time does.
-pub const LONGEST: u64 = 86_400_000_000;
+/// Longest wait that is honoured, in microseconds: one day. Absurd values would otherwise shut out
+/// a partner for good; one that asks for more is called again after a day and can repeat the
+/// request. A wait is never shortened because messages can't wait that long: such messages expire
+/// as usual.
+pub const MAX_WAIT_US: u64 = 86_400_000_000;
 
-/// A span in microseconds that never is shorter than what was told; none for less than nothing and what is no number.
-fn span(told: f64, unit: f64) -> Option<u64> {
-    // A float that is too large for the type becomes its largest value.
-    (told >= 0.0).then_some((told * unit).ceil() as u64)
+/// Converts to microseconds, rounding up; none for negative values and for what is not a number.
+fn to_micros(value: f64, unit: f64) -> Option<u64> {
+    // The cast saturates: a float that is too large becomes `u64::MAX`.
+    (value >= 0.0).then_some((value * unit).ceil() as u64)
 }
 
-/// `X-Come-Back-Ms` (PROTOCOL), in microseconds. Of several the longest counts; what can't be read is passed over.
+/// Reads `X-Come-Back-Ms` (PROTOCOL), in microseconds. Of several values the longest counts;
+/// unreadable ones are ignored.
 pub fn come_back_ms(headers: &HeaderMap) -> Option<u64> {
     let values = headers.get_all(HeaderName::from_static("x-come-back-ms"));
-    values.iter().filter_map(|value| span(value.to_str().ok()?.trim().parse().ok()?, 1e3)).max()
+    values.iter().filter_map(|value| to_micros(value.to_str().ok()?.trim().parse().ok()?, 1e3)).max()
 }
 
-/// `Retry-After` (RFC 9110, section 10.2.3), seconds or a date, in microseconds from now by the clock here (Unix time in
-/// microseconds); a date in the past is no wait. Of several the longest counts; what can't be read is passed over.
+/// Reads `Retry-After` (RFC 9110, section 10.2.3), a number of seconds or a date, in microseconds
+/// from `unix_us` (Unix time in microseconds). A date in the past is a wait of 0. Of several values
+/// the longest counts; unreadable ones are ignored.
 pub fn retry_after(headers: &HeaderMap, unix_us: u64) -> Option<u64> {
     let read = |value: &http::HeaderValue| {
         let text = value.to_str().ok()?.trim();
         if let Ok(seconds) = text.parse::<f64>() {
-            return span(seconds, 1e6);
+            return to_micros(seconds, 1e6);
         }
         let at = httpdate::parse_http_date(text).ok()?.duration_since(UNIX_EPOCH).ok()?;
         let now = Duration::from_micros(unix_us);
@@ -50,20 +53,20 @@
     }
 
     #[test]
-    fn waits_are_read_in_every_form_and_nonsense_is_none() {
+    fn waits_are_read_in_every_form_and_invalid_values_are_none() {
         assert_eq!(wait(&["120"]), Some(120_000_000));
         assert_eq!(wait(&["0.25"]), Some(250_000));
         assert_eq!(wait(&["Sun, 06 Nov 1994 08:49:47 GMT"]), Some(10_000_000));
         assert_eq!(wait(&["Sun, 06 Nov 1994 08:49:27 GMT"]), Some(0), "in the past");
         assert_eq!(wait(&["1", "Sun, 06 Nov 1994 08:49:47 GMT", "x"]), Some(10_000_000), "the longest");
         assert_eq!(wait(&["1000000000000"]), Some(1_000_000_000_000_000_000));
-        for nonsense in ["-5", "NaN", "soon", ""] {
-            assert_eq!(wait(&[nonsense]), None, "{nonsense}");
+        for invalid in ["-5", "NaN", "soon", ""] {
+            assert_eq!(wait(&[invalid]), None, "{invalid}");
         }
     }
 
     #[test]
-    fn a_wait_in_milliseconds_is_never_read_as_a_shorter_one() {
+    fn a_wait_in_milliseconds_is_rounded_up() {
         let wait = |values: &[&str]| {
             let mut headers = HeaderMap::new();
             for value in values {
@@ -73,13 +76,13 @@
         };
         assert_eq!(wait(&["742"]), Some(742_000));
         assert_eq!(wait(&["0"]), Some(0));
-        assert_eq!(wait(&["0.0004"]), Some(1), "a part of a microsecond is not nothing");
+        assert_eq!(wait(&["0.0004"]), Some(1), "rounded up to a microsecond");
         assert_eq!(wait(&["0.0015"]), Some(2));
         assert_eq!(wait(&["50", "800", "20"]), Some(800_000), "the longest");
-        assert_eq!(wait(&["soon", "5"]), Some(5_000), "beside one that can't be read");
-        assert_eq!(wait(&["inf"]), Some(u64::MAX), "bounded where it is used");
-        for nonsense in ["-5", "NaN", "soon", ""] {
-            assert_eq!(wait(&[nonsense]), None, "{nonsense}");
+        assert_eq!(wait(&["soon", "5"]), Some(5_000), "next to an unreadable one");
+        assert_eq!(wait(&["inf"]), Some(u64::MAX), "bounded by the caller");
+        for invalid in ["-5", "NaN", "soon", ""] {
+            assert_eq!(wait(&[invalid]), None, "{invalid}");
         }
     }
 
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,13 +1,15 @@
-//! Connections to one endpoint, decided on without any: how long one may stand idle and be used again, when it is too old, and
-//! how many are to be opened ahead of demand. Time and what happened go in; no sockets, no clock.
+//! Decisions on the connections to one endpoint: how long one may stay idle and be reused, and how
+//! many are opened ahead of demand. Times and observations go in; there are no sockets and no
+//! clock.
 //!
-//! [`idle`] learns when the partner, or what stands between, drops idle connections; [`ahead`] follows the demand.
+//! [`idle_timeout`] learns when the partner or a middlebox drops idle connections; [`preconnect`]
+//! follows the demand.
 
-pub mod ahead;
-pub mod idle;
+pub mod idle_timeout;
+pub mod preconnect;
 
-pub use ahead::{Ahead, Counts};
-pub use idle::Idle;
+pub use idle_timeout::IdleTimeout;
+pub use preconnect::{ConnectionCounts, PreconnectPolicy};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/tls/src/certificate.rs
+++ b/crates/tls/src/certificate.rs
@@ -1,35 +1,35 @@
-//! What there is to know of a certificate.
+//! Reads certificates for display and for expiry checks.
 
 use crate::Pin;
 use rustls::pki_types::CertificateDer;
 
-/// A certificate as people see it.
+/// The fields of a certificate that operators are shown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertificateInfo {
-    /// Whom it is for, as the certificate writes it.
+    /// Subject, as the certificate writes it.
     pub subject: String,
-    /// Who vouches.
+    /// Issuer, as the certificate writes it.
     pub issuer: String,
-    /// Valid from and until, Unix time in seconds.
+    /// Start of validity, Unix time in seconds.
     pub not_before: i64,
-    /// See `not_before`.
+    /// End of validity, Unix time in seconds.
     pub not_after: i64,
-    /// Its key's pin.
+    /// Pin of its public key.
     pub pin: Pin,
 }
 
-/// Of every certificate in a text of PEM, in its order.
+/// Reads all certificates of a PEM text, in its order.
 ///
 /// # Errors
-/// There is none, or one can't be read.
+/// There is none, or one can't be parsed.
 pub fn parse_pem(text: &[u8]) -> Result<Vec<CertificateInfo>, String> {
     super::certificates(text)?.iter().map(parse_der).collect()
 }
 
-/// Of one certificate.
+/// Reads one certificate in DER.
 ///
 /// # Errors
-/// It can't be read.
+/// It can't be parsed.
 pub fn parse_der(certificate: &CertificateDer<'_>) -> Result<CertificateInfo, String> {
     let (_, read) = x509_parser::parse_x509_certificate(certificate).map_err(|e| e.to_string())?;
     Ok(CertificateInfo {
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -1,11 +1,12 @@
-//! TLS towards partners: from what a site says to a configuration of rustls, what is wrong with a certificate in words, and
-//! when to tell that one ends. Files are read elsewhere; nothing here touches a socket or a clock.
+//! TLS towards partners: builds the rustls configuration from a site's settings, describes
+//! certificate errors in words, and decides when to warn about expiry. Files are read elsewhere;
+//! nothing here uses a socket or a clock.
 //!
-//! The certificate's chain and name are always checked. A pin is asked for on top of that, not instead. Early data is never
-//! sent: it can be replayed by whoever has recorded it.
+//! Chain and name of a certificate are always verified; a pin is checked in addition, not instead.
+//! Early data is never sent, since anyone who recorded it could replay it.
 
-pub mod expiry;
 pub mod certificate;
+pub mod expiry;
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -20,21 +21,21 @@
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 
-/// Sessions that are remembered for each partner, to be resumed: as many as it has endpoints, and then some.
-const SESSIONS: usize = 32;
-/// Pins of a partner at most: the one that counts and the one that will.
+/// Sessions kept per partner for resumption: enough for all of its endpoints.
+const MAX_RESUMED_SESSIONS: usize = 32;
+/// Maximum number of pins of a partner: the current keys and the next ones.
 pub const MAX_PINS: usize = 4;
-const TLS13: &[&SupportedProtocolVersion] = &[&rustls::version::TLS13];
+const TLS13_ONLY: &[&SupportedProtocolVersion] = &[&rustls::version::TLS13];
 
 /// The SHA-256 of a certificate's public key, as in RFC 7469, section 2.4.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pin([u8; 32]);
 
 impl Pin {
-    /// Reads `sha256/` and the base64 of 32 bytes.
+    /// Parses `sha256/` and the base64 of 32 bytes.
     ///
     /// # Errors
-    /// What would be right.
+    /// The text is not a pin; the error says what one looks like.
     pub fn parse(text: &str) -> Result<Pin, String> {
         let bytes = text.strip_prefix("sha256/").and_then(|rest| STANDARD.decode(rest).ok());
         let pin = bytes.and_then(|bytes| bytes.try_into().ok()).map(Pin);
@@ -43,10 +44,10 @@
         })
     }
 
-    /// Of a certificate.
+    /// Computes the pin of a certificate.
     ///
     /// # Errors
-    /// It can't be read.
+    /// The certificate can't be parsed.
     pub fn of(certificate: &CertificateDer<'_>) -> Result<Pin, String> {
         let (_, read) = x509_parser::parse_x509_certificate(certificate).map_err(|e| e.to_string())?;
         Ok(Pin(Sha256::digest(read.public_key().raw).into()))
@@ -59,22 +60,22 @@
     }
 }
 
-/// What a site says of TLS to a partner.
+/// The TLS settings of a partner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TlsSettings {
-    /// The name that its certificate must be for, and that it is told (SNI).
+    /// The name that the certificate must be valid for; also sent as SNI.
     pub server_name: ServerName<'static>,
-    /// One of these keys it must have; none for any.
+    /// The certificate's key must match one of these; none for any key.
     pub pins: Vec<Pin>,
-    /// TLS 1.2 is not enough.
+    /// Rejects TLS 1.2.
     pub require_tls13: bool,
 }
 
 impl TlsSettings {
-    /// Reads a server's name: a DNS name, or an address that the certificate is for.
+    /// Parses a server name: a DNS name, or an IP address that the certificate is valid for.
     ///
     /// # Errors
-    /// It is none.
+    /// The text is neither.
     pub fn parse_server_name(text: &str) -> Result<ServerName<'static>, String> {
         let read = ServerName::try_from(text.to_string());
         read.map_err(|_| {
@@ -83,36 +84,37 @@
     }
 }
 
-/// Texts in PEM that a configuration is made from.
+/// The contents of the PEM files for a configuration.
 #[derive(Default)]
 pub struct PemFiles {
-    /// Whom to trust; none for those whom the system trusts.
+    /// Trusted roots; none for the system's.
     pub roots: Option<Vec<u8>>,
-    /// The certificate chain that is shown to the partner, and its private key.
+    /// The client's certificate chain and its private key.
     pub client: Option<(Vec<u8>, Vec<u8>)>,
 }
 
-/// A configuration for a partner's connections. Sessions are resumed within it; a new one begins anew.
+/// Builds the configuration for a partner's connections. Sessions are resumed within one
+/// configuration, not across two.
 ///
 /// # Errors
-/// What of the texts can't be used, without any of them.
-pub fn configuration(plan: &TlsSettings, texts: &PemFiles) -> Result<Arc<ClientConfig>, String> {
+/// Which file can't be used, without quoting its contents.
+pub fn client_config(settings: &TlsSettings, files: &PemFiles) -> Result<Arc<ClientConfig>, String> {
     let provider = Arc::new(default_provider());
-    let roots = Arc::new(match &texts.roots {
-        Some(text) => roots_of(text)?,
-        None => roots_of_system()?,
+    let roots = Arc::new(match &files.roots {
+        Some(text) => parse_roots(text)?,
+        None => system_roots()?,
     });
-    let usual = WebPkiServerVerifier::builder_with_provider(roots, provider.clone())
+    let webpki = WebPkiServerVerifier::builder_with_provider(roots, provider.clone())
         .build()
         .map_err(|e| format!("roots: {e}"))?;
-    let verifier = Arc::new(Pinned { usual, pins: plan.pins.clone() });
-    let versions = if plan.require_tls13 { TLS13 } else { DEFAULT_VERSIONS };
+    let verifier = Arc::new(PinningVerifier { webpki, pins: settings.pins.clone() });
+    let versions = if settings.require_tls13 { TLS13_ONLY } else { DEFAULT_VERSIONS };
     let builder = ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(versions)
         .map_err(|e| e.to_string())?
         .dangerous()
         .with_custom_certificate_verifier(verifier);
-    let mut config = match &texts.client {
+    let mut config = match &files.client {
         None => builder.with_no_client_auth(),
         Some((chain, key)) => {
             let chain = certificates(chain).map_err(|e| format!("client-certificate: {e}"))?;
@@ -124,12 +126,12 @@
         }
     };
     config.alpn_protocols = vec![b"http/1.1".to_vec()];
-    config.resumption = Resumption::in_memory_sessions(SESSIONS);
+    config.resumption = Resumption::in_memory_sessions(MAX_RESUMED_SESSIONS);
     config.enable_early_data = false;
     Ok(Arc::new(config))
 }
 
-/// The certificates of a text.
+/// Reads the certificates of a PEM text.
 fn certificates(text: &[u8]) -> Result<Vec<CertificateDer<'static>>, String> {
     let all: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(text).collect();
     let all = all.map_err(|e| format!("can't be read as PEM: {e}"))?;
@@ -139,7 +141,8 @@
     Ok(all)
 }
 
-fn roots_of(text: &[u8]) -> Result<RootCertStore, String> {
+/// Reads trusted roots from a PEM text.
+fn parse_roots(text: &[u8]) -> Result<RootCertStore, String> {
     let mut store = RootCertStore::empty();
     for certificate in certificates(text).map_err(|e| format!("roots: {e}"))? {
         store.add(certificate).map_err(|e| format!("roots: {e}"))?;
@@ -147,10 +150,11 @@
     Ok(store)
 }
 
-fn roots_of_system() -> Result<RootCertStore, String> {
+/// Reads the trusted roots of the system.
+fn system_roots() -> Result<RootCertStore, String> {
     let mut store = RootCertStore::empty();
     let found = rustls_native_certs::load_native_certs();
-    // Systems have odd ones among them; the others count.
+    // Systems include certificates that can't be parsed; the others are used.
     store.add_parsable_certificates(found.certs);
     if store.is_empty() {
         return Err("roots: the system trusts nobody; name a file with those to trust".into());
@@ -158,19 +162,19 @@
     Ok(store)
 }
 
-/// The usual verification, and a pin on top.
+/// The usual verification, with a check of the pins on top.
 #[derive(Debug)]
-struct Pinned {
-    usual: Arc<WebPkiServerVerifier>,
+struct PinningVerifier {
+    webpki: Arc<WebPkiServerVerifier>,
     pins: Vec<Pin>,
 }
 
-impl ServerCertVerifier for Pinned {
+impl ServerCertVerifier for PinningVerifier {
     fn verify_server_cert(
         &self, end_entity: &CertificateDer<'_>, intermediates: &[CertificateDer<'_>], name: &ServerName<'_>,
         ocsp: &[u8], now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
-        let verified = self.usual.verify_server_cert(end_entity, intermediates, name, ocsp, now)?;
+        let verified = self.webpki.verify_server_cert(end_entity, intermediates, name, ocsp, now)?;
         let pinned = self.pins.is_empty() || Pin::of(end_entity).is_ok_and(|pin| self.pins.contains(&pin));
         match pinned {
             true => Ok(verified),
@@ -181,21 +185,21 @@
     fn verify_tls12_signature(
         &self, message: &[u8], certificate: &CertificateDer<'_>, signed: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.usual.verify_tls12_signature(message, certificate, signed)
+        self.webpki.verify_tls12_signature(message, certificate, signed)
     }
 
     fn verify_tls13_signature(
         &self, message: &[u8], certificate: &CertificateDer<'_>, signed: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.usual.verify_tls13_signature(message, certificate, signed)
+        self.webpki.verify_tls13_signature(message, certificate, signed)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
-        self.usual.supported_verify_schemes()
+        self.webpki.supported_verify_schemes()
     }
 }
 
-/// Why there was no TLS, in words for people: what to look at first.
+/// Describes why a TLS handshake failed, so that an operator knows what to check first.
 pub fn describe_error(error: &Error) -> String {
     let words = match error {
         Error::InvalidCertificate(wrong) => match wrong {
@@ -221,8 +225,8 @@
     format!("TLS: {words}")
 }
 
-/// Whether an error is the peer's refusal of this side's part of the handshake (RFC 8446, section 6.2): alerts that come
-/// at no other time.
+/// Whether an error is the peer's rejection of this side's part of the handshake (RFC 8446, section
+/// 6.2): alerts that are sent at no other time.
 pub fn is_peer_rejection(error: &Error) -> bool {
     use rustls::AlertDescription as Alert;
     matches!(
@@ -241,7 +245,7 @@
     )
 }
 
-/// The provider of the cryptography, for stand-ins that are to speak with this.
+/// The crypto provider, for test servers that talk to this client.
 pub fn provider() -> CryptoProvider {
     default_provider()
 }
--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -1,8 +1,9 @@
-//! Blocks of clients by order, kept over restarts in a file of their own, and what the control line is told of clients. All
-//! of it runs on the control line's thread: the loop is not asked.
+//! Client blocks ordered by the operator, persisted across restarts in a file of their own, and the
+//! client statistics of the control socket. All of this runs on the thread of the control socket;
+//! the event loop is not involved.
 
-use crate::lock::locked;
 use crate::client_connections::ClientConnections;
+use crate::lock::locked;
 use foldtrack_admission::Event;
 use foldtrack_control::{self as control, ClientLine, Clients, Holding, KernelSockets};
 use ipnet::IpNet;
@@ -14,126 +15,130 @@
 use std::time::{Duration, Instant};
 use tokio::sync::broadcast;
 
-const FILE: &str = "blocks.json";
-/// Lines of floods that are shown.
-const FLOODS: usize = 100;
-/// Events that a slow subscriber may be behind; beyond, it is told how many it has missed.
-const EVENTS: usize = 64;
-/// How long what the kernel tells of sockets is shown: with many thousands of them it takes milliseconds to read.
-const KERNEL_FRESH: Duration = Duration::from_secs(2);
-/// A block lasts so long at most, in milliseconds: 30 days.
+const FILE_NAME: &str = "blocks.json";
+/// Maximum number of lines about floods that are shown.
+const MAX_FLOOD_LINES: usize = 100;
+/// Events that a slow subscriber may lag behind; if it lags further, it is told how many it missed.
+const EVENT_BUFFER: usize = 64;
+/// How long socket statistics from the kernel are reused: with many thousands of sockets, reading
+/// them takes milliseconds.
+const SOCKET_STATS_TTL: Duration = Duration::from_secs(2);
+/// Longest block, in milliseconds: 30 days.
 pub(crate) const MAX_BLOCK_MS: u64 = 30 * 86_400_000;
 
-/// One block as it is kept.
+/// A block as it is stored.
 #[derive(Debug, Serialize, Deserialize)]
-struct Kept {
+struct StoredBlock {
+    /// The blocked network.
     network: IpNet,
-    /// Unix time in microseconds.
+    /// End of the block, Unix time in microseconds.
     until: u64,
 }
 
 /// The blocks of a site.
 pub(crate) struct Blocks {
     path: PathBuf,
-    places: Arc<ClientConnections>,
-    /// Floods, the latest first, as lines.
+    connections: Arc<ClientConnections>,
+    /// Log lines about floods, the latest first.
     floods: Mutex<Vec<String>>,
-    /// What happens, for those who have subscribed.
+    /// Events for subscribers.
     events: broadcast::Sender<control::Event>,
-    /// One writes at a time.
-    keeping: Mutex<()>,
-    /// The listener's port, and what the kernel told of its sockets last.
+    /// Serializes writes of the file.
+    write_lock: Mutex<()>,
+    /// The listener's port, and the last statistics of its sockets.
     port: u16,
     kernel: Mutex<Option<(Instant, Option<KernelSockets>)>>,
 }
 
-/// What the kernel tells of a port's sockets (proc(5), `net/tcp`).
-fn kernel(port: u16) -> Option<KernelSockets> {
+/// Counts the sockets of a port by TCP state (proc(5), `net/tcp`).
+fn socket_stats(port: u16) -> Option<KernelSockets> {
     use procfs::net::TcpState;
-    let mut told = KernelSockets::default();
+    let mut stats = KernelSockets::default();
     let own = procfs::process::Process::myself().ok()?;
     let all = own.tcp().ok()?.into_iter().chain(own.tcp6().unwrap_or_default());
     for socket in all.filter(|s| s.local_address.port() == port) {
         match socket.state {
-            TcpState::SynRecv | TcpState::NewSynRecv => told.half_open += 1,
-            TcpState::Established => told.established += 1,
-            TcpState::CloseWait | TcpState::LastAck => told.half_closed += 1,
-            TcpState::FinWait1 | TcpState::FinWait2 | TcpState::Closing => told.closing += 1,
-            TcpState::TimeWait => told.time_wait += 1,
+            TcpState::SynRecv | TcpState::NewSynRecv => stats.half_open += 1,
+            TcpState::Established => stats.established += 1,
+            TcpState::CloseWait | TcpState::LastAck => stats.half_closed += 1,
+            TcpState::FinWait1 | TcpState::FinWait2 | TcpState::Closing => stats.closing += 1,
+            TcpState::TimeWait => stats.time_wait += 1,
             TcpState::SynSent | TcpState::Close | TcpState::Listen => {}
         }
     }
-    Some(told)
+    Some(stats)
 }
 
 impl Blocks {
-    /// Reads what is kept; blocks that have ended meanwhile are none.
+    /// Reads the stored blocks; those that have ended in the meantime are dropped.
     ///
     /// # Errors
-    /// The file can't be read, or holds something else. It is left as it is.
-    pub fn open(state: &Path, places: Arc<ClientConnections>, port: u16) -> Result<Arc<Blocks>, String> {
-        let path = state.join(FILE);
-        let told = |e: &dyn std::fmt::Display| {
+    /// The file can't be read or parsed. It is left as it is.
+    pub fn open(state: &Path, connections: Arc<ClientConnections>, port: u16) -> Result<Arc<Blocks>, String> {
+        let path = state.join(FILE_NAME);
+        let error = |e: &dyn std::fmt::Display| {
             format!("{}: {e}; move it away to start without blocks", path.display())
         };
-        let kept: Vec<Kept> = match std::fs::read(&path) {
-            Ok(text) => serde_json::from_slice(&text).map_err(|e| told(&e))?,
+        let stored: Vec<StoredBlock> = match std::fs::read(&path) {
+            Ok(text) => serde_json::from_slice(&text).map_err(|e| error(&e))?,
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
-            Err(e) => return Err(told(&e)),
+            Err(e) => return Err(error(&e)),
         };
-        let clock = places.clock();
+        let clock = connections.clock();
         let now = clock.unix(clock.now());
-        for Kept { network, until } in kept.iter().filter(|kept| kept.until > now) {
-            places.block(*network, clock.since_unix(*until)).map_err(|e| told(&e))?;
+        for StoredBlock { network, until } in stored.iter().filter(|stored| stored.until > now) {
+            connections.block(*network, clock.since_unix(*until)).map_err(|e| error(&e))?;
         }
-        let events = broadcast::Sender::new(EVENTS);
+        let events = broadcast::Sender::new(EVENT_BUFFER);
         Ok(Arc::new(Blocks {
             path,
-            places,
+            connections,
             floods: Mutex::default(),
             events,
-            keeping: Mutex::default(),
+            write_lock: Mutex::default(),
             port,
             kernel: Mutex::default(),
         }))
     }
 
-    /// Blocks a network for so long. It holds at once, and once this returns over a restart.
+    /// Blocks a network for `for_ms`. The block applies at once, and is stored when this returns.
     ///
     /// # Errors
-    /// There are too many, or it could not be kept: then it holds, but may not outlive the process.
+    /// There are too many blocks; or it could not be stored: then it applies, but may be lost at a
+    /// restart.
     pub fn block(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
         self.apply(network, for_ms)?;
-        self.keep().map_err(|e| {
+        self.save().map_err(|e| {
             format!("the block holds, but may not outlive the process: {}: {e}", self.path.display())
         })
     }
 
-    /// What another forwarder was told: it holds at once, and is kept by [`Blocks::save_in_background`].
+    /// Applies a block that another forwarder received, without storing it; see
+    /// [`Blocks::save_in_background`].
     ///
     /// # Errors
-    /// There are too many.
+    /// There are too many blocks.
     pub fn apply(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
-        self.places.block(network, self.places.clock().now() + for_ms.min(MAX_BLOCK_MS) * 1000)
+        self.connections.block(network, self.connections.clock().now() + for_ms.min(MAX_BLOCK_MS) * 1000)
     }
 
-    /// Lets a network in again that another forwarder was told to; false if it was not blocked.
+    /// Removes a block that another forwarder removed; false if there was none.
     pub fn remove(&self, network: &IpNet) -> bool {
-        self.places.unblock(network)
+        self.connections.unblock(network)
     }
 
-    /// What stands, and for how many milliseconds yet.
+    /// The active blocks, each with its remaining time in milliseconds.
     pub fn active(&self) -> Vec<(IpNet, u64)> {
-        let now = self.places.clock().now();
-        let standing = self.places.blocks().into_iter().filter(|(_, until)| *until > now);
-        standing.map(|(network, until)| (network, (until - now) / 1000)).collect()
+        let now = self.connections.clock().now();
+        let active = self.connections.blocks().into_iter().filter(|(_, until)| *until > now);
+        active.map(|(network, until)| (network, (until - now) / 1000)).collect()
     }
 
-    /// Writes all that stands, off the loop.
+    /// Stores the active blocks on a thread of the blocking pool.
     pub fn save_in_background(self: &Arc<Blocks>) {
         let blocks = self.clone();
         tokio::task::spawn_blocking(move || {
-            if let Err(e) = blocks.keep() {
+            if let Err(e) = blocks.save() {
                 eprintln!(
                     "peers: a block holds, but may not outlive the process: {}: {e}",
                     blocks.path.display()
@@ -145,38 +150,38 @@
     /// Ends a block; false if there was none.
     ///
     /// # Errors
-    /// It could not be kept.
+    /// The change could not be stored.
     pub fn unblock(&self, network: &IpNet) -> Result<bool, String> {
-        let was = self.remove(network);
-        let kept = self.keep();
-        kept.map(|()| was).map_err(|e| {
+        let existed = self.remove(network);
+        let stored = self.save();
+        stored.map(|()| existed).map_err(|e| {
             format!("it holds no more, but may come back with a restart: {}: {e}", self.path.display())
         })
     }
 
-    /// Writes all that stands into a new file and puts it in the old one's place: whole or not at all, also when the power
-    /// goes.
-    fn keep(&self) -> io::Result<()> {
-        let _one = locked(&self.keeping);
-        let clock = self.places.clock();
+    /// Writes all active blocks to a new file and renames it over the old one: either file survives
+    /// a power failure whole.
+    fn save(&self) -> io::Result<()> {
+        let _guard = locked(&self.write_lock);
+        let clock = self.connections.clock();
         let now = clock.now();
-        let standing = self.places.blocks().into_iter().filter(|(_, until)| *until > now);
-        let kept: Vec<Kept> =
-            standing.map(|(network, until)| Kept { network, until: clock.unix(until) }).collect();
+        let active = self.connections.blocks().into_iter().filter(|(_, until)| *until > now);
+        let stored: Vec<StoredBlock> =
+            active.map(|(network, until)| StoredBlock { network, until: clock.unix(until) }).collect();
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let mut file = tempfile::NamedTempFile::new_in(folder)?;
-        file.write_all(&serde_json::to_vec(&kept)?)?;
+        file.write_all(&serde_json::to_vec(&stored)?)?;
         file.as_file().sync_all()?;
         file.persist(&self.path).map_err(|e| e.error)?;
         std::fs::File::open(folder)?.sync_all()
     }
 
-    /// Takes in what the gate has noticed; each is told once, in one line.
+    /// Logs and publishes the floods that the gate has detected, one line for each event.
     pub fn report_floods(&self) {
-        for event in self.places.events() {
+        for event in self.connections.take_events() {
             let name = |a: Option<IpAddr>| a.map_or("many addresses".to_string(), |a| a.to_string());
             let (kind, address, line) = match event {
-                Event::FloodBegan { address } => {
+                Event::FloodStarted { address } => {
                     ("flood_began", address, format!("clients: a flood from {} begins", name(address)))
                 }
                 Event::FloodEnded { address, turned_away, lasted } => {
@@ -188,8 +193,8 @@
                 }
             };
             eprintln!("{line}");
-            let clock = self.places.clock();
-            // Nobody need have subscribed.
+            let clock = self.connections.clock();
+            // An error means that there is no subscriber.
             let _ = self.events.send(control::Event {
                 at: clock.unix(clock.now()),
                 kind: kind.into(),
@@ -198,14 +203,14 @@
             });
             let mut floods = locked(&self.floods);
             floods.insert(0, line);
-            floods.truncate(FLOODS);
+            floods.truncate(MAX_FLOOD_LINES);
         }
     }
 
-    /// Something that has happened elsewhere in the process, for those who have subscribed.
+    /// Publishes an event of another part of the process to the subscribers.
     pub fn publish(&self, kind: &str, text: &str) {
-        let clock = self.places.clock();
-        // Nobody may be listening.
+        let clock = self.connections.clock();
+        // An error means that there is no subscriber.
         let _ = self.events.send(control::Event {
             at: clock.unix(clock.now()),
             kind: kind.into(),
@@ -214,71 +219,67 @@
         });
     }
 
-    /// What happens from now on.
+    /// Subscribes to events from now on.
     pub fn events(&self) -> broadcast::Receiver<control::Event> {
         self.events.subscribe()
     }
 
-    /// What the kernel tells of the listener's sockets, now or a moment ago.
-    fn kernel(&self) -> Option<KernelSockets> {
+    /// Socket statistics from the kernel, at most [`SOCKET_STATS_TTL`] old.
+    fn cached_socket_stats(&self) -> Option<KernelSockets> {
         let mut last = locked(&self.kernel);
         match &*last {
-            Some((at, told)) if at.elapsed() < KERNEL_FRESH => told.clone(),
+            Some((at, stats)) if at.elapsed() < SOCKET_STATS_TTL => stats.clone(),
             _ => {
-                let told = kernel(self.port);
-                *last = Some((Instant::now(), told.clone()));
-                told
+                let stats = socket_stats(self.port);
+                *last = Some((Instant::now(), stats.clone()));
+                stats
             }
         }
     }
 
-    /// Takes in how many descriptors there are now, and how many places by them.
-    pub fn update_limits(&self, (limit, most): (usize, Result<usize, String>)) {
-        let (places, told) = match most {
-            Ok(places) => (places, format!("clients: {places} connections at once from now on")),
+    /// Applies the current descriptor limit and the number of client connections that it allows.
+    pub fn update_limits(&self, (limit, max_connections): (usize, Result<usize, String>)) {
+        let (max_connections, line) = match max_connections {
+            Ok(max) => (max, format!("clients: {max} connections at once from now on")),
             Err(error) => (0, format!("clients: nobody is let in: {error}")),
         };
-        if self.places.set_places(limit, places) {
-            eprintln!("{told}");
+        if self.connections.set_max_connections(limit, max_connections) {
+            eprintln!("{line}");
         }
     }
 
-    /// What there is to see of clients: the busiest addresses, at most so many.
+    /// Statistics for the control socket, with at most `most` of the busiest addresses.
     pub fn clients(&self, most: usize) -> Clients {
-        let client = |seen: foldtrack_admission::Seen| ClientLine {
-            address: seen.address.to_string(),
-            known: match (seen.named, seen.known) {
+        let client = |stats: foldtrack_admission::ClientStats| ClientLine {
+            address: stats.address.to_string(),
+            known: match (stats.named, stats.known) {
                 (true, _) => "by name",
                 (false, true) => "earned",
                 (false, false) => "no",
             }
             .into(),
-            connections: seen.open as u32,
-            requests: seen.requests as u32,
-            asked: seen.asked,
-            taken: seen.taken,
-            refused: seen.refused,
-            turned_away: seen.turned_away,
-            rate: (seen.rate * 10.0).round() / 10.0,
-            part: (seen.part * 1000.0).round() / 1000.0,
-            floods: seen.floods,
+            connections: stats.connections as u32,
+            requests: stats.open_requests as u32,
+            asked: stats.requests_total,
+            taken: stats.accepted,
+            refused: stats.refused,
+            turned_away: stats.rejected,
+            rate: (stats.rate * 10.0).round() / 10.0,
+            part: (stats.share * 1000.0).round() / 1000.0,
+            floods: stats.flooding,
         };
-        let parties = ["clients", "calls", "control"].into_iter().zip(self.places.descriptors().seen());
-        let descriptors = parties
-            .map(|(party, (held, most))| Holding {
-                party: party.into(),
-                held: held as u32,
-                most: most as u32,
-            })
+        let users = ["clients", "calls", "control"].into_iter().zip(self.connections.descriptors().usage());
+        let descriptors = users
+            .map(|(user, (held, most))| Holding { party: user.into(), held: held as u32, most: most as u32 })
             .collect();
         let blocks = self.active().into_iter();
         Clients {
-            clients: self.places.seen(most).into_iter().map(client).collect(),
+            clients: self.connections.client_stats(most).into_iter().map(client).collect(),
             blocks: blocks.map(|(network, left)| (network.to_string(), left)).collect(),
             floods: locked(&self.floods).clone(),
             descriptors,
-            lingering: self.places.lingering() as u32,
-            kernel: self.kernel(),
+            lingering: self.connections.lingering() as u32,
+            kernel: self.cached_socket_stats(),
         }
     }
 }
--- a/src/bin/foldtrack/call.rs
+++ b/src/bin/foldtrack/call.rs
@@ -1,4 +1,4 @@
-//! Calls to targets: one call and its outcome.
+//! One call to a target and its outcome.
 
 use crate::clock::Clock;
 use crate::connections::{Connection, SendError};
@@ -6,9 +6,9 @@
 use crate::door::{CallEnd, Input, Inputs};
 use crate::message::Message;
 use crate::partner_protocol::PartnerProtocol;
-use crate::streams::Tap;
+use crate::streams::ResponseTap;
 use foldtrack_clearance::{Clearance, Overtaken};
-use foldtrack_dialect::{Dialect, Meaning, CallContext, Values};
+use foldtrack_dialect::{CallContext, Dialect, Meaning, Values};
 use hatchline::settings::Parsed;
 use hatchline::{LimitReport, Micros, Outcome, TargetId};
 use http::request::Parts;
@@ -24,17 +24,18 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tokio_rustls::rustls;
 
-/// The rest of an answer, whose meaning its first line has told, must come within this span and size for the
-/// connection to be used again.
-const REST_WAIT: Duration = Duration::from_millis(20);
-const REST_BYTES: usize = 64 * 1024;
-/// Whoever is so late has perhaps stood still: what has come meanwhile is read first. In so many turns of the runtime a head
-/// gets from the socket to [`Clearance`], under TLS too.
+/// Time and size limit for the rest of a response, after its head, within which the connection can
+/// be reused.
+const BODY_TIMEOUT: Duration = Duration::from_millis(20);
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// A timer that fires this late indicates that the process stalled: pending socket reads are
+/// processed before anything is decided. A response head gets from the socket to the preflight
+/// check within so many turns of the runtime, under TLS too.
 pub(crate) const STALL_THRESHOLD: Duration = Duration::from_millis(10);
-const TURNS: u32 = 4;
+const RUNTIME_TURNS: u32 = 4;
 /// ENFILE and EMFILE.
-const OWN_LIMITS: [i32; 2] = [23, 24];
-/// A reported limit beyond this, in calls a second, can't be meant.
+const LOCAL_LIMIT_ERRNOS: [i32; 2] = [23, 24];
+/// Reported limits above this, in calls per second, are taken for errors.
 const HIGHEST_RATE: f64 = 1e6;
 
 /// A call to be made.
@@ -46,33 +47,34 @@
     pub message: Arc<Message>,
     pub dial_timeout: Duration,
     pub deadline: Instant,
-    /// One that stood idle, and for how long.
+    /// A reused connection, and how long it was idle.
     pub connection: Option<(Connection, Duration)>,
-    /// For a new connection; none if there is none left for calls.
+    /// The permit for a new connection; none if no descriptor is left for calls.
     pub descriptor: Option<DescriptorPermit>,
-    /// Answers told as limit reports (PROTOCOL).
+    /// Read limit reports from responses (PROTOCOL).
     pub limit_reports: bool,
-    /// Whether it may still go, whatever is told meanwhile.
+    /// The preflight check: whether the call may still be sent, by the latest facts.
     pub clearance: Clearance,
     pub clock: Clock,
-    /// How its partner is spoken to.
+    /// How the partner is called.
     pub protocol: Arc<PartnerProtocol>,
     pub settings: Arc<Parsed>,
 }
 
-/// Why there is no answer to read.
-enum Unsent {
-    By(Outcome),
-    /// There is no connection, and this is why.
-    Unconnected(String),
-    /// The message lacks what this partner's dialect needs, whenever it is sent.
-    Never,
-    /// News has overtaken the decision. The connection is as good as before.
+/// Why there is no response to interpret.
+enum NoResponse {
+    Outcome(Outcome),
+    /// No connection could be opened, for this reason.
+    ConnectFailed(String),
+    /// The message lacks what this partner's protocol needs, and never will have it.
+    Unsendable,
+    /// Newer facts forbid the call. The connection can be reused.
     Overtaken(Overtaken, Option<Box<Connection>>),
 }
 
 impl Call {
-    /// Its end while nothing has been done for it. Where its connection goes is for the caller to say.
+    /// The end of a call of which nothing has been done yet. The caller decides what becomes of its
+    /// connection.
     pub fn unstarted_end(&self, outcome: Outcome) -> CallEnd {
         CallEnd {
             number: self.number,
@@ -93,10 +95,10 @@
     }
 }
 
-/// Opens a connection ahead of demand and tells its end.
+/// Opens a connection ahead of demand and reports the result.
 pub(crate) async fn dial(
-    target: TargetId, number: u64, address: SocketAddr, protocol: Arc<PartnerProtocol>, descriptor: DescriptorPermit,
-    dial_timeout: Duration, inputs: Inputs,
+    target: TargetId, number: u64, address: SocketAddr, protocol: Arc<PartnerProtocol>,
+    descriptor: DescriptorPermit, dial_timeout: Duration, inputs: Inputs,
 ) {
     let begun = Instant::now();
     let opening = Connection::open(address, protocol.encryption.as_ref(), Some(descriptor));
@@ -104,13 +106,13 @@
     inputs.send(Input::Opened { target, number, opened: opened.map(|c| (c, begun.elapsed())) });
 }
 
-/// Why there is no connection, for people.
-fn why(error: &io::Error) -> String {
+/// Describes why there is no connection.
+fn describe_io_error(error: &io::Error) -> String {
     let tls = error.get_ref().and_then(|inner| inner.downcast_ref::<rustls::Error>());
     tls.map_or_else(|| error.to_string(), foldtrack_tls::describe_error)
 }
 
-/// Makes one call and tells its end: exactly once, and never tries again by itself.
+/// Makes one call and reports its end exactly once; it never retries by itself.
 pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: Inputs) {
     let mut end = call.unstarted_end(Outcome::ConnectFailed);
     let Call {
@@ -128,16 +130,17 @@
         ..
     } = call;
     let reused = idle.is_some();
-    // From when the request is with the connection only an answer proves that it has not run.
+    // Once the request has been passed to the connection, only a response proves that it has not
+    // run.
     let mut handed_over = None;
     let mut dialled = None;
     let exchange = async {
         let mut connection = match idle {
             Some((connection, _)) => connection,
             None => {
-                // Nothing is opened for a call that must not go.
-                clearance.check(clock.now()).map_err(|why| Unsent::Overtaken(why, None))?;
-                let descriptor = Some(descriptor.ok_or(Unsent::By(Outcome::NotSent))?);
+                // No connection is opened for a call that must not be sent.
+                clearance.check(clock.now()).map_err(|reason| NoResponse::Overtaken(reason, None))?;
+                let descriptor = Some(descriptor.ok_or(NoResponse::Outcome(Outcome::NotSent))?);
                 let begun = Instant::now();
                 let opening = Connection::open(address, protocol.encryption.as_ref(), descriptor);
                 match timeout(dial_timeout, opening).await {
@@ -145,26 +148,28 @@
                         dialled = Some(begun.elapsed());
                         connection
                     }
-                    // Out of descriptors here: that says nothing of the target.
-                    Ok(Err(e)) if OWN_LIMITS.map(Some).contains(&e.raw_os_error()) => {
-                        return Err(Unsent::By(Outcome::NotSent))
+                    // This process is out of descriptors, which says nothing about the target.
+                    Ok(Err(e)) if LOCAL_LIMIT_ERRNOS.map(Some).contains(&e.raw_os_error()) => {
+                        return Err(NoResponse::Outcome(Outcome::NotSent))
                     }
-                    Ok(Err(e)) => return Err(Unsent::Unconnected(why(&e))),
-                    Err(_) => return Err(Unsent::Unconnected("no connection in time".into())),
+                    Ok(Err(e)) => return Err(NoResponse::ConnectFailed(describe_io_error(&e))),
+                    Err(_) => return Err(NoResponse::ConnectFailed("no connection in time".into())),
                 }
             }
         };
         if clock.now() > clearance.decided + STALL_THRESHOLD.as_micros() as Micros {
             yield_to_socket_reads().await;
         }
-        // Guards against news that came while the connection did: up to the time for connecting lies between the decision
-        // and the first byte, and whoever has told another call to wait meanwhile, drains or looks out gets nothing new.
-        if let Err(why) = clearance.check(clock.now()) {
-            return Err(Unsent::Overtaken(why, Some(Box::new(connection))));
+        // Guards against facts that arrived while the connection was opened: up to the connect
+        // timeout lies between the decision and the first byte. A destination that has meanwhile
+        // requested a wait, is draining or has failed is sent nothing new.
+        if let Err(reason) = clearance.check(clock.now()) {
+            return Err(NoResponse::Overtaken(reason, Some(Box::new(connection))));
         }
-        // It came up in the moment in which the call's time ended: what was decided on in time would be written too late.
+        // The connection was opened just as the deadline passed: a request that was due in time
+        // would be written too late.
         if Instant::now() >= deadline {
-            return Err(Unsent::By(Outcome::ConnectFailed));
+            return Err(NoResponse::Outcome(Outcome::ConnectFailed));
         }
         let request = Request::from_parts(
             head(&message, address, deadline, &protocol, &settings)?,
@@ -173,101 +178,122 @@
         handed_over = Some(connection.tap.clone());
         match connection.send(request).await {
             Ok(response) => Ok((connection, response)),
-            // A connection that was closed while it stood idle tells nothing of the target's health.
-            Err(SendError::Unsent) if reused => Err(Unsent::By(Outcome::NotSent)),
-            Err(SendError::Unsent) => Err(Unsent::By(Outcome::ConnectFailed)),
-            Err(SendError::Refused(why)) if !reused => Err(Unsent::Unconnected(why)),
-            Err(SendError::ConnectionLost | SendError::Refused(_)) => Err(Unsent::By(Outcome::Reset)),
-            Err(SendError::UnreadableResponse) => Err(Unsent::By(Outcome::Spoilt)),
+            // A connection that was closed while idle says nothing about the target's health.
+            Err(SendError::Unsent) if reused => Err(NoResponse::Outcome(Outcome::NotSent)),
+            Err(SendError::Unsent) => Err(NoResponse::Outcome(Outcome::ConnectFailed)),
+            Err(SendError::Refused(reason)) if !reused => Err(NoResponse::ConnectFailed(reason)),
+            Err(SendError::ConnectionLost | SendError::Refused(_)) => {
+                Err(NoResponse::Outcome(Outcome::Reset))
+            }
+            Err(SendError::UnreadableResponse) => Err(NoResponse::Outcome(Outcome::Spoilt)),
         }
     };
-    let answer = tokio::select! {
+    let response = tokio::select! {
         biased;
         answer = exchange => answer.map_err(Some),
         () = sleep_until(deadline) => Err(None),
-        Ok(()) = &mut cancelled => Err(Some(Unsent::By(Outcome::Cancelled))),
+        Ok(()) = &mut cancelled => Err(Some(NoResponse::Outcome(Outcome::Cancelled))),
     };
     end.dialled = dialled;
     end.late = Instant::now() >= deadline;
-    if let (Err(None | Some(Unsent::By(Outcome::Cancelled))), Some(tap)) = (&answer, &handed_over) {
-        tap.last_look();
-        tap.give_up();
+    if let (Err(None | Some(NoResponse::Outcome(Outcome::Cancelled))), Some(tap)) = (&response, &handed_over)
+    {
+        tap.read_pending();
+        tap.reset_on_close();
     }
-    // At once, and not with the call's end by way of the loop: other calls may be about to go.
-    let told_to_wait = |end: &mut CallEnd, headers: &HeaderMap| {
+    // Recorded here and not when the event loop handles the end of the call: other calls may be
+    // about to be sent.
+    let record_wait = |end: &mut CallEnd, headers: &HeaderMap| {
         let now = clock.now();
         end.wait_until = protocol.dialect.wait(headers, clock.unix(now)).map(|wait| now.saturating_add(wait));
         end.wait_until.into_iter().for_each(|until| clearance.lane.told_to_wait(until));
     };
-    let unread = answer.is_err();
-    match answer {
+    let no_response = response.is_err();
+    match response {
         Ok((mut connection, response)) => {
             let response_status = response.status();
-            read_head(&mut end, response_status, response.headers(), &protocol.dialect, limit_reports);
+            apply_response_head(
+                &mut end,
+                response_status,
+                response.headers(),
+                &protocol.dialect,
+                limit_reports,
+            );
             if end.outcome == Outcome::Full {
-                told_to_wait(&mut end, response.headers());
+                record_wait(&mut end, response.headers());
             }
-            let rest = timeout(REST_WAIT, connection.finish(response.into_body(), REST_BYTES)).await;
-            // After a switch of protocols it speaks another one.
-            let usable = matches!(rest, Ok(Some(_))) && response_status != StatusCode::SWITCHING_PROTOCOLS;
+            let body = timeout(BODY_TIMEOUT, connection.finish(response.into_body(), MAX_BODY_BYTES)).await;
+            // After a protocol switch the connection no longer speaks HTTP.
+            let usable = matches!(body, Ok(Some(_))) && response_status != StatusCode::SWITCHING_PROTOCOLS;
             end.connection = usable.then_some(connection);
         }
-        // The first line is true though nothing else of the answer can be read: the message is delivered.
-        Err(_) if handed_over.as_ref().is_some_and(|tap| delivers(tap, &protocol.dialect)) => {
+        // The status line counts although the rest of the response can't be read: the message is
+        // delivered.
+        Err(_) if handed_over.as_ref().is_some_and(|tap| is_delivered(tap, &protocol.dialect)) => {
             (end.outcome, end.over) = (Outcome::Ok, true);
         }
-        Err(Some(Unsent::Overtaken(why, connection))) => {
+        Err(Some(NoResponse::Overtaken(reason, connection))) => {
             end.outcome = Outcome::HeldBack;
-            // Nothing new goes to an endpoint that drains: there is nothing to keep it for.
-            end.connection = connection.filter(|_| why != Overtaken::Closed).map(|connection| *connection);
-            end.wait_until = if let Overtaken::Waits { until } = why { Some(until) } else { None };
+            // A draining endpoint is sent nothing new, so its connection is not kept.
+            end.connection = connection.filter(|_| reason != Overtaken::Closed).map(|connection| *connection);
+            end.wait_until = if let Overtaken::Waits { until } = reason { Some(until) } else { None };
+        }
+        Err(Some(NoResponse::Unsendable)) => {
+            (end.outcome, end.over, end.refused) = (Outcome::NotSent, true, true)
+        }
+        Err(Some(NoResponse::ConnectFailed(reason))) => {
+            (end.outcome, end.cause) = (Outcome::ConnectFailed, reason)
+        }
+        Err(Some(NoResponse::Outcome(Outcome::Cancelled))) if handed_over.is_none() => {
+            end.outcome = Outcome::NotSent
         }
-        Err(Some(Unsent::Never)) => (end.outcome, end.over, end.refused) = (Outcome::NotSent, true, true),
-        Err(Some(Unsent::Unconnected(why))) => (end.outcome, end.cause) = (Outcome::ConnectFailed, why),
-        Err(Some(Unsent::By(Outcome::Cancelled))) if handed_over.is_none() => end.outcome = Outcome::NotSent,
         Err(None) if handed_over.is_none() => end.outcome = Outcome::ConnectFailed,
         Err(None) => end.outcome = Outcome::TimedOut,
-        Err(Some(Unsent::By(outcome))) => end.outcome = outcome,
+        Err(Some(NoResponse::Outcome(outcome))) => end.outcome = outcome,
     }
-    // A wait is heeded though the rest of its answer never comes or can't be read: cut off, reset, spoilt, given up.
-    if let Some((status, headers)) = handed_over.filter(|_| unread).and_then(|t| t.head()) {
+    // A requested wait is honoured although the rest of its response was cut off, reset,
+    // unreadable, or not waited for.
+    if let Some((status, headers)) = handed_over.filter(|_| no_response).and_then(|t| t.head()) {
         if protocol.dialect.meaning(status, &headers) == Meaning::Wait {
-            told_to_wait(&mut end, &headers);
+            record_wait(&mut end, &headers);
         }
     }
     inputs.send(Input::CallEnded(end));
 }
 
-/// Guards against a process that stood still, for its disk or since its host took the core away: what it wakes to first may be
-/// the calls that are to go, and the answer that forbids them lies in a socket unread.
+/// Lets the runtime process pending socket reads. Guards against a process that stalled, on its
+/// disk or because its host was preempted: it may first resume the calls that are due while the
+/// response that forbids them is still unread in a socket.
 pub(crate) async fn yield_to_socket_reads() {
-    for _ in 0..TURNS {
+    for _ in 0..RUNTIME_TURNS {
         yield_now().await;
     }
 }
 
-/// The head of the request.
+/// Builds the request head.
 fn head(
     message: &Message, address: SocketAddr, deadline: Instant, protocol: &PartnerProtocol, settings: &Parsed,
-) -> Result<Parts, Unsent> {
+) -> Result<Parts, NoResponse> {
     let timeout_us = deadline.saturating_duration_since(Instant::now()).as_micros() as u64;
     let class = settings.class_names.get(message.class).map_or("", String::as_str);
-    let outgoing = CallContext {
+    let call_context = CallContext {
         values: Values { id: &message.id, class, key: &message.key },
         idempotency_key: message.idempotency_key.as_deref(),
         authority: &address.to_string(),
         timeout_us,
     };
-    protocol.head(&outgoing, &message.body).map_err(|_| Unsent::Never)
+    protocol.head(&call_context, &message.body).map_err(|_| NoResponse::Unsendable)
 }
 
-/// Whether what has come of an answer says that the message is delivered.
-fn delivers(tap: &Tap, dialect: &Dialect) -> bool {
+/// Whether the part of the response that has arrived says that the message is delivered.
+fn is_delivered(tap: &ResponseTap, dialect: &Dialect) -> bool {
     tap.status().is_some_and(|status| dialect.answers.meaning(status) == Meaning::Delivered)
 }
 
-/// What an answer means, by its partner's table. What is not in it may have run.
-fn read_head(end: &mut CallEnd, status: StatusCode, headers: &HeaderMap, dialect: &Dialect, limit_reports: bool) {
+/// Interprets a response by its partner's table. A status without an entry may have run.
+fn apply_response_head(
+    end: &mut CallEnd, status: StatusCode, headers: &HeaderMap, dialect: &Dialect, limit_reports: bool,
+) {
     let meaning = dialect.meaning(status.as_u16(), headers);
     end.outcome = match meaning {
         Meaning::Delivered => Outcome::Ok,
@@ -278,15 +304,18 @@
     };
     end.over = matches!(meaning, Meaning::Delivered | Meaning::Over | Meaning::RefusedForGood);
     end.refused = meaning == Meaning::RefusedForGood;
-    let told = dialect.limit(headers).map(|limit| LimitReport { share_left: limit.remaining, rate: limit.rate });
-    end.report = told.or_else(|| text(headers, "X-Load").filter(|_| limit_reports).and_then(limit_report));
+    let reported =
+        dialect.limit(headers).map(|limit| LimitReport { share_left: limit.remaining, rate: limit.rate });
+    end.report = reported
+        .or_else(|| header_text(headers, "X-Load").filter(|_| limit_reports).and_then(parse_limit_report));
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn limit_report(text: &str) -> Option<LimitReport> {
+/// Parses the `X-Load` header of a limit report.
+fn parse_limit_report(text: &str) -> Option<LimitReport> {
     let value = |name: &str| {
         let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
         let mut named = pairs.filter(|(n, _)| n.trim() == name);
