--- a/src/bin/foldtrack/client_connections.rs
+++ b/src/bin/foldtrack/client_connections.rs
@@ -1,10 +1,13 @@
-//! The listener's places: the gate's decisions carried out on connections. Whoever is let go of leaves as soon as no
-//! request is open on its connection; until then it counts as lingering, and few of these are borne at once.
+//! The client connections of the listener: carries out the decisions of the admission gate. An
+//! evicted connection closes as soon as no request is in flight on it; until then it counts as
+//! lingering, and only a few of these are tolerated at a time.
 
 use crate::clock::Clock;
 use crate::descriptors::{DescriptorBudget, DescriptorPermit};
 use crate::lock::locked;
-use foldtrack_admission::{Admit, Ask, Event, Gate, DescriptorUser, Seen, Settings};
+use foldtrack_admission::{
+    ClientStats, ConnectDecision, DescriptorUser, Event, Gate, RequestDecision, Settings,
+};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -12,221 +15,243 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::Notify;
 
-/// Connections that have been let go of and are not closed yet, above which none is accepted.
-const LINGERING: usize = 8;
-/// Answers close their connections when more than this part of the places is taken by those that have asked.
-const CROWDED: usize = 3;
+/// Number of evicted connections still open at which accepting pauses.
+const MAX_LINGERING: usize = 8;
+/// Responses close their connections while more than this fraction (one in so many) of the slots is
+/// taken by connections that have carried a request.
+const CROWDED_DIVISOR: usize = 3;
 
-/// A connection as its task sees it.
+/// The state of a connection that its task and the table share.
 #[derive(Debug)]
-struct Seated {
-    /// Tells it to leave unless a request is open.
-    leave: Arc<Notify>,
+struct ConnectionEntry {
+    /// Asks the task to close the connection unless a request is in flight.
+    close_requested: Arc<Notify>,
     busy: bool,
-    /// It has been told to.
-    going: bool,
+    /// The connection was asked to close.
+    closing: bool,
 }
 
-/// What the listener's connections share, behind one lock: the gate's view and the tasks' are never apart.
+/// Gate and connections behind one lock, so that they always agree.
 #[derive(Debug)]
-struct Hall {
+struct ConnectionTable {
     gate: Gate,
-    seated: HashMap<u64, Seated>,
+    entries: HashMap<u64, ConnectionEntry>,
 }
 
-impl Hall {
-    /// Tells connections to leave.
-    fn tell(&mut self, gone: &[u64]) {
-        for number in gone {
-            if let Some(one) = self.seated.get_mut(number) {
-                one.going = true;
-                one.leave.notify_one();
+impl ConnectionTable {
+    /// Asks connections to close.
+    fn request_close(&mut self, evicted: &[u64]) {
+        for number in evicted {
+            if let Some(entry) = self.entries.get_mut(number) {
+                entry.closing = true;
+                entry.close_requested.notify_one();
             }
         }
     }
 }
 
-/// The places.
+/// All client connections of the listener.
 #[derive(Debug)]
 pub(crate) struct ClientConnections {
-    hall: Mutex<Hall>,
+    table: Mutex<ConnectionTable>,
     descriptors: Arc<DescriptorBudget>,
     clock: Clock,
-    /// As the limits have it, and as the ledger leaves it at the moment.
-    most: AtomicUsize,
-    now: AtomicUsize,
-    /// Somebody has left, or has no request open any more.
-    pub freed: Notify,
+    /// Maximum number of connections: as configured, and as the descriptor budget allows at the
+    /// moment.
+    configured_max: AtomicUsize,
+    current_max: AtomicUsize,
+    /// Notified when a connection closes or has no more request in flight.
+    pub capacity_freed: Notify,
 }
 
 impl ClientConnections {
-    pub fn new(settings: Settings, clock: Clock, descriptors: Arc<DescriptorBudget>) -> Arc<ClientConnections> {
-        let most = settings.max_connections;
-        let hall = Mutex::new(Hall { gate: Gate::new(settings), seated: HashMap::new() });
-        let (most, now) = (AtomicUsize::new(most), AtomicUsize::new(most));
-        Arc::new(ClientConnections { hall, descriptors, clock, most, now, freed: Notify::new() })
+    /// Creates the table with the limits of `settings`.
+    pub fn new(
+        settings: Settings, clock: Clock, descriptors: Arc<DescriptorBudget>,
+    ) -> Arc<ClientConnections> {
+        let max_connections = settings.max_connections;
+        let table = Mutex::new(ConnectionTable { gate: Gate::new(settings), entries: HashMap::new() });
+        let (configured_max, current_max) =
+            (AtomicUsize::new(max_connections), AtomicUsize::new(max_connections));
+        Arc::new(ClientConnections {
+            table,
+            descriptors,
+            clock,
+            configured_max,
+            current_max,
+            capacity_freed: Notify::new(),
+        })
     }
 
-    fn hall(&self) -> MutexGuard<'_, Hall> {
-        locked(&self.hall)
+    fn table(&self) -> MutexGuard<'_, ConnectionTable> {
+        locked(&self.table)
     }
 
-    /// Waits until those who were let go of have left, but for a few.
-    pub async fn settled(&self) {
+    /// Waits until all but a few of the evicted connections have closed.
+    pub async fn wait_for_lingering(&self) {
         loop {
-            let freed = self.freed.notified();
+            let notified = self.capacity_freed.notified();
             let lingering = {
-                let hall = self.hall();
-                hall.seated.len().saturating_sub(hall.gate.open().1)
+                let table = self.table();
+                table.entries.len().saturating_sub(table.gate.connection_counts().1)
             };
-            if lingering < LINGERING {
+            if lingering < MAX_LINGERING {
                 return;
             }
-            freed.await;
+            notified.await;
         }
     }
 
-    /// Asks the gate for a place, and tells whoever has to go for it. `waited` if it was told to wait before.
-    pub fn admit(self: &Arc<Self>, number: u64, address: IpAddr, waited: bool) -> Result<Seat, Admit> {
-        self.fit();
-        let (now, mut hall) = (self.clock.now(), self.hall());
-        let admit = match waited {
-            false => hall.gate.connects(now, number, address),
-            true => hall.gate.waits(now, number, address),
+    /// Asks the gate to admit a connection, and closes the one that it evicts. `waited` if the
+    /// connection was told to wait before.
+    pub fn admit(
+        self: &Arc<Self>, number: u64, address: IpAddr, waited: bool,
+    ) -> Result<ConnectionPermit, ConnectDecision> {
+        self.apply_descriptor_limit();
+        let (now, mut table) = (self.clock.now(), self.table());
+        let decision = match waited {
+            false => table.gate.connect(now, number, address),
+            true => table.gate.retry_waiting(now, number, address),
         };
-        let Admit::In { let_go } = admit else { return Err(admit) };
-        let leave = Arc::new(Notify::new());
-        hall.seated.insert(number, Seated { leave: leave.clone(), busy: false, going: false });
-        hall.tell(let_go.as_slice());
-        // The gate has decided by what the ledger leaves; it is open already.
+        let ConnectDecision::Admit { evicted } = decision else { return Err(decision) };
+        let close_requested = Arc::new(Notify::new());
+        table.entries.insert(
+            number,
+            ConnectionEntry { close_requested: close_requested.clone(), busy: false, closing: false },
+        );
+        table.request_close(evicted.as_slice());
+        // The gate has decided by the descriptor budget, and the descriptor is open already.
         let descriptor = self.descriptors.acquire_unchecked(DescriptorUser::Clients);
-        Ok(Seat { places: self.clone(), number, leave, _descriptor: descriptor })
+        Ok(ConnectionPermit { connections: self.clone(), number, close_requested, _descriptor: descriptor })
     }
 
-    /// Keeps to what the ledger leaves to clients just now.
-    fn fit(&self) {
-        let room = self.descriptors.room(DescriptorUser::Clients);
-        if self.now.swap(room, Ordering::Relaxed) != room {
-            let mut hall = self.hall();
-            let gone = hall.gate.set_places(self.clock.now(), room);
-            hall.tell(&gone);
+    /// Applies the number of connections that the descriptor budget allows at the moment.
+    fn apply_descriptor_limit(&self) {
+        let max_connections = self.descriptors.limit_for(DescriptorUser::Clients);
+        if self.current_max.swap(max_connections, Ordering::Relaxed) != max_connections {
+            let mut table = self.table();
+            let evicted = table.gate.set_max_connections(self.clock.now(), max_connections);
+            table.request_close(&evicted);
         }
     }
 
-    /// What is seen of the busiest addresses.
-    pub fn seen(&self, most: usize) -> Vec<Seen> {
-        self.hall().gate.seen(self.clock.now(), most)
+    /// Statistics of the busiest addresses.
+    pub fn client_stats(&self, most: usize) -> Vec<ClientStats> {
+        self.table().gate.client_stats(self.clock.now(), most)
     }
 
-    /// What has happened that is worth a line.
-    pub fn events(&self) -> Vec<Event> {
-        self.hall().gate.events(self.clock.now())
+    /// Events of the gate since the last call.
+    pub fn take_events(&self) -> Vec<Event> {
+        self.table().gate.take_events(self.clock.now())
     }
 
-    /// The clock that its times are by.
+    /// The clock of all times here.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Blocks a network until a time of the process's clock, and lets go of its connections.
+    /// Blocks a network until a time of the process's clock, and closes its connections.
     ///
     /// # Errors
     /// There are too many blocks.
     pub fn block(&self, network: IpNet, until: u64) -> Result<(), String> {
-        let mut hall = self.hall();
-        let gone = hall.gate.block(self.clock.now(), network, until)?;
-        hall.tell(&gone);
+        let mut table = self.table();
+        let evicted = table.gate.block(self.clock.now(), network, until)?;
+        table.request_close(&evicted);
         Ok(())
     }
 
     /// Ends a block. False if there was none.
     pub fn unblock(&self, network: &IpNet) -> bool {
-        self.hall().gate.unblock(network)
+        self.table().gate.unblock(network)
     }
 
-    /// Blocks, each with its end by the process's clock.
+    /// The blocks, each with its end by the process's clock.
     pub fn blocks(&self) -> BTreeMap<IpNet, u64> {
-        self.hall().gate.blocks().clone()
+        self.table().gate.blocks().clone()
     }
 
-    /// Descriptors by the limit of the moment, and how many places there are by it. Whether these are others than before.
-    pub fn set_places(&self, limit: usize, places: usize) -> bool {
-        self.descriptors.set(limit, places);
-        self.fit();
-        self.freed.notify_one();
-        self.most.swap(places, Ordering::Relaxed) != places
+    /// Sets the descriptor limit and the number of connections that it allows. Returns whether the
+    /// latter has changed.
+    pub fn set_max_connections(&self, limit: usize, max_connections: usize) -> bool {
+        self.descriptors.set_limits(limit, max_connections);
+        self.apply_descriptor_limit();
+        self.capacity_freed.notify_one();
+        self.configured_max.swap(max_connections, Ordering::Relaxed) != max_connections
     }
 
-    /// Who holds how many descriptors.
+    /// The descriptor budget.
     pub fn descriptors(&self) -> &DescriptorBudget {
         &self.descriptors
     }
 
-    /// Connections that were let go of and are not closed yet.
+    /// Number of evicted connections that are still open.
     pub fn lingering(&self) -> usize {
-        let hall = self.hall();
-        hall.seated.len().saturating_sub(hall.gate.open().1)
+        let table = self.table();
+        table.entries.len().saturating_sub(table.gate.connection_counts().1)
     }
 }
 
-/// A connection's own place, free again when this is dropped.
-pub(crate) struct Seat {
-    places: Arc<ClientConnections>,
+/// The slot of one connection, released when dropped.
+pub(crate) struct ConnectionPermit {
+    connections: Arc<ClientConnections>,
     number: u64,
-    /// Tells the connection to leave; see [`Seat::may_leave`].
-    pub leave: Arc<Notify>,
+    /// Notified when the connection should close; see [`ConnectionPermit::can_close`].
+    pub close_requested: Arc<Notify>,
     _descriptor: DescriptorPermit,
 }
 
-impl Seat {
-    /// A request has come.
-    pub fn asks(&self) -> Ask {
-        let mut hall = self.places.hall();
-        if let Some(seated) = hall.seated.get_mut(&self.number) {
-            seated.busy = true;
+impl ConnectionPermit {
+    /// Records a request and decides on it.
+    pub fn begin_request(&self) -> RequestDecision {
+        let mut table = self.connections.table();
+        if let Some(entry) = table.entries.get_mut(&self.number) {
+            entry.busy = true;
         }
-        hall.gate.asks(self.places.clock.now(), self.number)
-    }
-
-    /// It has its answer. Whether the connection is to be closed with it: it was let go of meanwhile, or those who ask
-    /// once and keep their connection crowd the places; what stands in front of them holds only so many, and would turn
-    /// further requests away though this process has time.
-    pub fn answered(&self, taken: bool) -> bool {
-        let (spoken, going) = {
-            let mut hall = self.places.hall();
-            hall.gate.answered(self.places.clock.now(), self.number, taken);
-            let going = hall.seated.get_mut(&self.number).is_some_and(|seated| {
-                seated.busy = false;
-                seated.going
+        table.gate.begin_request(self.connections.clock.now(), self.number)
+    }
+
+    /// Records the response to a request. Returns whether the connection has to close with it:
+    /// because it was evicted in the meantime, or because too many slots are held by connections
+    /// that sent a request and stay open. A proxy in front of the forwarder holds only a limited
+    /// number of connections, and would reject further requests although this process has capacity.
+    pub fn end_request(&self, accepted: bool) -> bool {
+        let (used_connections, closing) = {
+            let mut table = self.connections.table();
+            table.gate.end_request(self.connections.clock.now(), self.number, accepted);
+            let closing = table.entries.get_mut(&self.number).is_some_and(|entry| {
+                entry.busy = false;
+                entry.closing
             });
-            (hall.gate.open().0, going)
+            (table.gate.connection_counts().0, closing)
         };
-        self.places.freed.notify_one();
-        going || spoken > self.places.most.load(Ordering::Relaxed) / CROWDED
+        self.connections.capacity_freed.notify_one();
+        closing
+            || used_connections > self.connections.configured_max.load(Ordering::Relaxed) / CROWDED_DIVISOR
     }
 
-    /// Whether its client is known.
+    /// Whether the client is known.
     pub fn is_known(&self) -> bool {
-        self.places.hall().gate.is_known(self.number)
+        self.connections.table().gate.is_known(self.number)
     }
 
-    /// The client was too slow, or what it sent was no request.
-    pub fn misbehaved(&self) {
-        self.places.hall().gate.misbehaved(self.places.clock.now(), self.number);
+    /// Records that the client was too slow or violated HTTP.
+    pub fn penalize(&self) {
+        self.connections.table().gate.penalize(self.connections.clock.now(), self.number);
     }
 
-    /// Whether it can leave now: not while a request is open.
-    pub fn may_leave(&self) -> bool {
-        self.places.hall().seated.get(&self.number).is_none_or(|seated| !seated.busy)
+    /// Whether the connection can close now: not while a request is in flight.
+    pub fn can_close(&self) -> bool {
+        self.connections.table().entries.get(&self.number).is_none_or(|entry| !entry.busy)
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut hall = self.places.hall();
-        hall.seated.remove(&self.number);
-        hall.gate.leaves(self.places.clock.now(), self.number);
-        drop(hall);
-        self.places.freed.notify_one();
+        let mut table = self.connections.table();
+        table.entries.remove(&self.number);
+        table.gate.disconnect(self.connections.clock.now(), self.number);
+        drop(table);
+        self.connections.capacity_freed.notify_one();
     }
 }
--- a/src/bin/foldtrack/descriptors.rs
+++ b/src/bin/foldtrack/descriptors.rs
@@ -1,96 +1,105 @@
-//! The process's descriptors: the ledger of `foldtrack-admission`, drawn from where sockets are opened and given back
-//! where they are closed.
+//! The file descriptors of the process: the ledger of `foldtrack-admission`, with a permit for each
+//! open socket.
 
 use crate::lock::locked;
 use foldtrack_admission::descriptors::MIN_CLIENT_CONNECTIONS;
-use foldtrack_admission::{Ledger, Part, DescriptorUser};
+use foldtrack_admission::{DescriptorLedger, DescriptorUser, Quota};
 use std::sync::{Arc, Mutex};
 
-/// Descriptors for all but clients and targets: the runtime's, the journal's, those to the platform or the control line's
-/// first readers, and those that are closing.
+/// Descriptors reserved for everything but clients and targets: the runtime, the journal, the
+/// platform or the first connections to the control socket, and sockets being closed.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 32;
-/// Those of them that are the control line's, and how many readers it may have where others leave room.
-const READERS: Part = Part { guaranteed: 8, most: 32 };
+/// The share of these that belongs to the control socket, and the maximum it may use if others
+/// leave room.
+const CONTROL_QUOTA: Quota = Quota { guaranteed: 8, max: 32 };
 
-/// Descriptors that the system allows this process now; the limit may be changed while it runs.
+/// The descriptor limit of the process; it may be changed while the process runs.
 pub(crate) fn descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX))
 }
 
-/// Of so many descriptors half are for clients, and half for calls and for what stands idle between them.
+/// Number of client connections for a number of descriptors: half of them; the other half is for
+/// calls and idle connections.
 pub(crate) fn client_share(sockets: usize) -> usize {
     sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2
 }
 
-/// The ledger, shared by the loop, the listener and the control line.
+/// The descriptor budget, shared by the event loop, the listener and the control socket.
 #[derive(Debug)]
 pub(crate) struct DescriptorBudget {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<DescriptorLedger>,
     calls: usize,
 }
 
-/// One that was drawn; given back when it is dropped.
+/// Permit for one descriptor, returned when dropped.
 #[derive(Debug)]
 pub(crate) struct DescriptorPermit {
-    from: Arc<DescriptorBudget>,
-    party: DescriptorUser,
+    budget: Arc<DescriptorBudget>,
+    user: DescriptorUser,
 }
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        locked(&self.from.ledger).give(self.party);
+        locked(&self.budget.ledger).release(self.user);
     }
 }
 
 impl DescriptorBudget {
-    /// For a process that may hold `limit`, `places` of them for clients, and makes `calls` at once.
-    pub fn new(limit: usize, places: usize, calls: usize) -> Arc<DescriptorBudget> {
-        let ledger =
-            Ledger::new(limit, RESERVED_DESCRIPTORS - READERS.guaranteed, Self::parts(limit, places, calls));
+    /// Creates the budget of a process that may hold `limit` descriptors, `client_connections` of
+    /// them for clients, and that makes `calls` calls at once.
+    pub fn new(limit: usize, client_connections: usize, calls: usize) -> Arc<DescriptorBudget> {
+        let ledger = DescriptorLedger::new(
+            limit,
+            RESERVED_DESCRIPTORS - CONTROL_QUOTA.guaranteed,
+            Self::quotas(limit, client_connections, calls),
+        );
         Arc::new(DescriptorBudget { ledger: Mutex::new(ledger), calls })
     }
 
-    fn parts(limit: usize, places: usize, calls: usize) -> [Part; 3] {
-        let left = limit.saturating_sub(RESERVED_DESCRIPTORS).saturating_sub(places);
-        let clients = Part { guaranteed: places.min(MIN_CLIENT_CONNECTIONS), most: places };
-        [clients, Part { guaranteed: calls, most: left.max(calls) }, READERS]
+    /// Quotas in the order of [`DescriptorUser`].
+    fn quotas(limit: usize, client_connections: usize, calls: usize) -> [Quota; 3] {
+        let left = limit.saturating_sub(RESERVED_DESCRIPTORS).saturating_sub(client_connections);
+        let clients =
+            Quota { guaranteed: client_connections.min(MIN_CLIENT_CONNECTIONS), max: client_connections };
+        [clients, Quota { guaranteed: calls, max: left.max(calls) }, CONTROL_QUOTA]
     }
 
-    /// The limit is another one now, or the places are.
-    pub fn set(&self, limit: usize, places: usize) {
-        locked(&self.ledger).set_limits(limit, Self::parts(limit, places, self.calls));
+    /// Changes the limit of the process or the number of client connections.
+    pub fn set_limits(&self, limit: usize, client_connections: usize) {
+        locked(&self.ledger).set_limits(limit, Self::quotas(limit, client_connections, self.calls));
     }
 
-    /// How many a party may hold now.
-    pub fn room(&self, party: DescriptorUser) -> usize {
-        locked(&self.ledger).room(party)
+    /// How many descriptors a user may hold at the moment.
+    pub fn limit_for(&self, user: DescriptorUser) -> usize {
+        locked(&self.ledger).limit_for(user)
     }
 
-    /// How many a party holds.
-    pub fn held(&self, party: DescriptorUser) -> usize {
-        locked(&self.ledger).held(party)
+    /// How many descriptors a user holds.
+    pub fn held(&self, user: DescriptorUser) -> usize {
+        locked(&self.ledger).held(user)
     }
 
-    /// How many a party holds beyond what it may.
-    pub fn excess(&self, party: DescriptorUser) -> usize {
-        locked(&self.ledger).over(party)
+    /// How many descriptors a user holds beyond what it may.
+    pub fn excess(&self, user: DescriptorUser) -> usize {
+        locked(&self.ledger).excess(user)
     }
 
-    /// Who holds how many, and may hold: clients, calls, readers of the control line.
-    pub fn seen(&self) -> [(usize, usize); 3] {
+    /// Descriptors held and allowed at the moment: clients, calls, control socket.
+    pub fn usage(&self) -> [(usize, usize); 3] {
         let ledger = locked(&self.ledger);
-        [DescriptorUser::Clients, DescriptorUser::Calls, DescriptorUser::Control].map(|p| (ledger.held(p), ledger.room(p)))
+        [DescriptorUser::Clients, DescriptorUser::Calls, DescriptorUser::Control]
+            .map(|p| (ledger.held(p), ledger.limit_for(p)))
     }
 
-    /// Draws one, if the party may have one more.
-    pub fn acquire(self: &Arc<Self>, party: DescriptorUser) -> Option<DescriptorPermit> {
-        locked(&self.ledger).draw(party).then(|| DescriptorPermit { from: self.clone(), party })
+    /// Takes a permit, if the user may hold one more.
+    pub fn acquire(self: &Arc<Self>, user: DescriptorUser) -> Option<DescriptorPermit> {
+        locked(&self.ledger).acquire(user).then(|| DescriptorPermit { budget: self.clone(), user })
     }
 
-    /// Notes one that is open already.
-    pub fn acquire_unchecked(self: &Arc<Self>, party: DescriptorUser) -> DescriptorPermit {
-        locked(&self.ledger).note(party);
-        DescriptorPermit { from: self.clone(), party }
+    /// Returns a permit for a descriptor that is open already.
+    pub fn acquire_unchecked(self: &Arc<Self>, user: DescriptorUser) -> DescriptorPermit {
+        locked(&self.ledger).acquire_unchecked(user);
+        DescriptorPermit { budget: self.clone(), user }
     }
 }
--- a/src/bin/foldtrack/ends_api.rs
+++ b/src/bin/foldtrack/ends_api.rs
@@ -1,7 +1,8 @@
-//! What clients of a site of their own ask on the listener beside handing messages in: how messages ended.
+//! The HTTP requests, beside submitting messages, that a site offers to its clients: how messages
+//! ended.
 //!
-//! `GET /v1/messages/ID` tells of one message. `GET /v1/ends?after=CURSOR` gives the ends behind a cursor and
-//! acknowledges those up to it; where there is none, it waits for one.
+//! `GET /v1/messages/ID` describes one message. `GET /v1/ends?after=CURSOR` returns the outcomes
+//! after a cursor and acknowledges those up to it; if there is none, it waits for one.
 
 use crate::door::{Ask, Input, Inputs};
 use crate::told::told_end;
@@ -16,38 +17,41 @@
 use tokio::sync::{oneshot, watch, Semaphore};
 use tokio::time::{timeout_at, Instant};
 
-/// Longest wait of a poll, and the one of a poll that names none.
-const LONGEST_POLL: Duration = Duration::from_secs(60);
-const USUAL_POLL: Duration = Duration::from_secs(20);
-/// Polls that wait at once: each holds a connection that others could use.
-const POLLS: usize = 16;
-/// Ends in one answer at most.
-const MOST: usize = 500;
+/// Maximum wait of a poll, and the default.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
+const DEFAULT_POLL_WAIT: Duration = Duration::from_secs(20);
+/// Maximum number of polls that wait at once: each occupies a connection.
+const MAX_WAITING_POLLS: usize = 16;
+/// Maximum number of outcomes in one response.
+const MAX_ENDS: usize = 500;
 
-/// What the connections of a site's clients share beside the desk.
+/// What the client connections share for these requests.
 pub(crate) struct EndsApi {
-    /// Numbers of partners by name.
+    /// Partner numbers by name.
     pub partners: HashMap<String, u32>,
-    /// Sequence number of the last end.
-    seen: watch::Receiver<u64>,
+    /// Sequence number of the latest outcome.
+    last_end: watch::Receiver<u64>,
     polls: Semaphore,
 }
 
 impl EndsApi {
-    pub fn new(partners: HashMap<String, u32>, seen: watch::Receiver<u64>) -> Self {
-        EndsApi { partners, seen, polls: Semaphore::new(POLLS) }
+    /// `last_end` carries the sequence number of the latest outcome.
+    pub fn new(partners: HashMap<String, u32>, last_end: watch::Receiver<u64>) -> Self {
+        EndsApi { partners, last_end, polls: Semaphore::new(MAX_WAITING_POLLS) }
     }
 }
 
-fn told(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
+/// A response with a JSON body.
+fn json_response(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::from(format!("{body}\n")));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-fn wrong(status: StatusCode, problem: &str) -> Response<Full<Bytes>> {
-    told(status, &json!({"error": problem}))
+/// A response with an error text.
+fn error_response(status: StatusCode, problem: &str) -> Response<Full<Bytes>> {
+    json_response(status, &json!({"error": problem}))
 }
 
 /// Answers `GET /v1/messages/ID`.
@@ -55,9 +59,9 @@
     let (reply, answer) = oneshot::channel();
     inputs.send(Input::Site(Ask::Message { id: id.to_string(), reply }));
     match answer.await {
-        Ok(Some(message)) => told(StatusCode::OK, &json!(message)),
-        Ok(None) => told(StatusCode::NOT_FOUND, &json!({"id": id, "state": "unknown"})),
-        Err(_) => wrong(StatusCode::SERVICE_UNAVAILABLE, "the forwarder is ending"),
+        Ok(Some(message)) => json_response(StatusCode::OK, &json!(message)),
+        Ok(None) => json_response(StatusCode::NOT_FOUND, &json!({"id": id, "state": "unknown"})),
+        Err(_) => error_response(StatusCode::SERVICE_UNAVAILABLE, "the forwarder is ending"),
     }
 }
 
@@ -70,15 +74,16 @@
     wait: Duration,
 }
 
-fn poll(query: &str) -> Result<Poll, String> {
-    let mut poll = Poll { after: None, peek: false, most: MOST, wait: USUAL_POLL };
+/// Parses the query of a poll; the error names the parameter.
+fn parse_poll(query: &str) -> Result<Poll, String> {
+    let mut poll = Poll { after: None, peek: false, most: MAX_ENDS, wait: DEFAULT_POLL_WAIT };
     for pair in query.split('&').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
         let number = || value.parse::<u64>().map_err(|_| format!("{name}: {value:?} is no whole number"));
         match name {
             "after" => poll.after = Some(number()?),
-            "most" => poll.most = (number()?.clamp(1, MOST as u64)) as usize,
-            "wait_ms" => poll.wait = Duration::from_millis(number()?).min(LONGEST_POLL),
+            "most" => poll.most = (number()?.clamp(1, MAX_ENDS as u64)) as usize,
+            "wait_ms" => poll.wait = Duration::from_millis(number()?).min(MAX_POLL_WAIT),
             "peek" => poll.peek = value != "0",
             _ => return Err(format!("{name} is not known; there are after, most, wait_ms and peek")),
         }
@@ -88,33 +93,33 @@
 
 /// Answers `GET /v1/ends`.
 pub(crate) async fn ends(query: &str, ends_api: &EndsApi, inputs: &Inputs) -> Response<Full<Bytes>> {
-    let Poll { mut after, peek, most, wait } = match poll(query) {
+    let Poll { mut after, peek, most, wait } = match parse_poll(query) {
         Ok(poll) => poll,
-        Err(problem) => return wrong(StatusCode::BAD_REQUEST, &problem),
+        Err(problem) => return error_response(StatusCode::BAD_REQUEST, &problem),
     };
-    let Ok(_place) = ends_api.polls.try_acquire() else {
-        let mut response = wrong(StatusCode::SERVICE_UNAVAILABLE, "too many polls wait already");
+    let Ok(_permit) = ends_api.polls.try_acquire() else {
+        let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "too many polls wait already");
         response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
         return response;
     };
     let until = Instant::now() + wait;
-    let mut seen = ends_api.seen.clone();
+    let mut last_end = ends_api.last_end.clone();
     loop {
-        seen.mark_unchanged();
+        last_end.mark_unchanged();
         let (reply, answer) = oneshot::channel();
         inputs.send(Input::Site(Ask::Ends { after, peek, most, reply }));
         let fetched = match answer.await {
             Ok(Ok(fetched)) => fetched,
             Ok(Err(e)) if e.kind() == io::ErrorKind::InvalidInput => {
-                return wrong(StatusCode::BAD_REQUEST, &format!("after: {e}"));
+                return error_response(StatusCode::BAD_REQUEST, &format!("after: {e}"));
             }
-            Ok(Err(e)) => return wrong(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string()),
-            Err(_) => return wrong(StatusCode::SERVICE_UNAVAILABLE, "the forwarder is ending"),
+            Ok(Err(e)) => return error_response(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string()),
+            Err(_) => return error_response(StatusCode::SERVICE_UNAVAILABLE, "the forwarder is ending"),
         };
-        let ended =
-            fetched.ends.is_empty() && timeout_at(until, seen.changed()).await.is_ok_and(|c| c.is_ok());
-        if ended {
-            // What was acknowledged is; the rest of the wait is for what comes.
+        let changed =
+            fetched.ends.is_empty() && timeout_at(until, last_end.changed()).await.is_ok_and(|c| c.is_ok());
+        if changed {
+            // The acknowledgement is done; the rest of the wait is for new outcomes.
             after = Some(fetched.cursor);
             continue;
         }
@@ -124,7 +129,7 @@
             line
         };
         let lines: Vec<Value> = fetched.ends.iter().map(|(cursor, end)| line((cursor, end))).collect();
-        return told(StatusCode::OK, &json!({"cursor": fetched.cursor, "ends": lines}));
+        return json_response(StatusCode::OK, &json!({"cursor": fetched.cursor, "ends": lines}));
     }
 }
 
@@ -133,13 +138,13 @@
     use super::*;
 
     #[test]
-    fn polls_are_read_or_told_what_is_wrong() {
-        let usual = Poll { after: None, peek: false, most: MOST, wait: USUAL_POLL };
-        assert_eq!(poll(""), Ok(usual));
-        let told = Poll { after: Some(7), peek: true, most: 1, wait: LONGEST_POLL };
-        assert_eq!(poll("after=7&peek=1&most=0&wait_ms=99999999"), Ok(told));
+    fn queries_are_parsed_or_rejected_with_a_reason() {
+        let defaults = Poll { after: None, peek: false, most: MAX_ENDS, wait: DEFAULT_POLL_WAIT };
+        assert_eq!(parse_poll(""), Ok(defaults));
+        let expected = Poll { after: Some(7), peek: true, most: 1, wait: MAX_POLL_WAIT };
+        assert_eq!(parse_poll("after=7&peek=1&most=0&wait_ms=99999999"), Ok(expected));
         for query in ["after=x", "after=-1", "after", "before=3"] {
-            assert!(poll(query).is_err(), "{query}");
+            assert!(parse_poll(query).is_err(), "{query}");
         }
     }
 }
--- a/src/bin/foldtrack/notice_queue.rs
+++ b/src/bin/foldtrack/notice_queue.rs
@@ -1,16 +1,18 @@
-//! The ends that the platform has not taken yet: which go out when, and the keys that wait for them.
+//! Notices of ended messages that the platform has not acknowledged yet: when they are sent, and
+//! which order keys wait for them.
 
 use foldtrack_journal::Notice;
 use hatchline::Micros;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Reports under way at once, notices in one, and the pause after one that failed.
-const REPORTS: usize = 8;
-const NOTICES: usize = 64;
-const REPORT_PAUSE: Micros = 100_000;
+/// Maximum number of reports in flight, notices in one report, and the pause in microseconds after
+/// a report that failed.
+const MAX_PARALLEL_REPORTS: usize = 8;
+const MAX_NOTICES_PER_REPORT: usize = 64;
+const RETRY_PAUSE_US: Micros = 100_000;
 
-/// A message that ends by a notice; it is over once that is answered.
+/// The notice that ends a message; the message is settled once the platform acknowledges it.
 #[derive(Debug)]
 pub(crate) struct PendingNotice {
     pub id: String,
@@ -19,6 +21,7 @@
 }
 
 impl PendingNotice {
+    /// The notice as a line of a report.
     fn line(&self) -> String {
         let PendingNotice { id, notice, .. } = self;
         let line = match notice {
@@ -33,81 +36,87 @@
 }
 
 #[derive(Debug, Default)]
+/// The queue of notices.
 pub(crate) struct NoticeQueue {
-    endings: BTreeMap<u64, PendingNotice>,
+    pending: BTreeMap<u64, PendingNotice>,
     unsent: BTreeSet<u64>,
     /// How many notices each order key waits for.
-    keys: HashMap<u64, u32>,
-    out: usize,
-    from: Micros,
+    held_keys: HashMap<u64, u32>,
+    reports_in_flight: usize,
+    not_before: Micros,
 }
 
 impl NoticeQueue {
-    pub fn insert(&mut self, number: u64, ending: PendingNotice) {
-        if ending.order_key != 0 {
-            *self.keys.entry(ending.order_key).or_default() += 1;
+    /// Adds the notice of message `number`.
+    pub fn insert(&mut self, number: u64, notice: PendingNotice) {
+        if notice.order_key != 0 {
+            *self.held_keys.entry(notice.order_key).or_default() += 1;
         }
-        self.endings.insert(number, ending);
+        self.pending.insert(number, notice);
         self.unsent.insert(number);
     }
 
-    /// A notice is taken, or nobody is owed it any more.
+    /// Removes a notice that was acknowledged, or is no longer owed.
     pub fn remove(&mut self, number: u64) -> Option<PendingNotice> {
         self.unsent.remove(&number);
-        let ending = self.endings.remove(&number)?;
-        if let Some(count) = self.keys.get_mut(&ending.order_key) {
+        let notice = self.pending.remove(&number)?;
+        if let Some(count) = self.held_keys.get_mut(&notice.order_key) {
             *count -= 1;
             if *count == 0 {
-                self.keys.remove(&ending.order_key);
+                self.held_keys.remove(&notice.order_key);
             }
         }
-        Some(ending)
+        Some(notice)
     }
 
+    /// Whether every notice was acknowledged.
     pub fn is_empty(&self) -> bool {
-        self.endings.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Whether an earlier message of the key is not over.
+    /// Whether an earlier message with this order key is not settled.
     pub fn holds_key(&self, order_key: u64) -> bool {
-        self.keys.contains_key(&order_key)
+        self.held_keys.contains_key(&order_key)
     }
 
-    /// The next report to be sent now, the oldest notices first: their messages and their lines.
+    /// Takes the next report that is due, oldest notices first: the numbers of their messages and
+    /// the body.
     pub fn next_report(&mut self, now: Micros) -> Option<(Vec<u64>, String)> {
-        self.next_due().filter(|from| *from <= now)?;
+        self.next_due().filter(|not_before| *not_before <= now)?;
         let mut numbers = Vec::new();
         let mut lines = String::new();
-        while numbers.len() < NOTICES {
+        while numbers.len() < MAX_NOTICES_PER_REPORT {
             let Some(number) = self.unsent.pop_first() else { break };
-            lines.extend(self.endings.get(&number).map(PendingNotice::line));
+            lines.extend(self.pending.get(&number).map(PendingNotice::line));
             numbers.push(number);
         }
-        self.out += 1;
+        self.reports_in_flight += 1;
         Some((numbers, lines))
     }
 
-    /// When there is another report to send, if none has to come back first.
+    /// When the next report may be sent; none if there is nothing to send, or a response has to
+    /// come first.
     pub fn next_due(&self) -> Option<Micros> {
-        (!self.unsent.is_empty() && self.out < REPORTS).then_some(self.from)
+        (!self.unsent.is_empty() && self.reports_in_flight < MAX_PARALLEL_REPORTS).then_some(self.not_before)
     }
 
-    /// A report has come back.
+    /// Records that a report was answered or failed.
     pub fn report_finished(&mut self) {
-        self.out -= 1;
+        self.reports_in_flight -= 1;
     }
 
-    /// These go again; `paused`, since where they went is still the address to send to.
+    /// Puts notices back into the queue. With `paused`, the next report waits, since it would go to
+    /// the same address.
     pub fn requeue(&mut self, numbers: Vec<u64>, now: Micros, paused: bool) {
-        self.unsent.extend(numbers.into_iter().filter(|n| self.endings.contains_key(n)));
+        self.unsent.extend(numbers.into_iter().filter(|n| self.pending.contains_key(n)));
         if paused {
-            self.from = now + REPORT_PAUSE;
+            self.not_before = now + RETRY_PAUSE_US;
         }
     }
 
-    /// The platform is elsewhere: no pause holds there.
+    /// Ends the pause: the platform has a new address.
     pub fn reset_pause(&mut self) {
-        self.from = 0;
+        self.not_before = 0;
     }
 }
 
@@ -116,11 +125,14 @@
     use super::*;
 
     #[test]
-    fn a_key_is_held_until_its_last_notice_is_taken_and_the_oldest_go_first() {
+    fn a_key_is_held_until_its_last_notice_is_acknowledged_and_the_oldest_go_first() {
         let mut notices = NoticeQueue::default();
         for number in (1..=100).rev() {
             let order_key = if number <= 2 { 7 } else { 0 };
-            notices.insert(number, PendingNotice { id: format!("m{number}"), order_key, notice: Notice::GivenUp });
+            notices.insert(
+                number,
+                PendingNotice { id: format!("m{number}"), order_key, notice: Notice::GivenUp },
+            );
         }
         assert!(notices.holds_key(7) && !notices.holds_key(0));
         let (numbers, lines) = notices.next_report(0).unwrap();
@@ -136,6 +148,6 @@
         for number in 3..=100 {
             notices.remove(number);
         }
-        assert!(notices.is_empty() && notices.keys.is_empty() && notices.next_due().is_none());
+        assert!(notices.is_empty() && notices.held_keys.is_empty() && notices.next_due().is_none());
     }
 }
--- a/src/bin/foldtrack/streams.rs
+++ b/src/bin/foldtrack/streams.rs
@@ -1,7 +1,7 @@
-//! The bytes below hyper, for what it does not show: header lines that it drops, and the first bytes of an answer
-//! that can't be read.
+//! Byte streams below hyper, for what it does not expose: header lines that it drops, and the first
+//! bytes of a response that it can't parse.
 
-use foldtrack_admission::pace::{Floor, Pace};
+use foldtrack_admission::pace::{MinimumRate, SlowReaderGuard};
 use http::{HeaderMap, HeaderName, HeaderValue};
 use socket2::SockRef;
 use std::future::Future;
@@ -18,67 +18,78 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// The least pace at which a client takes its answers: whoever sips at one to hold its connection goes.
-const FLOOR: Floor = Floor { grace: 5_000_000, rate: 4_096 };
-/// Bytes of a header line that are kept: the names that matter, and any length that can be meant.
-const LINE: usize = 64;
+/// Minimum rate at which clients read their responses. One that reads a few bytes now and then to
+/// hold its connection is closed.
+const MINIMUM_RATE: MinimumRate = MinimumRate { grace: 5_000_000, bytes_per_second: 4_096 };
+/// Bytes kept of a header line: enough for the names that matter and for any valid length.
+const MAX_LINE_BYTES: usize = 64;
 
-/// How many heads on a connection were sound, one after another. hyper drops `Content-Length` beside
-/// `Transfer-Encoding` and a length that is repeated: a request with both may hide another in its body.
+/// Counts the valid heads on a connection, in order. hyper drops `Content-Length` beside
+/// `Transfer-Encoding`, and a repeated length: a request with both can smuggle another one in its
+/// body.
 #[derive(Debug)]
 pub(crate) struct HeadScan {
-    sound: Arc<AtomicUsize>,
-    at: At,
+    valid_heads: Arc<AtomicUsize>,
+    state: ScanState,
     line: Vec<u8>,
-    first: bool,
+    first_line: bool,
     framings: u32,
     length: Option<u64>,
 }
 
 #[derive(Debug)]
-enum At {
+/// Position in the request stream.
+enum ScanState {
     Head,
     Body(u64),
-    /// Where the next head begins can't be told: nothing that follows counts as sound.
-    Lost,
+    /// The start of the next head can't be determined: no later head counts as valid.
+    Unknown,
 }
 
 impl HeadScan {
-    pub fn new(sound: Arc<AtomicUsize>) -> Self {
-        HeadScan { sound, at: At::Head, line: Vec::new(), first: true, framings: 0, length: Some(0) }
+    pub fn new(valid_heads: Arc<AtomicUsize>) -> Self {
+        HeadScan {
+            valid_heads,
+            state: ScanState::Head,
+            line: Vec::new(),
+            first_line: true,
+            framings: 0,
+            length: Some(0),
+        }
     }
 
+    /// Scans further bytes.
     fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match self.at {
-                At::Lost => return,
-                At::Body(left) => {
+            match self.state {
+                ScanState::Unknown => return,
+                ScanState::Body(left) => {
                     let part = left.min(bytes.len() as u64);
                     bytes = &bytes[part as usize..];
-                    self.at = if left > part { At::Body(left - part) } else { At::Head };
+                    self.state = if left > part { ScanState::Body(left - part) } else { ScanState::Head };
                 }
-                At::Head => {
+                ScanState::Head => {
                     let end = bytes.iter().position(|b| *b == b'\n');
                     let part = &bytes[..end.unwrap_or(bytes.len())];
-                    let room = LINE.saturating_sub(self.line.len());
-                    self.line.extend_from_slice(&part[..part.len().min(room)]);
+                    let capacity = MAX_LINE_BYTES.saturating_sub(self.line.len());
+                    self.line.extend_from_slice(&part[..part.len().min(capacity)]);
                     bytes = &bytes[end.map_or(bytes.len(), |end| end + 1)..];
                     if end.is_some() {
-                        self.end_line();
+                        self.finish_line();
                     }
                 }
             }
         }
     }
 
-    fn end_line(&mut self) {
+    fn finish_line(&mut self) {
         let line = std::mem::take(&mut self.line);
         let line = line.trim_ascii();
-        match (line.is_empty(), self.first) {
-            // Empty lines ahead of a request are passed over.
+        match (line.is_empty(), self.first_line) {
+            // Empty lines before a request are skipped.
             (true, true) => {}
-            (false, true) => self.first = false,
-            (true, false) => self.end_head(),
+            (false, true) => self.first_line = false,
+            (true, false) => self.finish_head(),
             (false, false) => {
                 let (name, value) = field(line);
                 if name.eq_ignore_ascii_case(b"content-length") {
@@ -93,50 +104,59 @@
         }
     }
 
-    fn end_head(&mut self) {
-        let sound = self.framings < 2;
-        self.sound.fetch_add(usize::from(sound), Ordering::Relaxed);
-        self.at = match self.length.filter(|_| sound) {
-            Some(0) => At::Head,
-            Some(length) => At::Body(length),
-            None => At::Lost,
+    fn finish_head(&mut self) {
+        let valid = self.framings < 2;
+        self.valid_heads.fetch_add(usize::from(valid), Ordering::Relaxed);
+        self.state = match self.length.filter(|_| valid) {
+            Some(0) => ScanState::Head,
+            Some(length) => ScanState::Body(length),
+            None => ScanState::Unknown,
         };
-        (self.first, self.framings, self.length) = (true, 0, Some(0));
+        (self.first_line, self.framings, self.length) = (true, 0, Some(0));
     }
 }
 
-/// A client's connection whose heads are looked at on their way to hyper.
+/// A client connection whose request heads are scanned on their way to hyper.
 #[derive(Debug)]
-pub(crate) struct Scanned {
+pub(crate) struct ScannedStream {
     stream: TcpStream,
     scan: HeadScan,
-    began: Instant,
-    pace: Pace,
-    /// Runs while an answer waits for the client.
+    started: Instant,
+    guard: SlowReaderGuard,
+    /// Runs while response bytes wait for the client.
     stalled: Option<Pin<Box<Sleep>>>,
 }
 
-impl Scanned {
-    pub fn new(stream: TcpStream, scan: HeadScan) -> Scanned {
-        Scanned { stream, scan, began: Instant::now(), pace: Pace::new(FLOOR), stalled: None }
+impl ScannedStream {
+    pub fn new(stream: TcpStream, scan: HeadScan) -> ScannedStream {
+        ScannedStream {
+            stream,
+            scan,
+            started: Instant::now(),
+            guard: SlowReaderGuard::new(MINIMUM_RATE),
+            stalled: None,
+        }
     }
 
-    /// Guards against clients that ask and do not read, or read a little now and then: see [`FLOOR`].
-    fn moves(&mut self, cx: &mut Context<'_>, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        let now = self.began.elapsed().as_micros() as u64;
+    /// Guards against clients that send requests and do not read, or read only a little now and
+    /// then: see [`MINIMUM_RATE`].
+    fn track_progress(
+        &mut self, cx: &mut Context<'_>, done: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
+        let now = self.started.elapsed().as_micros() as u64;
         if let Poll::Ready(taken) = &done {
             self.stalled = None;
-            self.pace.took(now, taken.as_ref().map_or(0, |n| *n as u64));
+            self.guard.transferred(now, taken.as_ref().map_or(0, |n| *n as u64));
             return done;
         }
-        let until = self.began + Duration::from_micros(self.pace.waits(now));
+        let until = self.started + Duration::from_micros(self.guard.blocked(now));
         let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep_until(until)));
         ready!(stalled.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncRead for Scanned {
+impl AsyncRead for ScannedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let before = buf.filled().len();
@@ -146,11 +166,11 @@
     }
 }
 
-impl AsyncWrite for Scanned {
+impl AsyncWrite for ScannedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let done = Pin::new(&mut this.stream).poll_write(cx, bytes);
-        this.moves(cx, done)
+        this.track_progress(cx, done)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -162,68 +182,74 @@
     }
 }
 
-/// Name and value of a header line, either empty if it has none.
+/// Name and value of a header line, either empty if missing.
 fn field(line: &[u8]) -> (&[u8], &[u8]) {
     let mut parts = line.splitn(2, |b| *b == b':').map(<[u8]>::trim_ascii);
     (parts.next().unwrap_or_default(), parts.next().unwrap_or_default())
 }
 
-/// Bytes of an answer that are kept: its head, behind some interim answers.
-const FIRST: usize = 4096;
+/// Bytes kept of a response: its head, after a few interim responses.
+const MAX_TAPPED_BYTES: usize = 4096;
 
-/// A connection to a target, and the first bytes that have come since the last request.
+/// The socket of a target, with the first bytes received since the last request.
 #[derive(Debug)]
-pub(crate) struct Tap {
+pub(crate) struct ResponseTap {
     stream: Arc<TcpStream>,
-    first: Mutex<Vec<u8>>,
-    came: Notify,
-    /// What is on the wire is not what is said.
-    sealed: bool,
+    received: Mutex<Vec<u8>>,
+    arrival: Notify,
+    /// The bytes on the socket are TLS records.
+    encrypted: bool,
 }
 
-impl Tap {
-    pub fn new(stream: TcpStream, sealed: bool) -> Arc<Tap> {
-        Arc::new(Tap { stream: Arc::new(stream), first: Mutex::default(), came: Notify::new(), sealed })
+impl ResponseTap {
+    pub fn new(stream: TcpStream, encrypted: bool) -> Arc<ResponseTap> {
+        Arc::new(ResponseTap {
+            stream: Arc::new(stream),
+            received: Mutex::default(),
+            arrival: Notify::new(),
+            encrypted,
+        })
     }
 
-    fn first(&self) -> MutexGuard<'_, Vec<u8>> {
-        self.first.lock().unwrap_or_else(PoisonError::into_inner)
+    fn received(&self) -> MutexGuard<'_, Vec<u8>> {
+        self.received.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The bytes on the wire, for what stands between: TLS, or nothing.
-    pub fn wire(&self) -> Wire {
-        Wire(self.stream.clone())
+    /// The raw socket, for TLS or for hyper.
+    pub fn socket(&self) -> SharedSocket {
+        SharedSocket(self.stream.clone())
     }
 
-    /// The call that is out is given up: its connection ends by a reset. Closed in the ordinary way, the kernel goes on sending
-    /// what a cut line has held back, and a message arrives long after it was sent again, or its client was told that it failed.
-    pub fn give_up(&self) {
-        // A socket that takes no option is closed in the ordinary way.
+    /// Makes the connection end by a reset, since its call is given up. After an ordinary close the
+    /// kernel would go on sending what a network failure has held back: the message could arrive
+    /// long after it was sent again, or after its client was told that it failed.
+    pub fn reset_on_close(&self) {
+        // A socket that rejects the option is closed in the ordinary way.
         let _ = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// A request is about to go out.
-    pub fn begin(&self) {
-        self.first().clear();
+    /// Forgets the bytes of the previous response; called before a request is sent.
+    pub fn start_request(&self) {
+        self.received().clear();
     }
 
-    /// The status in the first line of the answer, whatever follows it.
+    /// The status of the response, read from its first line, whatever follows.
     pub fn status(&self) -> Option<u16> {
-        let first = self.first();
-        let line = behind_interim(&first).strip_prefix(b"HTTP/1.").unwrap_or_default();
+        let received = self.received();
+        let line = skip_interim(&received).strip_prefix(b"HTTP/1.").unwrap_or_default();
         let [b'0' | b'1', b' ', a, b, c, b' ' | b'\r' | b'\n', ..] = line else { return None };
         let status = [*a, *b, *c];
         let digits = status.iter().all(u8::is_ascii_digit);
         std::str::from_utf8(&status).ok().filter(|_| digits)?.parse().ok()
     }
 
-    /// The status and the header lines that have come of an answer, whether the rest comes or not; a line that can't be read is
-    /// passed over, and one that is cut off is none.
+    /// The status and those header lines of the response that have arrived, whether or not the rest
+    /// does. Unparsable lines are skipped, and a truncated one is ignored.
     pub fn head(&self) -> Option<(u16, HeaderMap)> {
         let status = self.status()?;
-        let first = self.first();
+        let received = self.received();
         let mut headers = HeaderMap::new();
-        for line in behind_interim(&first).split_inclusive(|b| *b == b'\n').skip(1) {
+        for line in skip_interim(&received).split_inclusive(|b| *b == b'\n').skip(1) {
             let Some(line) = line.strip_suffix(b"\n").map(<[u8]>::trim_ascii) else { break };
             if line.is_empty() {
                 break;
@@ -236,41 +262,42 @@
         Some((status, headers))
     }
 
-    /// Takes what the socket has that nobody has read yet, before the call is given up: an answer that crosses it counts as
-    /// told. Under TLS there is nothing to take without the keys.
-    pub fn last_look(&self) {
-        if self.sealed {
+    /// Reads what the socket has received but nobody has read yet, before the call is given up: a
+    /// response that crosses with it still counts. Under TLS nothing can be read without the keys.
+    pub fn read_pending(&self) {
+        if self.encrypted {
             return;
         }
-        let mut first = self.first();
-        let (mut bytes, kept) = ([0; FIRST], first.len());
+        let mut received = self.received();
+        let (mut bytes, kept) = ([0; MAX_TAPPED_BYTES], received.len());
         if let Ok(count) = (&*SockRef::from(&*self.stream)).read(&mut bytes) {
-            first.extend_from_slice(&bytes[..count.min(FIRST.saturating_sub(kept))]);
+            received.extend_from_slice(&bytes[..count.min(MAX_TAPPED_BYTES.saturating_sub(kept))]);
         }
     }
 
-    /// Whether an answer has begun, behind those that are only interim.
-    pub fn has_begun(&self) -> bool {
-        !behind_interim(&self.first()).is_empty()
+    /// Whether a response has started, interim ones excluded.
+    pub fn response_started(&self) -> bool {
+        !skip_interim(&self.received()).is_empty()
     }
 
-    pub async fn begun(&self) {
-        while !self.has_begun() {
-            self.came.notified().await;
+    /// Waits until a response has started.
+    pub async fn wait_for_response(&self) {
+        while !self.response_started() {
+            self.arrival.notified().await;
         }
     }
 
-    /// Nothing has come that nobody has asked for: neither bytes behind the last answer nor the end. Asks the
-    /// socket itself, since the runtime may not have heard yet. Under TLS that may also be a ticket that is yet to be
-    /// read: then the connection counts as not quiet, which costs a handshake and no message.
+    /// Whether nothing unexpected has arrived: neither bytes after the last response nor the end of
+    /// the stream. Asks the socket itself, since the runtime may not know yet. Under TLS an unread
+    /// session ticket also counts as not quiet, which costs a handshake but no message.
     pub fn is_quiet(&self) -> bool {
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// What follows whole answers of 100 to 199.
-fn behind_interim(mut bytes: &[u8]) -> &[u8] {
+/// Skips complete interim responses (100 to 199).
+fn skip_interim(mut bytes: &[u8]) -> &[u8] {
     while let [b'H', b'T', b'T', b'P', b'/', b'1', b'.', _, b' ', b'1', ..] = bytes {
         let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { return &[] };
         bytes = &bytes[end + 4..];
@@ -278,11 +305,11 @@
     bytes
 }
 
-/// The socket itself.
+/// The socket of a connection, shared with its [`ResponseTap`].
 #[derive(Debug)]
-pub(crate) struct Wire(Arc<TcpStream>);
+pub(crate) struct SharedSocket(Arc<TcpStream>);
 
-impl AsyncRead for Wire {
+impl AsyncRead for SharedSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -298,7 +325,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for SharedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
@@ -318,35 +345,36 @@
     }
 }
 
-/// hyper's side of a connection: the wire, or TLS on it. What comes of an answer is noted in the [`Tap`].
+/// hyper's side of a connection: the socket, or TLS on top of it. Received bytes are recorded in
+/// the [`ResponseTap`].
 #[derive(Debug)]
-pub(crate) struct Tapped<S> {
+pub(crate) struct TappedStream<S> {
     stream: S,
-    tap: Arc<Tap>,
+    tap: Arc<ResponseTap>,
 }
 
-impl<S> Tapped<S> {
-    pub fn new(stream: S, tap: Arc<Tap>) -> Tapped<S> {
-        Tapped { stream, tap }
+impl<S> TappedStream<S> {
+    pub fn new(stream: S, tap: Arc<ResponseTap>) -> TappedStream<S> {
+        TappedStream { stream, tap }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Tapped<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for TappedStream<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let before = buf.filled().len();
         ready!(Pin::new(&mut this.stream).poll_read(cx, buf))?;
-        let came = &buf.filled()[before..];
-        let mut first = this.tap.first();
-        let kept = came.len().min(FIRST.saturating_sub(first.len()));
-        first.extend_from_slice(&came[..kept]);
-        drop(first);
-        this.tap.came.notify_one();
+        let arrived = &buf.filled()[before..];
+        let mut received = this.tap.received();
+        let kept = arrived.len().min(MAX_TAPPED_BYTES.saturating_sub(received.len()));
+        received.extend_from_slice(&arrived[..kept]);
+        drop(received);
+        this.tap.arrival.notify_one();
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Tapped<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TappedStream<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.get_mut().stream).poll_write(cx, bytes)
     }
@@ -364,13 +392,13 @@
 mod tests {
     use super::*;
 
-    /// How many of the heads in these bytes count as sound, however they are cut.
-    fn sound(text: &str) -> usize {
+    /// Number of heads that count as valid; the same however the bytes are split.
+    fn valid_heads(text: &str) -> usize {
         let count = |step: usize| {
-            let sound = Arc::new(AtomicUsize::new(0));
-            let mut scan = HeadScan::new(sound.clone());
+            let valid = Arc::new(AtomicUsize::new(0));
+            let mut scan = HeadScan::new(valid.clone());
             text.as_bytes().chunks(step).for_each(|bytes| scan.read(bytes));
-            sound.load(Ordering::Relaxed)
+            valid.load(Ordering::Relaxed)
         };
         let counts = [1, 2, 7, text.len()].map(count);
         assert!(counts.iter().all(|n| *n == counts[0]), "{counts:?}");
@@ -378,22 +406,22 @@
     }
 
     #[test]
-    fn heads_are_found_behind_bodies_and_two_framings_are_not_sound() {
-        assert_eq!(sound("\r\nGET / HTTP/1.1\r\nHost: f\r\n\r\n"), 1);
+    fn heads_after_bodies_are_found_and_double_framing_is_invalid() {
+        assert_eq!(valid_heads("\r\nGET / HTTP/1.1\r\nHost: f\r\n\r\n"), 1);
         let post = "POST /fee HTTP/1.1\r\ncontent-LENGTH: 4\r\n\r\n\n\n\r\n";
-        assert_eq!(sound(&post.repeat(3)), 3);
-        let both = [
+        assert_eq!(valid_heads(&post.repeat(3)), 3);
+        let conflicting = [
             "Content-Length: 4\r\nTransfer-Encoding: chunked",
             "Transfer-Encoding: chunked\r\nContent-Length: 4",
         ];
-        for framing in both.into_iter().chain(["Content-Length: 4\r\nContent-Length: 4"]) {
-            let odd = format!("POST /fee HTTP/1.1\r\nX: y\r\n{framing}\r\n\r\n0\r\n\r\n{post}");
-            assert_eq!(sound(&odd), 0, "{framing}");
-            assert_eq!(sound(&format!("{post}{odd}")), 1, "{framing}");
+        for framing in conflicting.into_iter().chain(["Content-Length: 4\r\nContent-Length: 4"]) {
+            let request = format!("POST /fee HTTP/1.1\r\nX: y\r\n{framing}\r\n\r\n0\r\n\r\n{post}");
+            assert_eq!(valid_heads(&request), 0, "{framing}");
+            assert_eq!(valid_heads(&format!("{post}{request}")), 1, "{framing}");
         }
-        // One that is chunked is sound, but the last that can be told.
+        // A chunked request is valid, but no head after it can be located.
         assert_eq!(
-            sound(&format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{post}")),
+            valid_heads(&format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{post}")),
             1
         );
     }
