--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -667,7 +667,7 @@
         let now = self.advance_clock(now);
         self.blocks.retain(|_, until| *until > now);
         if self.blocks.len() >= MAX_BLOCKS && !self.blocks.contains_key(&network) {
-            return Err(format!("{MAX_BLOCKS} blocks stand already"));
+            return Err(format!("there are {MAX_BLOCKS} blocks already"));
         }
         self.blocks.insert(network, until);
         let evictable = |c: &Connection| network.contains(&c.address) && c.state != ConnectionState::Active;
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -39,8 +39,8 @@
 /// # Errors
 /// The name is not a valid header name, or a reserved one.
 pub fn header_name(text: &str) -> Result<HeaderName, String> {
-    let name =
-        HeaderName::from_bytes(text.as_bytes()).map_err(|_| format!("{text:?} is no name of a header"))?;
+    let name = HeaderName::from_bytes(text.as_bytes())
+        .map_err(|_| format!("{text:?} is not a valid header name"))?;
     if RESERVED_HEADERS.contains(&name.as_str()) {
         return Err(format!("{text:?} is set by foldtrack itself"));
     }
--- a/crates/dialect/src/template.rs
+++ b/crates/dialect/src/template.rs
@@ -57,13 +57,17 @@
             let (before, from) = rest.split_at(open);
             let inside = from.strip_prefix('{').and_then(|inside| inside.split_once('}'));
             let Some((name, after)) = inside else {
-                return Err(format!("{text:?} has a brace without its other"));
+                return Err(format!("{text:?} has an unmatched brace"));
             };
             let name = match name {
                 "id" => Variable::Id,
                 "class" => Variable::Class,
                 "key" => Variable::Key,
-                _ => return Err(format!("{{{name}}} is no place; there are {{id}}, {{class}} and {{key}}")),
+                _ => {
+                    return Err(format!(
+                        "{{{name}}} is not a placeholder; there are {{id}}, {{class}} and {{key}}"
+                    ))
+                }
             };
             pieces.extend((!before.is_empty()).then(|| Piece::Literal(before.to_string())));
             pieces.push(Piece::Variable(name));
@@ -85,7 +89,7 @@
             template.0.iter().filter_map(|p| if let Piece::Literal(text) = p { Some(text) } else { None });
         if !text.starts_with('/') || !texts.into_iter().all(|t| t.chars().all(valid)) {
             return Err(format!(
-                "{text:?} is no path: one begins with / and has its odd characters percent-encoded"
+                "{text:?} is not a path: a path begins with / and has its special characters percent-encoded"
             ));
         }
         Ok(template)
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -76,7 +76,7 @@
         }
         let max = if *kind == AuthScheme::Webhook { MAX_WEBHOOK_SECRETS } else { 1 };
         match secrets.len() {
-            0 => Err("is empty: a secret stands on a line".into()),
+            0 => Err("is empty: it needs one secret per line".into()),
             n if n > max => Err(format!("has {n} secrets, where {max} are the most")),
             _ => Ok(Secrets(secrets)),
         }
@@ -85,7 +85,7 @@
 
 /// Decodes a webhook secret.
 fn webhook_secret(line: &[u8]) -> Result<Vec<u8>, &'static str> {
-    const INVALID: &str = "is no webhook secret: whsec_ and the base64 of 24 to 64 bytes";
+    const INVALID: &str = "is not a webhook secret: whsec_ and the base64 of 24 to 64 bytes";
     let text = std::str::from_utf8(line).map_err(|_| INVALID)?;
     let secret =
         STANDARD.decode(text.strip_prefix(WEBHOOK_SECRET_PREFIX).unwrap_or(text)).map_err(|_| INVALID)?;
@@ -199,7 +199,7 @@
         }
         assert!(
             header_list(&AuthScheme::Webhook, EXAMPLE, "a.b", 5).is_none(),
-            "it could be read as another id and time"
+            "it could be read as another id and timestamp"
         );
     }
 
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -40,7 +40,7 @@
         let bytes = text.strip_prefix("sha256/").and_then(|rest| STANDARD.decode(rest).ok());
         let pin = bytes.and_then(|bytes| bytes.try_into().ok()).map(Pin);
         pin.ok_or_else(|| {
-            format!("{text:?} is no pin: sha256/ and the base64 of the SHA-256 of a public key")
+            format!("{text:?} is not a pin: a pin is sha256/ and the base64 of the SHA-256 of a public key")
         })
     }
 
@@ -79,7 +79,7 @@
     pub fn parse_server_name(text: &str) -> Result<ServerName<'static>, String> {
         let read = ServerName::try_from(text.to_string());
         read.map_err(|_| {
-            format!("{text:?} is no name that a certificate could be for; one is \"api.example.cz\"")
+            format!("{text:?} is not a name that a certificate can be for; an example is \"api.example.cz\"")
         })
     }
 }
@@ -157,7 +157,7 @@
     // Systems include certificates that can't be parsed; the others are used.
     store.add_parsable_certificates(found.certs);
     if store.is_empty() {
-        return Err("roots: the system trusts nobody; name a file with those to trust".into());
+        return Err("roots: the system has no trusted roots; name a file with roots to trust".into());
     }
     Ok(store)
 }
@@ -217,9 +217,9 @@
             CertificateError::ApplicationVerificationFailure => "its key is none of those that are pinned",
             _ => return format!("TLS: its certificate can't be used: {wrong}"),
         },
-        Error::AlertReceived(alert) => return format!("TLS: the partner has broken it off: {alert:?}"),
-        Error::PeerIncompatible(why) => return format!("TLS: nothing that both speak: {why:?}"),
-        Error::NoCertificatesPresented => "it has shown no certificate",
+        Error::AlertReceived(alert) => return format!("TLS: the partner aborted the handshake: {alert:?}"),
+        Error::PeerIncompatible(why) => return format!("TLS: no common protocol parameters: {why:?}"),
+        Error::NoCertificatesPresented => "it sent no certificate",
         other => return format!("TLS: {other}"),
     };
     format!("TLS: {words}")
--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -109,7 +109,10 @@
     pub fn block(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
         self.apply(network, for_ms)?;
         self.save().map_err(|e| {
-            format!("the block holds, but may not outlive the process: {}: {e}", self.path.display())
+            format!(
+                "the block applies, but could not be stored and may be lost at a restart: {}: {e}",
+                self.path.display()
+            )
         })
     }
 
@@ -140,7 +143,7 @@
         tokio::task::spawn_blocking(move || {
             if let Err(e) = blocks.save() {
                 eprintln!(
-                    "peers: a block holds, but may not outlive the process: {}: {e}",
+                    "peers: a block applies, but could not be stored and may be lost at a restart: {}: {e}",
                     blocks.path.display()
                 );
             }
@@ -155,7 +158,7 @@
         let existed = self.remove(network);
         let stored = self.save();
         stored.map(|()| existed).map_err(|e| {
-            format!("it holds no more, but may come back with a restart: {}: {e}", self.path.display())
+            format!("the block has ended, but may come back after a restart: {}: {e}", self.path.display())
         })
     }
 
@@ -240,8 +243,8 @@
     /// Applies the current descriptor limit and the number of client connections that it allows.
     pub fn update_limits(&self, (limit, max_connections): (usize, Result<usize, String>)) {
         let (max_connections, line) = match max_connections {
-            Ok(max) => (max, format!("clients: {max} connections at once from now on")),
-            Err(error) => (0, format!("clients: nobody is let in: {error}")),
+            Ok(max) => (max, format!("clients: the limit is now {max} connections")),
+            Err(error) => (0, format!("clients: no connections are admitted: {error}")),
         };
         if self.connections.set_max_connections(limit, max_connections) {
             eprintln!("{line}");
--- a/src/bin/foldtrack/call.rs
+++ b/src/bin/foldtrack/call.rs
@@ -36,7 +36,7 @@
 /// ENFILE and EMFILE.
 const LOCAL_LIMIT_ERRNOS: [i32; 2] = [23, 24];
 /// Reported limits above this, in calls per second, are taken for errors.
-const HIGHEST_RATE: f64 = 1e6;
+const MAX_LIMIT_RATE: f64 = 1e6;
 
 /// A call to be made.
 pub(crate) struct Call {
@@ -322,6 +322,6 @@
         named.next()?.1.trim().parse::<f64>().ok().filter(|v| v.is_finite())
     };
     let share_left = value("x0").filter(|share| (0.0..=1.0).contains(share))?;
-    let rate = value("x1").filter(|rate| (0.0..=HIGHEST_RATE).contains(rate))?;
+    let rate = value("x1").filter(|rate| (0.0..=MAX_LIMIT_RATE).contains(rate))?;
     Some(LimitReport { share_left, rate })
 }
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -185,7 +185,7 @@
     /// failures persist, the connection that has waited longest is closed.
     async fn handle_failure(&mut self, listener: &TcpListener, error: &io::Error) {
         if self.failures == 0 {
-            eprintln!("clients: no connection can be accepted: {error}");
+            eprintln!("clients: accept failed: {error}");
         }
         self.failures += 1;
         sleep(ACCEPT_PAUSE).await;
--- a/src/bin/foldtrack/discovery_schedule_tests.rs
+++ b/src/bin/foldtrack/discovery_schedule_tests.rs
@@ -70,7 +70,7 @@
             "{senders} senders, answered within {all_in} s: the last is answered after {last} s"
         );
         let half = answered.iter().flatten().filter(|at| **at < half_within).count();
-        assert!(half * 2 >= senders as usize, "{half} of {senders} have known_after after {half_within} s");
+        assert!(half * 2 >= senders as usize, "{half} of {senders} are answered after {half_within} s");
     }
 }
 
--- a/src/bin/foldtrack/partner_protocol.rs
+++ b/src/bin/foldtrack/partner_protocol.rs
@@ -229,7 +229,7 @@
     let file = open(path)?;
     let metadata = file.metadata().map_err(|e| e.to_string())?;
     if !metadata.is_file() {
-        return Err("is no file".into());
+        return Err("is not a regular file".into());
     }
     let stamp = stamp(&file).map_err(|e| e.to_string())?;
     let mut text = Vec::new();
@@ -267,12 +267,17 @@
             let (partner, field) = (&self.partner, self.field);
             match result {
                 Ok((stamps, expires)) => {
-                    tracing::info!(partner, field, "reloaded from its files");
+                    tracing::info!(partner, field, "the files were reloaded");
                     (self.stamps, self.expires, self.reported_error, self.announced_days) =
                         (stamps, expires, None, None);
                 }
                 Err(problem) if self.reported_error.as_ref() != Some(&problem) => {
-                    tracing::warn!(partner, field, problem, "the previous contents stay in use");
+                    tracing::warn!(
+                        partner,
+                        field,
+                        problem,
+                        "the files can't be used, the previous contents stay in use"
+                    );
                     self.reported_error = Some(problem);
                 }
                 Err(_) => {}
