--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -185,7 +185,9 @@
     /// Accounts without connections, ordered by whether they have credit and by when they were last
     /// seen.
     idle_accounts: BTreeSet<(bool, Micros, IpAddr)>,
+    /// Open connections by prefix.
     prefixes: HashMap<IpNet, usize>,
+    /// Connections of unknown and of known clients.
     groups: [Group; 2],
     open_requests: usize,
     /// Connections on which a request has arrived.
@@ -195,6 +197,8 @@
     /// Requests per second of all clients, as of `rate_at`.
     rate: f64,
     rate_at: Micros,
+    /// Counts of new connections by unremembered addresses, in the current window and the previous
+    /// one.
     sketches: [Estimator; 2],
     sketch_started: Micros,
     /// Rate limit for the new connections of all unknown clients together.
@@ -389,6 +393,7 @@
         accounts.find_map(|account| account.eviction_candidate(now, &self.settings))
     }
 
+    /// Whether a connection has been silent for longer than `silent_after`.
     fn is_silent(&self, number: u64, now: Micros) -> bool {
         self.connections.get(&number).is_some_and(|c| {
             c.state == ConnectionState::Silent && now.saturating_sub(c.since) > self.settings.silent_after
@@ -411,6 +416,7 @@
         now.max(0).saturating_add(before.max(0)) as f64
     }
 
+    /// Creates the account of an address unless it has one.
     fn ensure_account(&mut self, address: IpAddr, now: Micros, used: f64) {
         if self.accounts.contains_key(&address) {
             return;
@@ -429,6 +435,7 @@
         self.idle_accounts.insert((false, now, address));
     }
 
+    /// Adds an admitted connection.
     fn insert(&mut self, number: u64, address: IpAddr, now: Micros) {
         let Some(account) = self.accounts.get_mut(&address) else { return };
         if account.connections == 0 {
@@ -534,6 +541,7 @@
         RequestDecision::Accept
     }
 
+    /// Requests per second of all clients.
     fn rate(&self, now: Micros) -> f64 {
         self.rate * (-(now.saturating_sub(self.rate_at) as f64) / 1e6).exp()
     }
@@ -587,6 +595,7 @@
         (self.used_connections, self.connections.len())
     }
 
+    /// Counts a rejected connection, and detects floods.
     fn record_rejection(&mut self, address: IpAddr, now: Micros) {
         let Some(account) = self.accounts.get_mut(&address) else {
             return self.record_distributed_rejection(now);
@@ -684,6 +693,7 @@
         &self.blocks
     }
 
+    /// End of the latest block that applies to an address.
     fn blocked_until(&self, address: IpAddr, now: Micros) -> Option<Micros> {
         let blocks = self.blocks.iter().filter(|(net, until)| **until > now && net.contains(&address));
         blocks.map(|(_, until)| *until).max()
--- a/crates/admission/src/pace.rs
+++ b/crates/admission/src/pace.rs
@@ -52,9 +52,9 @@
 
     /// How long a client is tolerated that repeatedly keeps bytes waiting for `wait` and then reads
     /// `bytes`.
-    fn tolerated_for(wait: Micros, bytes: u64, most: Micros) -> Micros {
+    fn tolerated_for(wait: Micros, bytes: u64, limit: Micros) -> Micros {
         let (mut guard, mut now) = (SlowReaderGuard::new(MINIMUM_RATE), 0);
-        while now < most {
+        while now < limit {
             let until = guard.blocked(now);
             if until < now + wait {
                 return until;
@@ -62,7 +62,7 @@
             now += wait;
             guard.transferred(now, bytes);
         }
-        most
+        limit
     }
 
     #[test]
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -66,13 +66,13 @@
 
     /// Settings for a forwarder behind a proxy: the proxy's networks are known, and may use every
     /// connection.
-    pub fn behind_proxy(max_connections: usize, front: Vec<IpNet>) -> Settings {
+    pub fn behind_proxy(max_connections: usize, proxy: Vec<IpNet>) -> Settings {
         Settings {
             reserve: 0,
             per_known: usize::MAX,
             max_requests_per_address: max_connections,
             sharing_threshold: max_connections,
-            known: front,
+            known: proxy,
             ..Settings::for_connections(max_connections)
         }
     }
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -224,10 +224,10 @@
         }
     }
     assert!(refused > 1_000, "{refused}");
-    let seen = sim.gate.client_stats(sim.now, 3);
+    let stats = sim.gate.client_stats(sim.now, 3);
     assert!(
-        seen[0].address == ip("10.0.0.1") && seen[0].share > 0.5 && seen[0].refused == refused,
-        "{seen:?}"
+        stats[0].address == ip("10.0.0.1") && stats[0].share > 0.5 && stats[0].refused == refused,
+        "{stats:?}"
     );
     // A client that is alone may use the whole capacity.
     let mut sim =
--- a/crates/dialect/src/limits.rs
+++ b/crates/dialect/src/limits.rs
@@ -26,6 +26,7 @@
     headers.get(HeaderName::from_static(name))?.to_str().ok()
 }
 
+/// A non-negative number.
 fn number(item: &BareItem) -> Option<f64> {
     let number = match item {
         BareItem::Integer(n) => i64::from(*n) as f64,
@@ -54,10 +55,12 @@
     list.into_iter().filter_map(read).collect()
 }
 
+/// The parameter of a name.
 fn find(numbers: &[(String, f64)], name: &str) -> Option<f64> {
     numbers.iter().find(|(n, _)| n == name).map(|(_, value)| *value)
 }
 
+/// A limit, unless its values are implausible.
 fn limit(quota: f64, window: f64, left: f64) -> Option<Limit> {
     let valid = quota > 0.0 && window > 0.0 && window <= MAX_WINDOW_S && left >= 0.0;
     let rate = quota / window;
@@ -93,10 +96,10 @@
             ("x-ratelimit-limit", "x-ratelimit-remaining"),
             ("x-rate-limit-limit", "x-rate-limit-remaining"),
         ];
-        families.into_iter().find_map(|(most, left)| {
+        families.into_iter().find_map(|(limit_header, left_header)| {
             let read =
                 |name| header_text(headers, name)?.split([',', ';']).next()?.trim().parse::<f64>().ok();
-            let (quota, left) = (read(most)?, read(left)?);
+            let (quota, left) = (read(limit_header)?, read(left_header)?);
             let policy_window = policies.iter().find(|(_, q, _)| *q == quota).map(|(.., w)| *w);
             limit(quota, policy_window.or(window)?, left)
         })
@@ -135,11 +138,11 @@
 
     #[test]
     fn invalid_values_are_no_limit() {
-        for (most, left) in
+        for (limit_header, left_header) in
             [("0", "0"), ("-5", "1"), ("NaN", "1"), ("1e300", "1"), ("ten", "1"), ("10", "-1")]
         {
-            let lines = [("x-ratelimit-limit", most), ("x-ratelimit-remaining", left)];
-            assert_eq!(parse(&lines, Some(1.0)), None, "{most} {left}");
+            let lines = [("x-ratelimit-limit", quota), ("x-ratelimit-remaining", left)];
+            assert_eq!(parse(&lines, Some(1.0)), None, "{quota} {left}");
         }
         for policy in ["\"a\";q=5;w=0", "\"a\";q=-5;w=1", "\"a\";w=1", "\"a", "\"a\";q=99999999999999;w=1"] {
             assert_eq!(
--- a/crates/dialect/src/template.rs
+++ b/crates/dialect/src/template.rs
@@ -100,6 +100,8 @@
         self.0.contains(&Piece::Variable(Variable::Key))
     }
 
+    /// Replaces the placeholders, passing each value through `write`; none if a value is missing or
+    /// the result is too long.
     fn fill(&self, values: Values<'_>, write: impl Fn(&str) -> String) -> Option<String> {
         let value = |name: &Variable| match name {
             Variable::Id => values.id,
--- a/src/bin/foldtrack/call.rs
+++ b/src/bin/foldtrack/call.rs
@@ -40,12 +40,19 @@
 
 /// A call to be made.
 pub(crate) struct Call {
+    /// Number of the message.
     pub number: u64,
+    /// Number of the attempt.
     pub attempt: u32,
+    /// The target that is called.
     pub target: TargetId,
+    /// Address of the target.
     pub address: SocketAddr,
+    /// The message to send.
     pub message: Arc<Message>,
+    /// Timeout for opening a connection.
     pub dial_timeout: Duration,
+    /// The call is given up at this time.
     pub deadline: Instant,
     /// A reused connection, and how long it was idle.
     pub connection: Option<(Connection, Duration)>,
@@ -55,14 +62,17 @@
     pub limit_reports: bool,
     /// The preflight check: whether the call may still be sent, by the latest facts.
     pub clearance: Clearance,
+    /// The clock of the process.
     pub clock: Clock,
     /// How the partner is called.
     pub protocol: Arc<PartnerProtocol>,
+    /// The settings, for the names of classes.
     pub settings: Arc<Parsed>,
 }
 
 /// Why there is no response to interpret.
 enum NoResponse {
+    /// The outcome is known without a response.
     Outcome(Outcome),
     /// No connection could be opened, for this reason.
     ConnectFailed(String),
@@ -310,6 +320,7 @@
         .or_else(|| header_text(headers, "X-Load").filter(|_| limit_reports).and_then(parse_limit_report));
 }
 
+/// The value of a header, if it is text.
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -51,9 +51,13 @@
 
 /// State shared by all client connections.
 pub(crate) struct ServerContext {
+    /// The settings, for classes and their rules.
     pub settings: Arc<Parsed>,
+    /// The clock of the process.
     pub clock: Clock,
+    /// The channel to the event loop.
     pub inputs: Inputs,
+    /// How far the shutdown has proceeded.
     pub stage: watch::Receiver<Stage>,
     /// Bytes of request bodies that may be read at the same time, before their messages are passed
     /// on.
@@ -170,10 +174,12 @@
         SpareDescriptor { file: Self::open(), failures: 0 }
     }
 
+    /// Opens the spare descriptor.
     fn open() -> Option<File> {
         File::open("/dev/null").ok()
     }
 
+    /// Records a success, and opens the spare descriptor again if it was used.
     fn accepted(&mut self) {
         self.failures = 0;
         if self.file.is_none() {
--- a/src/bin/foldtrack/connections.rs
+++ b/src/bin/foldtrack/connections.rs
@@ -48,6 +48,7 @@
 /// How connections to a partner are encrypted.
 #[derive(Clone, Debug)]
 pub(crate) struct Encryption {
+    /// The name that the certificate must be valid for.
     pub name: ServerName<'static>,
     /// The configuration of the current files. Open connections keep the one they were opened with.
     pub config: watch::Receiver<Arc<ClientConfig>>,
@@ -67,6 +68,7 @@
     /// When the connection was closed, if it was.
     closed_at: Arc<OnceLock<Instant>>,
     _descriptor: Option<DescriptorPermit>,
+    /// Access to the raw socket and to the first bytes of the response.
     pub tap: Arc<ResponseTap>,
 }
 
@@ -80,6 +82,7 @@
 pub(crate) enum SendError {
     /// The request was returned before a byte of it was written.
     Unsent,
+    /// The connection ended during the call.
     ConnectionLost,
     /// The partner rejected the TLS handshake with an alert that arrived after it, before anything
     /// else: nothing that was written has been read as a request.
@@ -169,6 +172,7 @@
         until.saturating_duration_since(self.idle_since).as_micros() as u64
     }
 
+    /// Whether the connection is open and nothing unexpected has arrived on it.
     fn is_usable(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed() && self.tap.is_quiet()
     }
@@ -191,16 +195,18 @@
 #[derive(Debug, Default)]
 struct ResetStats {
     /// Calls and resets on new connections, then for each of the [`IDLE_BUCKETS`]; decaying.
-    seen: [(f64, f64); IDLE_BUCKETS.len() + 2],
+    counts: [(f64, f64); IDLE_BUCKETS.len() + 2],
 }
 
 impl ResetStats {
+    /// Index of the counters for an idle time; `None` stands for a new connection.
     fn bucket(idle: Option<Duration>) -> usize {
         idle.map_or(0, |idle| 1 + IDLE_BUCKETS.iter().filter(|age| idle >= **age).count())
     }
 
+    /// Counts a call and whether it was reset.
     fn record(&mut self, idle: Option<Duration>, reset: bool) {
-        let (calls, resets) = &mut self.seen[Self::bucket(idle)];
+        let (calls, resets) = &mut self.counts[Self::bucket(idle)];
         *calls += 1.0;
         *resets += f64::from(u8::from(reset));
     }
@@ -208,14 +214,15 @@
     /// Whether a connection with this idle time is hardly riskier than a new one.
     fn is_safe(&self, idle: Duration) -> bool {
         let share = |bucket: usize| {
-            let (calls, resets) = self.seen[bucket];
+            let (calls, resets) = self.counts[bucket];
             resets / (calls + PRIOR_CALLS)
         };
         share(Self::bucket(Some(idle))) <= share(0) + MAX_EXCESS_RESETS
     }
 
+    /// Lets old counts decay; called once per second.
     fn decay(&mut self) {
-        self.seen.iter_mut().for_each(|(calls, resets)| {
+        self.counts.iter_mut().for_each(|(calls, resets)| {
             (*calls, *resets) = (*calls * DECAY_PER_SECOND, *resets * DECAY_PER_SECOND)
         });
     }
@@ -246,10 +253,13 @@
 /// Connection statistics of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ConnectionStats {
+    /// Idle connections.
     pub idle: usize,
+    /// Preconnect dials in progress.
     pub dialling: usize,
     /// Share of the calls that did not wait for a handshake, 0 to 1.
     pub without_handshake: f64,
+    /// Smoothed duration of a handshake.
     pub handshake: Duration,
     /// The learned idle time up to which a connection is reused.
     pub max_idle: Duration,
@@ -296,6 +306,7 @@
         }
     }
 
+    /// The entry of a target, created if it is new.
     fn endpoint(&mut self, target: TargetId) -> &mut Endpoint {
         let configured = self.max_idle.as_micros() as u64;
         self.by_target.entry(target).or_insert_with(|| Endpoint {
--- a/src/bin/foldtrack/discovery_schedule_tests.rs
+++ b/src/bin/foldtrack/discovery_schedule_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the poll timing: bounds, jitter, and a fleet against a simulated discovery.
+
 use super::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/src/bin/foldtrack/notice_queue.rs
+++ b/src/bin/foldtrack/notice_queue.rs
@@ -15,8 +15,11 @@
 /// The notice that ends a message; the message is settled once the platform acknowledges it.
 #[derive(Debug)]
 pub(crate) struct PendingNotice {
+    /// Id of the message.
     pub id: String,
+    /// Hash of the order key; 0 for none.
     pub order_key: u64,
+    /// How the message ended.
     pub notice: Notice,
 }
 
--- a/src/bin/foldtrack/partner_protocol.rs
+++ b/src/bin/foldtrack/partner_protocol.rs
@@ -32,6 +32,7 @@
 /// How one partner is called.
 #[derive(Debug)]
 pub(crate) struct PartnerProtocol {
+    /// The HTTP mapping.
     pub dialect: Dialect,
     proof: Option<(AuthScheme, watch::Receiver<Arc<Secrets>>)>,
     /// TLS settings of its connections; none for plain text.
--- a/src/bin/foldtrack/streams.rs
+++ b/src/bin/foldtrack/streams.rs
@@ -47,6 +47,7 @@
 }
 
 impl HeadScan {
+    /// Starts before the first head; `valid_heads` is incremented with each valid one.
     pub fn new(valid_heads: Arc<AtomicUsize>) -> Self {
         HeadScan {
             valid_heads,
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Interprets a complete header line.
     fn finish_line(&mut self) {
         let line = std::mem::take(&mut self.line);
         let line = line.trim_ascii();
@@ -104,6 +106,7 @@
         }
     }
 
+    /// Counts a complete head and determines where the next one begins.
     fn finish_head(&mut self) {
         let valid = self.framings < 2;
         self.valid_heads.fetch_add(usize::from(valid), Ordering::Relaxed);
