--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -47,9 +47,15 @@
 
     proptest! {
         #[test]
-        fn reserved_and_client_descriptors_stay_within_the_limit(limit in 0..100_000usize, calls in 0..10_000usize, internal in 0..1_000usize) {
+        fn reserved_and_client_descriptors_stay_within_the_limit(
+            limit in 0..100_000usize,
+            calls in 0..10_000usize,
+            internal in 0..1_000usize,
+        ) {
             if let Ok(connections) = max_client_connections(limit, Reserved { calls, internal }) {
-                prop_assert!(connections >= MIN_CLIENT_CONNECTIONS && connections + calls + internal <= limit);
+                prop_assert!(
+                    connections >= MIN_CLIENT_CONNECTIONS && connections + calls + internal <= limit
+                );
             }
         }
     }
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -147,7 +147,10 @@
                         prop_assert!(granted || before >= quotas[user_index].guaranteed);
                         let taken = |i: usize| ledger.held(ALL[i]).max(quotas[i].guaranteed);
                         let sum: usize = 20 + (0..USER_COUNT).map(taken).sum::<usize>();
-                        prop_assert!(!granted || before < quotas[user_index].guaranteed || sum <= limit, "{sum} of {limit}");
+                        prop_assert!(
+                            !granted || before < quotas[user_index].guaranteed || sum <= limit,
+                            "{sum} of {limit}"
+                        );
                         prop_assert!(!granted || before < quotas[user_index].max);
                     }
                     2 => {
--- a/crates/admission/src/pace.rs
+++ b/crates/admission/src/pace.rs
@@ -78,7 +78,10 @@
 
     proptest! {
         #[test]
-        fn readers_below_the_minimum_rate_are_dropped_and_faster_ones_are_not(wait in 1_000..4_000_000u64, bytes in 0..100_000u64) {
+        fn readers_below_the_minimum_rate_are_dropped_and_faster_ones_are_not(
+            wait in 1_000..4_000_000u64,
+            bytes in 0..100_000u64,
+        ) {
             let rate = bytes as f64 * 1e6 / wait as f64;
             let tolerated = tolerated_for(wait, bytes, 400_000_000);
             if rate > MINIMUM_RATE.bytes_per_second as f64 * 1.05 {
@@ -94,7 +97,10 @@
         fn any_times_are_accepted(steps in prop::collection::vec((any::<u64>(), any::<u64>()), 1..50)) {
             let mut guard = SlowReaderGuard::new(MINIMUM_RATE);
             for (now, bytes) in steps {
-                prop_assert!(guard.blocked(now) <= now.max(guard.blocked_since.unwrap_or(now)).saturating_add(MINIMUM_RATE.grace));
+                prop_assert!(
+                    guard.blocked(now)
+                        <= now.max(guard.blocked_since.unwrap_or(now)).saturating_add(MINIMUM_RATE.grace)
+                );
                 guard.transferred(now, bytes);
                 prop_assert!(guard.budget <= MINIMUM_RATE.grace);
             }
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -415,8 +415,18 @@
     /// holds more; the bookkeeping is bounded and adds up, whatever the clock does.
     #[test]
     fn gate_invariants_hold(steps in prop::collection::vec(step(), 1..400)) {
-        let settings = Settings { max_idle_accounts: 8, max_connections: 12, reserve: 4, per_address: 4, per_known: 8, per_prefix: 6, max_requests_per_address: 4,
-            known_credit: 3.0, new_connections: Rate { per_second: 50.0, burst: 20.0 }, ..settings() };
+        let settings = Settings {
+            max_idle_accounts: 8,
+            max_connections: 12,
+            reserve: 4,
+            per_address: 4,
+            per_known: 8,
+            per_prefix: 6,
+            max_requests_per_address: 4,
+            known_credit: 3.0,
+            new_connections: Rate { per_second: 50.0, burst: 20.0 },
+            ..settings()
+        };
         let mut gate = Gate::new(settings.clone());
         let (mut now, mut next) = (SECOND, 0);
         let mut open: BTreeMap<u64, IpAddr> = BTreeMap::new();
@@ -425,7 +435,11 @@
         for step in steps {
             match step {
                 Step::Connect(n) => {
-                    let address = if n < 90 { format!("10.0.0.{}", n % 6) } else { format!("192.0.{}.{}", n % 9, n % 7) };
+                    let address = if n < 90 {
+                        format!("10.0.0.{}", n % 6)
+                    } else {
+                        format!("192.0.{}.{}", n % 9, n % 7)
+                    };
                     let address = ip(&address);
                     let known_by_name = settings.is_named(address);
                     let reserve_free = gate.connections_by_group().0 < settings.reserve;
@@ -441,16 +455,29 @@
                                 let from = open.remove(&evicted);
                                 prop_assert!(from.is_some());
                                 let from = from.unwrap_or(address);
-                                let holds_no_more = held.get(&from).copied().unwrap_or(0) <= held.get(&address).copied().unwrap_or(0);
+                                let holds_no_more = held.get(&from).copied().unwrap_or(0)
+                                    <= held.get(&address).copied().unwrap_or(0);
                                 // Only known clients, within their reserve, may evict an address
                                 // that holds no more than they do.
-                                prop_assert!(from == address || !holds_no_more || known_by_name || reserve_free);
+                                prop_assert!(
+                                    from == address || !holds_no_more || known_by_name || reserve_free
+                                );
                             }
                             open.insert(next, address);
                         }
-                        ConnectDecision::Wait => prop_assert!(!(known_by_name && reserve_free), "a known client waits"),
+                        ConnectDecision::Wait => {
+                            prop_assert!(!(known_by_name && reserve_free), "a known client waits");
+                        }
                         ConnectDecision::Reject { reason, .. } => {
-                            prop_assert!(!(known_by_name && matches!(reason, RejectReason::NoCapacity | RejectReason::RateLimited | RejectReason::PrefixLimit)));
+                            prop_assert!(
+                                !(known_by_name
+                                    && matches!(
+                                        reason,
+                                        RejectReason::NoCapacity
+                                            | RejectReason::RateLimited
+                                            | RejectReason::PrefixLimit
+                                    ))
+                            );
                         }
                     }
                 }
@@ -458,8 +485,8 @@
                     gate.begin_request(now, number);
                     busy.insert(number);
                 },
-                Step::Respond(n, taken) => if let Some(number) = pick(&open, n).filter(|n| busy.contains(n)) {
-                    gate.end_request(now, number, taken);
+                Step::Respond(n, accepted) => if let Some(number) = pick(&open, n).filter(|n| busy.contains(n)) {
+                    gate.end_request(now, number, accepted);
                     busy.remove(&number);
                 },
                 Step::Disconnect(n) => if let Some(number) = pick(&open, n) {
--- a/crates/dialect/src/answers.rs
+++ b/crates/dialect/src/answers.rs
@@ -167,7 +167,11 @@
     proptest! {
         /// A status counts as not having run only if an override says so.
         #[test]
-        fn only_an_override_states_that_a_call_has_not_run(status in 0..1000u16, from in 200..600u16, width in 0..50u16) {
+        fn only_an_override_states_that_a_call_has_not_run(
+            status in 0..1000u16,
+            from in 200..600u16,
+            width in 0..50u16,
+        ) {
             let to = (from + width).min(599);
             let lines = format!("{from}-{to}");
             let table = StatusTable::http().with_overrides([(lines.as_str(), "has-not-run")]).unwrap();
--- a/crates/dialect/src/limits.rs
+++ b/crates/dialect/src/limits.rs
@@ -155,8 +155,13 @@
 
     proptest! {
         #[test]
-        fn any_header_is_accepted(a in "[ -~]{0,60}", b in "[ -~]{0,60}", window in prop::option::of(0.0..1e9f64)) {
-            for (first, second) in [("ratelimit-policy", "ratelimit"), ("x-ratelimit-limit", "x-ratelimit-remaining")] {
+        fn any_header_is_accepted(
+            a in "[ -~]{0,60}",
+            b in "[ -~]{0,60}",
+            window in prop::option::of(0.0..1e9f64),
+        ) {
+            let pairs = [("ratelimit-policy", "ratelimit"), ("x-ratelimit-limit", "x-ratelimit-remaining")];
+            for (first, second) in pairs {
                 if let Some((rate, left)) = parse(&[(first, &a), (second, &b)], window) {
                     prop_assert!(rate > 0.0 && rate <= MAX_RATE && (0.0..=1.0).contains(&left));
                 }
--- a/crates/pool/src/idle_timeout.rs
+++ b/crates/pool/src/idle_timeout.rs
@@ -144,7 +144,9 @@
         /// Whatever is observed in any order, no connection is reused after the configured timeout
         /// or after a known loss.
         #[test]
-        fn limits_hold_for_any_observations(steps in prop::collection::vec((0..4u8, any::<u32>(), any::<u32>()), 0..100)) {
+        fn limits_hold_for_any_observations(
+            steps in prop::collection::vec((0..4u8, any::<u32>(), any::<u32>()), 0..100),
+        ) {
             let mut idle = IdleTimeout::new(15 * SECOND);
             for (action, now, time) in steps {
                 let (now, time) = (u64::from(now), u64::from(time));
--- a/crates/pool/src/preconnect.rs
+++ b/crates/pool/src/preconnect.rs
@@ -150,14 +150,20 @@
             let mut now = 0u64;
             for (action, value) in steps {
                 match action {
-                    0 => { now += u64::from(value); policy.call_started(now) }
+                    0 => {
+                        now += u64::from(value);
+                        policy.call_started(now)
+                    }
                     1 => policy.connection_opened(u64::from(value)),
                     2 => policy.call_ended(value % 2 == 0),
                     _ => policy.call_started(u64::from(value)),
                 }
                 let counts = counts(in_use, idle, dialling);
                 let dials = policy.preconnects_due(now, counts);
-                prop_assert!(dials <= MAX_PARALLEL_DIALS && (dials == 0 || in_use + idle + dialling + dials <= counts.max));
+                prop_assert!(
+                    dials <= MAX_PARALLEL_DIALS
+                        && (dials == 0 || in_use + idle + dialling + dials <= counts.max)
+                );
             }
         }
     }
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -216,10 +216,14 @@
         /// Whatever the file and the id contain, no byte that a header can't have gets into the
         /// head.
         #[test]
-        fn any_file_and_id_are_parsed_or_rejected(text in prop::collection::vec(any::<u8>(), 0..80), id in ".{0,30}") {
+        fn any_file_and_id_are_parsed_or_rejected(
+            text in prop::collection::vec(any::<u8>(), 0..80),
+            id in ".{0,30}",
+        ) {
             for kind in [AuthScheme::Bearer, AuthScheme::Basic { user: "u".into() }, AuthScheme::Webhook] {
                 let Ok(secrets) = Secrets::parse(&kind, &text) else { continue };
-                for (_, value) in headers(&kind, &secrets, SignedCall { id: &id, timestamp: 9, body: &text }).into_iter().flatten() {
+                let call = SignedCall { id: &id, timestamp: 9, body: &text };
+                for (_, value) in headers(&kind, &secrets, call).into_iter().flatten() {
                     prop_assert!(value.as_bytes().iter().all(|b| *b >= 32 && *b != 127));
                 }
             }
--- a/crates/tls/src/expiry.rs
+++ b/crates/tls/src/expiry.rs
@@ -44,7 +44,11 @@
 
     proptest! {
         #[test]
-        fn any_times_are_accepted(end in any::<i64>(), now in any::<i64>(), last_warned in prop::option::of(0..40i64)) {
+        fn any_times_are_accepted(
+            end in any::<i64>(),
+            now in any::<i64>(),
+            last_warned in prop::option::of(0..40i64),
+        ) {
             if let Some(step) = due_warning(end, now, last_warned) {
                 prop_assert!(WARNING_DAYS.contains(&step) && last_warned.is_none_or(|t| step < t));
             }
--- a/src/bin/foldtrack/connections.rs
+++ b/src/bin/foldtrack/connections.rs
@@ -28,7 +28,7 @@
 
 /// Time for the rest of a response head after its first byte; a slower one counts as unreadable.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(250);
-/// Upper bounds of the idle times for which resets of reused connections are counted separately; by
+/// Boundaries between the idle times for which resets of reused connections are counted apart; by
 /// how much more of the calls than on new connections may be reset; the weight of the prior, in
 /// calls, so that a few resets alone mean nothing; and the decay per second, which halves old
 /// counts in about 20 s.
@@ -148,7 +148,8 @@
                 answer.map_err(|mut error| match error.take_message() {
                     Some(_) => SendError::Unsent,
                     None if self.tap.response_started() => SendError::UnreadableResponse,
-                    None => handshake_rejection(&error.into_error()).map_or(SendError::ConnectionLost, SendError::Refused),
+                    None => handshake_rejection(&error.into_error())
+                        .map_or(SendError::ConnectionLost, SendError::Refused),
                 })
             }
             // Guards against a response head without an end, which would hold the call until its
@@ -293,14 +294,16 @@
     /// Targets close a connection that has been idle for `conn_idle`. A call that meets such a
     /// close may have run, which ends an unsafe message: connections are not used in the last
     /// second before it.
-    pub fn new(conn_idle: Duration, most: usize, pool_settings: Option<PoolSettings>, clock: Clock) -> Self {
+    pub fn new(
+        conn_idle: Duration, max_connections: usize, pool_settings: Option<PoolSettings>, clock: Clock,
+    ) -> Self {
         let margin = Duration::from_secs(1).min(conn_idle / 4);
         let (reset_stats, by_target) = (ResetStats::default(), BTreeMap::new());
         ConnectionPool {
             reset_stats,
             by_target,
             max_idle: conn_idle - margin,
-            max_connections: most,
+            max_connections,
             pool_settings,
             clock,
         }
