--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -46,25 +46,25 @@
 
 /// Why a connection or a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum RejectReason {
     /// The operator blocked the network of the address.
     Blocked,
     /// There are too many new connections per second.
-    TooFast,
+    RateLimited,
     /// The address has its maximum number of connections.
-    Address,
+    AddressLimit,
     /// The prefix of the address has its maximum number of connections.
-    Prefix,
+    PrefixLimit,
     /// Every slot that the address could get is held by addresses with no more connections than it
     /// has.
-    Full,
+    NoCapacity,
     /// The address has its maximum number of requests in flight.
-    Requests,
+    RequestLimit,
     /// The address has used up its share of scarce capacity.
-    Share,
+    ShareExceeded,
 }
 
-impl Why {
+impl RejectReason {
     /// The stable name of the reason.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -81,16 +81,16 @@
 
 /// Decision on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Admit {
+pub enum ConnectDecision {
     /// The connection gets a slot, and another one may have to be closed for it.
-    In {
+    Admit {
         /// The number of the connection to close.
         evicted: Option<u64>,
     },
     /// Every slot is held by a request in flight: the connection waits until one is free.
     Wait,
     /// The connection is closed.
-    Away {
+    Reject {
         /// Why it is rejected.
         reason: RejectReason,
         /// Microseconds after which the client may retry; 0 if unknown.
--- a/crates/dialect/src/limits.rs
+++ b/crates/dialect/src/limits.rs
@@ -138,7 +138,7 @@
 
     #[test]
     fn invalid_values_are_no_limit() {
-        for (limit_header, left_header) in
+        for (quota, left) in
             [("0", "0"), ("-5", "1"), ("NaN", "1"), ("1e300", "1"), ("ten", "1"), ("10", "-1")]
         {
             let lines = [("x-ratelimit-limit", quota), ("x-ratelimit-remaining", left)];
--- a/src/bin/foldtrack/cli/keys.rs
+++ b/src/bin/foldtrack/cli/keys.rs
@@ -25,8 +25,8 @@
                 AuthScheme::Basic { user } => format!("password of {user}"),
                 AuthScheme::Webhook => "signing secret".to_string(),
             };
-            let read =
-                crate::partner_protocol::read_protected_file(&proof.file).and_then(|(text, _)| Secrets::parse(&proof.kind, &text));
+            let read = crate::partner_protocol::read_protected_file(&proof.file)
+                .and_then(|(text, _)| Secrets::parse(&proof.kind, &text));
             row(&kind, proof.file.display().to_string(), read.map(|secrets| format!("{secrets:?}")));
         }
         let Some(tls) = &partner.tls else { continue };
--- a/src/bin/foldtrack/cli/partner.rs
+++ b/src/bin/foldtrack/cli/partner.rs
@@ -6,7 +6,7 @@
 use crate::partner_protocol::{self, PartnerProtocol};
 use bytes::Bytes;
 use clap::{Args, Subcommand};
-use foldtrack_dialect::{Meaning, CallContext, Values};
+use foldtrack_dialect::{CallContext, Meaning, Values};
 use foldtrack_tls::certificate;
 use http_body_util::Full;
 use hyper::Request;
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -1,14 +1,14 @@
 //! What the forwarder is told at its start: the environment and the configuration file.
 
-use crate::discovery_schedule::Source;
+use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
 use crate::descriptors::{client_share, DescriptorBudget};
+use crate::discovery_schedule::Source;
 use crate::list::ServerList;
 use crate::membership::Membership;
+use crate::partner_protocol::PartnerProtocols;
 use crate::peers::Setup;
-use crate::client_connections::ClientConnections;
 use crate::platform::Agent;
-use crate::partner_protocol::PartnerProtocols;
 use foldtrack_admission::Settings as Admission;
 use foldtrack_ends::Store;
 use foldtrack_journal::Budget;
@@ -141,7 +141,11 @@
             state: PathBuf::from(variable("BALANCER_STATE")?),
             seed,
             sockets,
-            client_connections: ClientConnections::new(behind_the_platform(places), Clock::new(), descriptors.clone()),
+            client_connections: ClientConnections::new(
+                behind_the_platform(places),
+                Clock::new(),
+                descriptors.clone(),
+            ),
             descriptors,
             memory_bytes: (file.limits.memory_mb * 1e6) as usize,
             disk_bytes: disk_bytes as u64,
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -2,15 +2,17 @@
 //! and the platform.
 #![warn(missing_docs)]
 
-mod discovery_schedule;
 mod blocks;
+mod call;
 mod cli;
+mod client_connections;
 mod client_server;
 mod clock;
 mod config;
 mod connections;
 mod control;
 mod descriptors;
+mod discovery_schedule;
 mod door;
 mod ends_api;
 mod list;
@@ -20,14 +22,12 @@
 mod message;
 mod node;
 mod notice_queue;
+mod partner_protocol;
 mod peers;
-mod client_connections;
 mod platform;
 mod serve;
-mod partner_protocol;
 mod streams;
 mod table;
-mod call;
 mod told;
 
 use config::Config;
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -2,9 +2,9 @@
 
 use super::appliance::kept;
 use super::{Node, Taken, Waiting};
+use crate::call::{self, Call};
 use crate::descriptors::DescriptorPermit;
 use crate::door::CallEnd;
-use crate::call::{self, Call};
 use foldtrack_admission::DescriptorUser;
 use foldtrack_clearance::Overtaken;
 use foldtrack_control::Failure;
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -3,8 +3,8 @@
 //! time; while one runs the next group gathers.
 
 use super::Node;
-use crate::door::{Answer, Input, Receipt, Synced};
 use crate::call::{self, Call};
+use crate::door::{Answer, Input, Receipt, Synced};
 use foldtrack_ends::Result as EndResult;
 use foldtrack_journal::journal::SyncJob;
 use foldtrack_journal::{Record, Ticket, Unwritten};
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -54,7 +54,8 @@
         }
         self.ids.set(&held.message.id, Known::Ended);
         self.record(number, &Record::Noticed(notice));
-        let ending = PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
+        let ending =
+            PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
         self.notices.insert(number, ending);
     }
 
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -12,6 +12,7 @@
 mod restore;
 mod shutdown;
 
+use crate::call::{yield_to_socket_reads, STALL_THRESHOLD};
 use crate::client_server::{self, ServerContext};
 use crate::clock::Clock;
 use crate::config::Config;
@@ -25,7 +26,6 @@
 use crate::notice_queue::NoticeQueue;
 use crate::partner_protocol::PartnerProtocols;
 use crate::table::{Ids, Targets};
-use crate::call::{yield_to_socket_reads, STALL_THRESHOLD};
 use appliance::{Appliance, LONGEST_NAME};
 use foldtrack_admission::DescriptorUser;
 use foldtrack_ends::Attempt;
@@ -196,7 +196,12 @@
         notices: NoticeQueue::default(),
         waiting: BTreeSet::new(),
         calls: BTreeMap::new(),
-        pool: ConnectionPool::new(conn_idle, share.saturating_sub(slots).max(share / 4), pool_settings, clock),
+        pool: ConnectionPool::new(
+            conn_idle,
+            share.saturating_sub(slots).max(share / 4),
+            pool_settings,
+            clock,
+        ),
         descriptors: config.descriptors,
         partner_protocols: config.partner_protocols,
         next_dial: 0,
@@ -223,7 +228,16 @@
     let listener = client_server::listen(config.listen)?;
     let bodies = Semaphore::new(config.memory_bytes / BODIES_PART);
     let unknown_client_bodies = Semaphore::new(config.memory_bytes / BODIES_PART / 2);
-    let context = ServerContext { settings, clock, inputs, stage: stage_seen, bodies, unknown_client_bodies, ends_api, ready };
+    let context = ServerContext {
+        settings,
+        clock,
+        inputs,
+        stage: stage_seen,
+        bodies,
+        unknown_client_bodies,
+        ends_api,
+        ready,
+    };
     tokio::spawn(client_server::serve(listener, Arc::new(context), config.client_connections));
     while !node.has_ended() {
         let begun = Instant::now();
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's agent: a watch on the list of targets, and reports on how messages ended.
 
-use crate::discovery_schedule::{DiscoverySchedule, PollFailure, Source};
 use crate::connections::Connection;
+use crate::discovery_schedule::{DiscoverySchedule, PollFailure, Source};
 use crate::door::{Input, Inputs};
 use crate::list::ServerList;
 use crate::membership::Membership;
@@ -173,7 +173,8 @@
                 );
                 // Perhaps the version is unknown there: the whole list is asked for.
                 version = None;
-                let failure = if status == StatusCode::OK { PollFailure::NoResponse } else { PollFailure::Rejected };
+                let failure =
+                    if status == StatusCode::OK { PollFailure::NoResponse } else { PollFailure::Rejected };
                 sleep(schedule.failed(failure, asked.elapsed())).await;
             }
         }
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -1,6 +1,7 @@
 //! A site of its own: from the site file to a running loop.
 
 use crate::blocks::Blocks;
+use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
 use crate::config::{Config, SiteParts};
 use crate::control;
@@ -8,8 +9,7 @@
 use crate::door;
 use crate::membership::SiteMembership;
 use crate::peers::Setup;
-use crate::client_connections::ClientConnections;
-use crate::{logs, runtime, serve_until_told, partner_protocol};
+use crate::{logs, partner_protocol, runtime, serve_until_told};
 use foldtrack_admission::descriptors::{self, Reserved};
 use foldtrack_admission::Rate;
 use foldtrack_ends::shelf::Bounds;
--- a/tests/site/partners.rs
+++ b/tests/site/partners.rs
@@ -254,7 +254,12 @@
         assert_eq!(call.headers["webhook-id"], "n1");
         let unix: u64 = call.headers["webhook-timestamp"].parse().unwrap();
         let secrets = Secrets::parse(&AuthScheme::Webhook, format!("{one}\n{two}").as_bytes()).unwrap();
-        let made = headers(&AuthScheme::Webhook, &secrets, SignedCall { id: "n1", timestamp: unix, body: &call.body }).unwrap();
+        let made = headers(
+            &AuthScheme::Webhook,
+            &secrets,
+            SignedCall { id: "n1", timestamp: unix, body: &call.body },
+        )
+        .unwrap();
         assert_eq!(call.headers["webhook-signature"], made[2].1.to_str().unwrap());
         assert_eq!(call.headers["webhook-signature"].split(' ').count(), 2);
     }
