--- a/crates/dialect/src/template.rs
+++ b/crates/dialect/src/template.rs
@@ -65,7 +65,7 @@
                 "key" => Variable::Key,
                 _ => {
                     return Err(format!(
-                        "{{{name}}} is not a placeholder; there are {{id}}, {{class}} and {{key}}"
+                        "{{{name}}} is no place; there are {{id}}, {{class}} and {{key}}"
                     ))
                 }
             };
