--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -7,8 +7,8 @@
 use crate::message::Message;
 use crate::peers::PeerIo;
 use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
-use foldtrack_ends::{End, Result as EndResult};
-use foldtrack_membership::{Change, EndpointState, Order, Trouble};
+use foldtrack_ends::{FinalStatus, MessageOutcome};
+use foldtrack_membership::{Change, EndpointState, Order, OrderError};
 use foldtrack_peers::claims::{message_key, ClaimOutcome, ClaimResult, Effect, Key, RETENTION_MS};
 use foldtrack_peers::fact::{Aspect, Fact, FactAction, Subject};
 use foldtrack_peers::ledger::Presence;
@@ -242,12 +242,12 @@
     /// An order of an operator. What makes things safer holds at once; the opposite once a majority has told what it knows.
     /// The answer comes when it is kept here and at another, or when that has been waited for long enough.
     pub(super) fn order_among_peers(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let judged = self.membership.judge(&order);
+        let judged = self.membership.validate(&order);
         let change = match judged {
             Ok(change) => change,
             Err(trouble) => return drop(reply.send(Err(Self::trouble(&trouble)))),
         };
-        if change == Change::Already {
+        if change == Change::Unchanged {
             return drop(reply.send(Ok(self.done(&order, change))));
         }
         let (subject, word) = stated(&order);
@@ -419,13 +419,13 @@
     /// that a start without the others goes by it too.
     fn carry_out_order(&mut self, order: &Order) {
         let now = self.clock.unix(self.clock.now());
-        match self.membership.order(now, order) {
-            Ok(Change::Done) => {
+        match self.membership.apply_order(now, order) {
+            Ok(Change::Applied) => {
                 self.list(self.membership.known(), ListKind::Full);
                 self.note_closed(order);
             }
-            Ok(Change::Already) => {}
-            Err(Trouble::Refused(refusal)) => {
+            Ok(Change::Unchanged) => {}
+            Err(OrderError::Rejected(refusal)) => {
                 // The site files differ: what was said of something that is not there here is kept for when it is.
                 self.tell("no_effect", &format!("an order has no effect here: {refusal}"));
             }
@@ -508,7 +508,7 @@
     }
 
     /// A message has ended.
-    pub(super) fn id_ended(&mut self, id: &str, result: EndResult) {
+    pub(super) fn id_ended(&mut self, id: &str, result: FinalStatus) {
         if self.peers.is_none() {
             return;
         }
@@ -516,12 +516,12 @@
         self.tell_end(id, word);
     }
 
-    fn end_word(&self, result: EndResult) -> ClaimOutcome {
+    fn end_word(&self, result: FinalStatus) -> ClaimOutcome {
         match result {
-            EndResult::Delivered => ClaimOutcome::Delivered,
-            EndResult::GivenUp | EndResult::InDoubt => ClaimOutcome::Final,
-            EndResult::HandedBack { .. } => ClaimOutcome::HandedBack(0),
-            EndResult::HandedBackUntil { until, .. } => {
+            FinalStatus::Delivered => ClaimOutcome::Delivered,
+            FinalStatus::GivenUp | FinalStatus::InDoubt => ClaimOutcome::Final,
+            FinalStatus::HandedBack { .. } => ClaimOutcome::HandedBack(0),
+            FinalStatus::HandedBackUntil { until, .. } => {
                 // 0 stands for without bound.
                 ClaimOutcome::HandedBack(
                     (until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1),
@@ -559,7 +559,7 @@
                 break;
             }
             cursor = fetched.cursor;
-            let remembered = |end: &End| end.ended + 1000 * RETENTION_MS > unix;
+            let remembered = |end: &MessageOutcome| end.ended + 1000 * RETENTION_MS > unix;
             let told = fetched.ends.iter().filter(|(_, end)| remembered(end) && is_claimed(&end.class));
             ended.extend(told.map(|(_, end)| (message_key(&end.id), self.end_word(end.result))));
         }
