--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -1,14 +1,14 @@
 //! What the forwarder is told at its start: the environment and the configuration file.
 
-use crate::asking::Source;
+use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
-use crate::descriptors::{half, Descriptors};
+use crate::descriptors::{client_share, DescriptorBudget};
+use crate::discovery_schedule::Source;
 use crate::list::ServerList;
 use crate::membership::Membership;
+use crate::partner_protocol::PartnerProtocols;
 use crate::peers::PeerSetup;
-use crate::places::Places;
 use crate::platform::Agent;
-use crate::speech::Speeches;
 use foldtrack_admission::Settings as Admission;
 use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
@@ -28,15 +28,15 @@
     pub seed: u64,
     pub sockets: usize,
     /// Of the listener, for clients.
-    pub places: Arc<Places>,
-    pub descriptors: Arc<Descriptors>,
+    pub client_connections: Arc<ClientConnections>,
+    pub descriptors: Arc<DescriptorBudget>,
     pub memory_bytes: usize,
     pub disk_bytes: u64,
     /// The disk counts as no larger: a rehearsal.
     pub disk_budget: Option<Budget>,
     pub settings: Parsed,
     /// How destinations are spoken to.
-    pub speeches: Speeches,
+    pub partner_protocols: PartnerProtocols,
     pub membership: Box<dyn Membership>,
     /// The platform's taker of notices; none at a site of its own.
     pub discovery: Option<watch::Sender<SocketAddr>>,
@@ -83,7 +83,7 @@
 /// itself.
 fn behind_the_platform(places: usize) -> Admission {
     let all = [IpNet::V4(Ipv4Net::default()), IpNet::V6(Ipv6Net::default())];
-    Admission::behind_a_front(places, all.to_vec())
+    Admission::behind_proxy(places, all.to_vec())
 }
 
 fn variable(name: &str) -> Result<String, String> {
@@ -122,8 +122,8 @@
             return Err(format!("{path}: settings without classes or without slots"));
         }
         let (sockets, slots) = (file.limits.sockets, file.settings.settings.slots as usize);
-        let places = half(sockets).max(1);
-        let descriptors = Descriptors::new(sockets, places, slots);
+        let places = client_share(sockets).max(1);
+        let descriptors = DescriptorBudget::new(sockets, places, slots);
         let seed =
             u64::from_str_radix(&file.seed, 16).map_err(|e| format!("{path}: seed {:?}: {e}", file.seed))?;
         let senders = file.settings.settings.senders;
@@ -132,7 +132,7 @@
         }
         let source = match file.settings.settings.subscribe {
             true => Source::Shared,
-            false => Source::OwnAgent,
+            false => Source::LocalAgent,
         };
         let grace = file.settings.settings.rules.drain_grace;
         let discovery = watch::Sender::new(address("BALANCER_DISCOVERY", file.discovery)?);
@@ -141,13 +141,17 @@
             state: PathBuf::from(variable("BALANCER_STATE")?),
             seed,
             sockets,
-            places: Places::new(behind_the_platform(places), Clock::new(), descriptors.clone()),
+            client_connections: ClientConnections::new(
+                behind_the_platform(places),
+                Clock::new(),
+                descriptors.clone(),
+            ),
             descriptors,
             memory_bytes: (file.limits.memory_mb * 1e6) as usize,
             disk_bytes: disk_bytes as u64,
             disk_budget: None,
             settings: file.settings,
-            speeches: Speeches::platform(),
+            partner_protocols: PartnerProtocols::platform(),
             membership: Box::new(Agent {
                 discovery: discovery.clone(),
                 known: file.known,
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -2,15 +2,17 @@
 //! and the platform.
 #![warn(missing_docs)]
 
-mod asking;
 mod blocks;
+mod call;
 mod cli;
-mod clients;
+mod client_connections;
+mod client_server;
 mod clock;
 mod config;
 mod connections;
 mod control;
 mod descriptors;
+mod discovery_schedule;
 mod door;
 mod ends_api;
 mod list;
@@ -19,15 +21,13 @@
 mod membership;
 mod message;
 mod node;
-mod notices;
+mod notice_queue;
+mod partner_protocol;
 mod peers;
-mod places;
 mod platform;
 mod serve;
-mod speech;
 mod streams;
 mod table;
-mod targets;
 mod told;
 
 use config::Config;
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -2,10 +2,10 @@
 
 use super::appliance::kept;
 use super::{Node, Taken, Waiting};
-use crate::descriptors::Drawn;
+use crate::call::{self, Call};
+use crate::descriptors::DescriptorPermit;
 use crate::door::CallEnd;
-use crate::targets::{self, Call};
-use foldtrack_admission::Party;
+use foldtrack_admission::DescriptorUser;
 use foldtrack_clearance::Overtaken;
 use foldtrack_control::Failure;
 use foldtrack_ends::{self as ends, Attempt};
@@ -45,7 +45,7 @@
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all that was decided on before, and no later than what is decided on next.
             Action::FoundOut { target } => self.targets.found_out(target, self.clock.now()),
-            Action::CloseIdle { target } => self.idle.close(target),
+            Action::CloseIdle { target } => self.pool.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is watched all the time; probes and talk are not for this kind of deployment.
             Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::Tell { .. } => {}
@@ -58,7 +58,7 @@
         let Some(held) = self.messages.get_mut(&number).filter(|h| matches!(h.taken, Taken::On)) else {
             return;
         };
-        if self.notices.hold(held.message.order_key()) {
+        if self.notices.holds_key(held.message.order_key()) {
             return;
         }
         self.waiting.remove(&number);
@@ -116,9 +116,9 @@
         self.attempt_begun(number, at, target);
         let (cancel, cancelled) = oneshot::channel();
         self.calls.insert((number, attempt), cancel);
-        let connection = self.idle.take(target);
+        let connection = self.pool.take(target);
         let descriptor = if connection.is_none() { self.draw_for_a_call() } else { None };
-        let speech = self.speeches.of(message.destination);
+        let protocol = self.partner_protocols.for_destination(message.destination);
         let call = Call {
             number,
             attempt,
@@ -126,14 +126,14 @@
             address,
             message,
             dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
-            until: self.clock.instant(until),
+            deadline: self.clock.instant(until),
             connection,
             descriptor,
             clearance,
             clock: self.clock,
-            speech,
+            protocol,
             settings: self.settings.clone(),
-            reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
+            limit_reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
         };
         self.durable.gathering.calls.push((ticket, call, cancelled));
         self.open_ahead(target);
@@ -141,10 +141,10 @@
 
     /// A descriptor for a new connection. Where calls hold all that they may, the connection that has stood idle longest
     /// makes room: it is one of theirs.
-    fn draw_for_a_call(&mut self) -> Option<Drawn> {
+    fn draw_for_a_call(&mut self) -> Option<DescriptorPermit> {
         loop {
-            let drawn = self.descriptors.draw(Party::Calls);
-            if drawn.is_some() || !self.idle.drop_oldest() {
+            let drawn = self.descriptors.acquire(DescriptorUser::Calls);
+            if drawn.is_some() || !self.pool.drop_oldest() {
                 return drawn;
             }
         }
@@ -152,21 +152,21 @@
 
     /// Opens connections to a target before calls ask for them, at a site that does.
     pub(super) fn open_ahead(&mut self, target: TargetId) {
-        let dials = self.idle.dials(target);
+        let dials = self.pool.preconnects_due(target);
         if dials == 0 {
             return;
         }
         let Some((address, destination)) = self.targets.open_at(target) else { return };
         for _ in 0..dials {
             // What calls need comes first: none of their idle connections gives way for one ahead.
-            let Some(descriptor) = self.descriptors.draw(Party::Calls) else { return };
+            let Some(descriptor) = self.descriptors.acquire(DescriptorUser::Calls) else { return };
             self.next_dial += 1;
-            let (number, speech) = (self.next_dial, self.speeches.of(destination));
+            let (number, protocol) = (self.next_dial, self.partner_protocols.for_destination(destination));
             let timeout = Duration::from_micros(self.settings.settings.connect_timeout);
             let dial =
-                targets::dial(target, number, address, speech, descriptor, timeout, self.inputs.clone());
+                call::dial(target, number, address, protocol, descriptor, timeout, self.inputs.clone());
             let dial = tokio::spawn(dial).abort_handle();
-            self.idle.dials_ahead(target, number, dial);
+            self.pool.preconnect_started(target, number, dial);
         }
     }
 
@@ -211,11 +211,11 @@
 
     pub(super) fn call_ended(&mut self, end: CallEnd) {
         self.calls.remove(&(end.number, end.attempt));
-        self.idle.ended(end.target, end.idle, end.dialled, end.outcome);
+        self.pool.call_ended(end.target, end.idle, end.dialled, end.outcome);
         self.attempt_ended(&end);
         let listed = self.targets.end_call(end.target);
         if let Some(connection) = end.connection.filter(|_| listed) {
-            self.idle.put(end.target, connection);
+            self.pool.put(end.target, connection);
         }
         self.open_ahead(end.target);
         // The others of a site hear of it whatever has become of the message.
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -3,8 +3,8 @@
 //! time; while one runs the next group gathers.
 
 use super::Node;
+use crate::call::{self, Call};
 use crate::door::{Answer, Input, Receipt, Synced};
-use crate::targets::{self, Call};
 use foldtrack_ends::FinalStatus;
 use foldtrack_journal::journal::SyncJob;
 use foldtrack_journal::{FailedWrite, Record, Ticket};
@@ -96,7 +96,7 @@
         self.calls.remove(&(number, attempt));
         let listed = self.targets.end_call(target);
         if let Some((connection, _)) = connection.filter(|_| listed) {
-            self.idle.put(target, connection);
+            self.pool.put(target, connection);
         }
         if let Some(held) = self.messages.get_mut(&number) {
             held.tries -= 1;
@@ -171,12 +171,12 @@
     /// Starts a call that has waited, unless its time is over or it was called off. Whether news has overtaken it is asked by
     /// the call itself.
     fn release_call(&mut self, call: Call, mut cancelled: oneshot::Receiver<()>, sound: bool) {
-        let stands = cancelled.try_recv().is_err() && call.until > Instant::now();
+        let stands = cancelled.try_recv().is_err() && call.deadline > Instant::now();
         if sound && stands {
-            tokio::spawn(targets::call(call, cancelled, self.inputs.clone()));
+            tokio::spawn(call::call(call, cancelled, self.inputs.clone()));
             return;
         }
-        let mut end = call.not_begun(Outcome::NotSent);
+        let mut end = call.unstarted_end(Outcome::NotSent);
         end.connection = call.connection.map(|(connection, _)| connection);
         self.inputs.send(Input::CallEnded(end));
     }
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -2,7 +2,7 @@
 
 use super::{Held, Node, Taken};
 use crate::door::Answer;
-use crate::notices::Ending;
+use crate::notice_queue::PendingNotice;
 use crate::platform;
 use crate::table::Known;
 use foldtrack_ends::{FinalStatus, MessageOutcomeRef};
@@ -55,7 +55,8 @@
         }
         self.ids.set(&held.message.id, Known::Ended);
         self.record(number, &Record::FailureNoticed(notice));
-        let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
+        let ending =
+            PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
         self.notices.insert(number, ending);
     }
 
@@ -220,20 +221,20 @@
 
     pub(super) fn report_notices(&mut self) {
         let Some(discovery) = &self.discovery else { return };
-        while let Some((numbers, lines)) = self.notices.next(self.clock.now()) {
+        while let Some((numbers, lines)) = self.notices.next_report(self.clock.now()) {
             tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.inputs.clone()));
         }
     }
 
     pub(super) fn reported(&mut self, numbers: Vec<u64>, status: Option<StatusCode>, to: SocketAddr) {
-        self.notices.came_back();
+        self.notices.report_finished();
         if status != Some(StatusCode::NO_CONTENT) {
             // Where discovery has moved meanwhile, they go to the new address at once.
             let stays = self.discovery.as_ref().is_some_and(|d| to == *d.borrow());
             if stays {
                 eprintln!("notices were not taken: {status:?}");
             }
-            return self.notices.again(numbers, self.clock.now(), stays);
+            return self.notices.requeue(numbers, self.clock.now(), stays);
         }
         let mut keys = HashSet::new();
         for number in numbers {
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -12,22 +12,22 @@
 mod restore;
 mod shutdown;
 
-use crate::clients::{self, Desk};
+use crate::call::{yield_to_socket_reads, STALL_THRESHOLD};
+use crate::client_server::{self, ServerContext};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::connections::{IdleConnections, Keeping};
-use crate::descriptors::{half, Descriptors};
+use crate::connections::{ConnectionPool, PoolSettings};
+use crate::descriptors::{client_share, DescriptorBudget};
 use crate::door::{Answer, Input, Inputs, Stage};
-use crate::ends_api::Fronts;
+use crate::ends_api::EndsApi;
 use crate::list::{ServerList, ServerState};
 use crate::membership::Membership;
 use crate::message::Message;
-use crate::notices::Notices;
-use crate::speech::Speeches;
+use crate::notice_queue::NoticeQueue;
+use crate::partner_protocol::PartnerProtocols;
 use crate::table::{Ids, Targets};
-use crate::targets::{read_what_has_come, STOOD_STILL};
 use appliance::{Appliance, LONGEST_NAME};
-use foldtrack_admission::Party;
+use foldtrack_admission::DescriptorUser;
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{Journal, JournalDir, JournalOptions};
 use hatchline::settings::Parsed;
@@ -118,14 +118,14 @@
     fresh: Vec<u64>,
     /// Bytes of these, which the journal does not know of yet.
     fresh_bytes: usize,
-    notices: Notices,
+    notices: NoticeQueue,
     /// Those whose send has been decided on, but has not gone yet.
     waiting: BTreeSet<u64>,
     /// By message and attempt: what calls it off.
     calls: BTreeMap<(u64, u32), oneshot::Sender<()>>,
-    idle: IdleConnections,
-    descriptors: Arc<Descriptors>,
-    speeches: Speeches,
+    pool: ConnectionPool,
+    descriptors: Arc<DescriptorBudget>,
+    partner_protocols: PartnerProtocols,
     /// Dials ahead of demand so far.
     next_dial: u64,
     swept: Instant,
@@ -151,14 +151,14 @@
         None => None,
     };
     let ready = others.as_ref().map(|(_, io)| io.ready.clone());
-    let (ends_seen, fronts) = fronts(&config);
+    let (ends_seen, ends_api) = ends_api(&config);
     let settings = Arc::new(config.settings);
     let max_attempts = settings.settings.max_attempts;
     let slots = settings.settings.slots as usize;
-    let keeping = config.site.as_ref().map(|parts| Keeping {
-        ahead: parts.site.calls.open_ahead,
-        most: (slots / 4).max(2),
-        age: Duration::from_micros(parts.site.calls.connection_age),
+    let pool_settings = config.site.as_ref().map(|parts| PoolSettings {
+        preconnect: parts.site.calls.open_ahead,
+        max_per_target: (slots / 4).max(2),
+        max_age: Duration::from_micros(parts.site.calls.connection_age),
     });
     let site = config.site.map(|parts| Appliance::new(parts, ends_seen, config.memory_bytes as u64));
     let name = if site.is_some() { LONGEST_NAME } else { 0 };
@@ -174,7 +174,7 @@
     // Numbers of messages that are over may stand in kept ends: none is used twice.
     let highest = journal.highest_number().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
     let (stage, stage_seen) = watch::channel(Stage::Serving);
-    let share = half(config.sockets);
+    let share = client_share(config.sockets);
     let conn_idle = Duration::from_micros(settings.settings.connection_idle);
     let mut node = Node {
         clock,
@@ -193,12 +193,17 @@
         messages: BTreeMap::new(),
         fresh: Vec::new(),
         fresh_bytes: 0,
-        notices: Notices::default(),
+        notices: NoticeQueue::default(),
         waiting: BTreeSet::new(),
         calls: BTreeMap::new(),
-        idle: IdleConnections::new(conn_idle, share.saturating_sub(slots).max(share / 4), keeping, clock),
+        pool: ConnectionPool::new(
+            conn_idle,
+            share.saturating_sub(slots).max(share / 4),
+            pool_settings,
+            clock,
+        ),
         descriptors: config.descriptors,
-        speeches: config.speeches,
+        partner_protocols: config.partner_protocols,
         next_dial: 0,
         swept: Instant::now(),
         targets: Targets::default(),
@@ -220,18 +225,27 @@
     if news {
         batch.extend(timeout(FIRST_LIST, receiver.recv()).await.ok().flatten());
     }
-    let listener = clients::listen(config.listen)?;
+    let listener = client_server::listen(config.listen)?;
     let bodies = Semaphore::new(config.memory_bytes / BODIES_PART);
-    let bodies_of_others = Semaphore::new(config.memory_bytes / BODIES_PART / 2);
-    let desk = Desk { settings, clock, inputs, stage: stage_seen, bodies, bodies_of_others, fronts, ready };
-    tokio::spawn(clients::serve(listener, Arc::new(desk), config.places));
+    let unknown_client_bodies = Semaphore::new(config.memory_bytes / BODIES_PART / 2);
+    let context = ServerContext {
+        settings,
+        clock,
+        inputs,
+        stage: stage_seen,
+        bodies,
+        unknown_client_bodies,
+        ends_api,
+        ready,
+    };
+    tokio::spawn(client_server::serve(listener, Arc::new(context), config.client_connections));
     while !node.has_ended() {
         let begun = Instant::now();
         node.round(&mut batch);
         if let Some(site) = &mut node.site {
             site.longest_round = site.longest_round.max(begun.elapsed());
         }
-        let stood = begun.elapsed() > STOOD_STILL;
+        let stood = begun.elapsed() > STALL_THRESHOLD;
         let wake = node.wake_at();
         tokio::select! {
             biased;
@@ -240,25 +254,25 @@
         }
         // A round that was held up by the disk, or a timer that comes late: nothing is decided before answers that came
         // meanwhile are read.
-        if stood || Instant::now() > wake + STOOD_STILL {
-            read_what_has_come().await;
+        if stood || Instant::now() > wake + STALL_THRESHOLD {
+            yield_to_socket_reads().await;
         }
     }
     // Whoever has handed a message in that no round has seen is told so, not cut off: nothing owes it an end.
     drop(receiver);
     drop(batch);
-    read_what_has_come().await;
+    yield_to_socket_reads().await;
     Ok(())
 }
 
 /// What clients of a site of its own may ask beside handing messages in.
-fn fronts(config: &Config) -> (watch::Sender<u64>, Option<Fronts>) {
+fn ends_api(config: &Config) -> (watch::Sender<u64>, Option<EndsApi>) {
     let (ends_seen, seen) = watch::channel(0);
     let partners = config.site.as_ref().map(|parts| {
         let named = |p: &foldtrack_site::Partner| (p.name.clone(), p.number());
         parts.site.partners.iter().map(named).collect()
     });
-    (ends_seen, partners.map(|partners| Fronts::new(partners, seen)))
+    (ends_seen, partners.map(|partners| EndsApi::new(partners, seen)))
 }
 
 impl Node {
@@ -289,16 +303,16 @@
         if self.swept.elapsed() > SWEEP {
             self.swept = Instant::now();
             self.sweep_ends();
-            for target in self.idle.sweep() {
+            for target in self.pool.sweep() {
                 self.open_ahead(target);
             }
-            for _ in 0..self.descriptors.over(Party::Calls) {
-                self.idle.drop_oldest();
+            for _ in 0..self.descriptors.excess(DescriptorUser::Calls) {
+                self.pool.drop_oldest();
             }
             let (now, keep) = (self.clock.now(), self.remember());
             self.ids.forget(now, self.most_ids);
             for number in self.targets.forget(now, now - keep) {
-                self.idle.close(number);
+                self.pool.close(number);
             }
         }
     }
@@ -326,7 +340,7 @@
             Input::CallEnded(end) => self.call_ended(end),
             Input::Opened { target, number, opened } => {
                 let open = self.targets.is_open(target);
-                self.idle.opened(target, number, opened.filter(|_| open));
+                self.pool.preconnect_finished(target, number, opened.filter(|_| open));
             }
             // What the old address has told late does not stand against the new one.
             Input::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
@@ -339,7 +353,7 @@
                 if let Some(discovery) = &self.discovery {
                     discovery.send_replace(address);
                 }
-                self.notices.moved();
+                self.notices.reset_pause();
             }
             Input::Site(ask) => self.asked(ask),
             Input::Synced(synced) => self.synced(synced),
@@ -371,7 +385,7 @@
             named.insert(target);
             if let Some(target) = replaced {
                 // The same id elsewhere is another target.
-                self.idle.close(target);
+                self.pool.close(target);
                 let (destination, state) = (line.cell, EndpointState::Gone);
                 endpoints.push(Endpoint { target, destination, state, ..Endpoint::default() });
             }
@@ -408,7 +422,7 @@
             return Instant::now();
         }
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
-        let reports = self.notices.due().map(|from| self.clock.instant(from));
+        let reports = self.notices.next_due().map(|from| self.clock.instant(from));
         let wakes = [timer, reports, self.next_step_down(), self.peers_due()];
         wakes.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + SWEEP)
     }
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -38,7 +38,7 @@
         let now = self.clock.unix(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
-            if self.speeches.shows_secrets(partner, *address) {
+            if self.partner_protocols.exposes_secrets(partner, *address) {
                 let text = format!("{partner} is spoken to without TLS, and {address} is not on this machine: its secret would go over the wire in plain text");
                 return drop(reply.send(Err(error("refused", text))));
             }
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -96,7 +96,7 @@
         let imports = self.own_statements();
         let Some(side) = &mut self.peers else { return };
         // Of a block that outlived the process its own record tells what is left.
-        for (network, left) in side.io.blocks.standing() {
+        for (network, left) in side.io.blocks.active() {
             side.peers.set_remaining_closure(&Subject::Network(network.to_string()), left);
         }
         if side.peers.ledger().is_empty() {
@@ -166,7 +166,7 @@
         let removed = state.site().endpoints.keys().filter(|name| !state.endpoints().contains_key(*name));
         statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), FactAction::Remove)));
         let paused = state.partners().iter().filter(|(_, p)| p.paused);
-        let blocks = self.peers.iter().flat_map(|side| side.io.blocks.standing());
+        let blocks = self.peers.iter().flat_map(|side| side.io.blocks.active());
         let blocks = blocks.filter(|(_, left)| *left > 0);
         statements.extend(
             blocks.map(|(network, for_ms)| {
@@ -307,18 +307,18 @@
         let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
         let verdict = side.peers.subject_state(subject);
         if verdict.closed.is_none() {
-            if verdict.opened && side.io.blocks.lift(&network) {
-                side.io.blocks.keep_later();
+            if verdict.opened && side.io.blocks.remove(&network) {
+                side.io.blocks.save_in_background();
             }
             return;
         }
         let left = side.peers.remaining_closure_ms(subject);
-        let standing = side.io.blocks.standing();
+        let standing = side.io.blocks.active();
         if standing.iter().any(|(known, for_ms)| *known == network && for_ms.abs_diff(left) < SAME_SPAN_MS) {
             return;
         }
-        match side.io.blocks.hold(network, left) {
-            Ok(()) => side.io.blocks.keep_later(),
+        match side.io.blocks.apply(network, left) {
+            Ok(()) => side.io.blocks.save_in_background(),
             Err(problem) => self.tell("no_effect", &format!("{network} is not blocked here: {problem}")),
         }
     }
@@ -393,7 +393,7 @@
                 if there.as_ref() == Some(&(partner.clone(), *address)) {
                     return;
                 }
-                if self.speeches.shows_secrets(partner, *address) {
+                if self.partner_protocols.exposes_secrets(partner, *address) {
                     let text = format!(
                         "{name} at {address} is not called from here: {partner} is spoken to without TLS, and its \
                          secret would go over the wire in plain text"
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -2,7 +2,7 @@
 //! round, and the fronts ask for a few pictures a second at most, however many readers they have.
 
 use super::Node;
-use crate::connections::SeenConnections;
+use crate::connections::ConnectionStats;
 use crate::door::{Picture, Stage};
 use crate::told::{told_attempt, told_end};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
@@ -248,7 +248,7 @@
             let draining = endpoint.state == foldtrack_membership::EndpointState::Draining;
             let closed =
                 self.site.as_ref().and_then(|s| s.closed.get(name)).map_or(Duration::ZERO, Instant::elapsed);
-            let seen = lane.map_or(SeenConnections::default(), |(target, ..)| self.idle.seen(*target));
+            let seen = lane.map_or(ConnectionStats::default(), |(target, ..)| self.pool.stats(*target));
             Endpoint {
                 name: name.clone(),
                 partner: endpoint.partner.clone(),
@@ -276,9 +276,9 @@
                 avoided_ms: lane.map_or(0, |(_, _, avoided)| avoided / 1000),
                 idle: seen.idle as u32,
                 dialling: seen.dialling as u32,
-                ready: share(seen.ready),
+                ready: share(seen.without_handshake),
                 handshake_ms: millis(seen.handshake.as_micros() as u64),
-                idle_most_ms: seen.longest_idle.as_millis() as u64,
+                idle_most_ms: seen.max_idle.as_millis() as u64,
                 closed_ms: closed.as_millis() as u64,
             }
         };
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -3,7 +3,7 @@
 use super::endings::MEMORY_MARGIN;
 use super::{Held, Node, Taken};
 use crate::message::{order_key, Message};
-use crate::notices::Ending;
+use crate::notice_queue::PendingNotice;
 use crate::table::Known;
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
@@ -31,7 +31,7 @@
         if let Some(notice) = notice.filter(|_| self.site.is_none()) {
             let order_key = order_key(&accepted.key);
             self.ids.set(&accepted.id, Known::Ended);
-            self.notices.insert(number, Ending { id: accepted.id, order_key, notice });
+            self.notices.insert(number, PendingNotice { id: accepted.id, order_key, notice });
             return;
         }
         let class = self.settings.class_names.iter().position(|n| *n == accepted.class);
--- a/src/bin/foldtrack/node/shutdown.rs
+++ b/src/bin/foldtrack/node/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, ACCEPT_ON, END_BY};
 use crate::door::Stage;
-use foldtrack_admission::Party;
+use foldtrack_admission::DescriptorUser;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
         let Some(at) = self.terminated else { return false };
         let idle = self.calls.is_empty() && self.messages.is_empty() && self.notices.is_empty();
         // What rests is closed by now: a connection that is still open has a request on its way.
-        let left = self.descriptors.held(Party::Clients) == 0;
+        let left = self.descriptors.held(DescriptorUser::Clients) == 0;
         at.elapsed() >= END_BY || idle && left && at.elapsed() >= 2 * ACCEPT_ON
     }
 
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -163,7 +163,7 @@
     /// Tells operators.
     pub fn report(&self, kind: &str, text: &str) {
         eprintln!("peers: {kind}: {text}");
-        self.blocks.tell(kind, text);
+        self.blocks.publish(kind, text);
     }
 }
 
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's agent: a watch on the list of targets, and reports on how messages ended.
 
-use crate::asking::{Asking, Failure, Source};
 use crate::connections::Connection;
+use crate::discovery_schedule::{DiscoverySchedule, PollFailure, Source};
 use crate::door::{Input, Inputs};
 use crate::list::ServerList;
 use crate::membership::Membership;
@@ -34,18 +34,18 @@
 /// An exchange with the agent; the connection is kept in `connection` unless it failed.
 async fn exchange(
     connection: &mut Option<Connection>, address: SocketAddr, request: Request<Full<Bytes>>,
-) -> Result<(StatusCode, Bytes), Failure> {
+) -> Result<(StatusCode, Bytes), PollFailure> {
     let reused = connection.take();
     // Nobody is there; or one that was kept has ended meanwhile, which says nothing of the next.
-    let ended = if reused.is_some() { Failure::NoAnswer } else { Failure::TurnedAway };
+    let ended = if reused.is_some() { PollFailure::NoResponse } else { PollFailure::Rejected };
     let mut open = match reused {
         Some(open) => open,
-        None => Connection::open(address, None, None).await.map_err(|_| Failure::NoAnswer)?,
+        None => Connection::open(address, None, None).await.map_err(|_| PollFailure::NoResponse)?,
     };
     let response = open.send(request).await.map_err(|_| ended)?;
     let status = response.status();
     let body = timeout(BODY_WAIT, open.finish(response.into_body(), LONGEST_LIST)).await;
-    let body = body.ok().flatten().ok_or(Failure::NoAnswer)?;
+    let body = body.ok().flatten().ok_or(PollFailure::NoResponse)?;
     *connection = Some(open);
     Ok((status, body))
 }
@@ -75,8 +75,8 @@
     /// What is known may be old: a target that this forwarder was told of as drained, before it restarted, would get
     /// what it held. The agent answers at once, or discovery is down.
     fn watch(&self, inputs: &Inputs) -> bool {
-        let asking = Asking::new(self.senders, self.source, self.grace, self.seed);
-        tokio::spawn(watch(self.discovery.subscribe(), asking, inputs.clone()));
+        let schedule = DiscoverySchedule::new(self.senders, self.source, self.grace, self.seed);
+        tokio::spawn(watch(self.discovery.subscribe(), schedule, inputs.clone()));
         true
     }
 
@@ -98,29 +98,29 @@
 }
 
 /// Watches the list for as long as the process runs.
-async fn watch(mut discovery: watch::Receiver<SocketAddr>, mut asking: Asking, inputs: Inputs) {
+async fn watch(mut discovery: watch::Receiver<SocketAddr>, mut schedule: DiscoverySchedule, inputs: Inputs) {
     loop {
         let address = *discovery.borrow_and_update();
         // A watch that hangs on an address which is left would not end by itself for seconds.
         tokio::select! {
             biased;
             moved = discovery.changed() => match moved {
-                Ok(()) => asking.moved(),
+                Ok(()) => schedule.reset(),
                 Err(_) => return,
             },
-            () = watch_at(address, &mut asking, &inputs) => {}
+            () = watch_at(address, &mut schedule, &inputs) => {}
         }
     }
 }
 
 /// Watches the list at one address, from the whole list on.
-async fn watch_at(address: SocketAddr, asking: &mut Asking, inputs: &Inputs) {
+async fn watch_at(address: SocketAddr, schedule: &mut DiscoverySchedule, inputs: &Inputs) {
     let mut connection = None;
     let mut version: Option<u64> = None;
     loop {
         let (path, wait) = match version {
             Some(v) => {
-                let watch = asking.watch();
+                let watch = schedule.poll_timeout();
                 (format!("/v1/servers?since={v}&timeout_ms={}", watch.as_millis()), watch + WATCH_LATE)
             }
             None => ("/v1/servers".to_string(), LIST_WAIT),
@@ -129,16 +129,16 @@
         let answer = match get(address, &path) {
             Some(request) => {
                 let answer = timeout(wait, exchange(&mut connection, address, request)).await;
-                answer.unwrap_or(Err(Failure::NoAnswer))
+                answer.unwrap_or(Err(PollFailure::NoResponse))
             }
-            None => Err(Failure::NoAnswer),
+            None => Err(PollFailure::NoResponse),
         };
         let (status, body) = match answer {
             Ok(answer) => answer,
             Err(failure) => {
                 // The list stays as it is, and the watch goes on from its version.
                 connection = None;
-                sleep(asking.failed(failure, asked.elapsed())).await;
+                sleep(schedule.failed(failure, asked.elapsed())).await;
                 continue;
             }
         };
@@ -156,7 +156,7 @@
             Ok(list) if status == StatusCode::OK => {
                 let empty = !list.full && list.servers.is_empty();
                 version = Some(list.version);
-                let pause = asking.answered(!empty);
+                let pause = schedule.answered(!empty);
                 if !empty {
                     inputs.send(Input::List { list, from: address });
                     if !pause.is_zero() {
@@ -173,8 +173,9 @@
                 );
                 // Perhaps the version is unknown there: the whole list is asked for.
                 version = None;
-                let failure = if status == StatusCode::OK { Failure::NoAnswer } else { Failure::TurnedAway };
-                sleep(asking.failed(failure, asked.elapsed())).await;
+                let failure =
+                    if status == StatusCode::OK { PollFailure::NoResponse } else { PollFailure::Rejected };
+                sleep(schedule.failed(failure, asked.elapsed())).await;
             }
         }
     }
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -1,16 +1,16 @@
 //! A site of its own: from the site file to a running loop.
 
 use crate::blocks::Blocks;
+use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
 use crate::config::{Config, SiteParts};
 use crate::control;
-use crate::descriptors::{allowed, Descriptors, OTHER_SOCKETS};
+use crate::descriptors::{descriptor_limit, DescriptorBudget, RESERVED_DESCRIPTORS};
 use crate::door;
 use crate::membership::SiteMembership;
 use crate::peers::PeerSetup;
-use crate::places::Places;
-use crate::{logs, runtime, serve_until_told, speech};
-use foldtrack_admission::descriptors::{self, Kept};
+use crate::{logs, partner_protocol, runtime, serve_until_told};
+use foldtrack_admission::descriptors::{self, Reserved};
 use foldtrack_admission::Rate;
 use foldtrack_ends::retention::RetentionLimits;
 use foldtrack_ends::OutcomeStore;
@@ -54,37 +54,37 @@
     let ends = OutcomeStore::open(&site.state.join("ends"), bounds)
         .map_err(|e| e.to_string())?
         .with_budget(budget.clone());
-    let kept = Kept { calls: site.limits.calls as usize, house: OTHER_SOCKETS };
+    let reserved = Reserved { calls: site.limits.calls as usize, internal: RESERVED_DESCRIPTORS };
     let configured = site.limits.descriptors;
     let most = move || {
-        let limit = configured.min(allowed());
-        (limit, descriptors::places(limit, kept))
+        let limit = configured.min(descriptor_limit());
+        (limit, descriptors::max_client_connections(limit, reserved))
     };
     let (limit, places) = most();
     let places = places?;
-    let ledger = Descriptors::new(limit, places, kept.calls);
-    let places = Places::new(admission(&site, places), Clock::new(), ledger.clone());
-    let blocks = Blocks::open(&site.state, places.clone(), site.listen.port())?;
+    let ledger = DescriptorBudget::new(limit, places, reserved.calls);
+    let client_connections = ClientConnections::new(admission(&site, places), Clock::new(), ledger.clone());
+    let blocks = Blocks::open(&site.state, client_connections.clone(), site.listen.port())?;
     let peers = match &site.peers {
         Some(said) => Some(PeerSetup::open(said, &site.state, blocks.clone())?),
         None => None,
     };
     let socket = control::bind(&site.control_socket())?;
-    let (speeches, keeper) = speech::of_site(&site)?;
-    let _logs = (!keeper.is_idle()).then(logs::start);
+    let (partner_protocols, file_watcher) = partner_protocol::load(&site)?;
+    let _logs = (!file_watcher.is_empty()).then(logs::start);
     let (inputs, receiver) = door::channel();
     let config = Config {
         listen: site.listen,
         state: site.state.clone(),
         seed: seed(unix),
         sockets: site.limits.descriptors,
-        places: places.clone(),
+        client_connections: client_connections.clone(),
         descriptors: ledger.clone(),
         memory_bytes: site.limits.memory as usize,
         disk_bytes: site.journal_room(),
         disk_budget: budget,
         settings: settings(&site),
-        speeches,
+        partner_protocols,
         membership: Box::new(SiteMembership::new(log, site.clone())),
         discovery: None,
         durable: site.durability == Durability::Machine,
@@ -92,7 +92,7 @@
     };
     let ends = [SignalKind::terminate(), SignalKind::interrupt()];
     runtime()?.block_on(async {
-        keeper.start();
+        file_watcher.start();
         control::start(socket, inputs.clone(), blocks, ledger, most)?;
         serve_until_told(config, inputs, receiver, &ends).await
     })
@@ -140,18 +140,18 @@
 /// Who is let in, in the words of the gate.
 fn admission(site: &Site, places: usize) -> foldtrack_admission::Settings {
     let said = &site.admission;
-    let usual = foldtrack_admission::Settings::for_places(places);
+    let usual = foldtrack_admission::Settings::for_connections(places);
     let count = |said: Option<u32>, usual: usize| said.map_or(usual, |n| n as usize);
     foldtrack_admission::Settings {
-        reserve: (said.reserve * usual.places as f64) as usize,
+        reserve: (said.reserve * usual.max_connections as f64) as usize,
         per_address: count(said.per_address, usual.per_address),
         per_known: count(said.per_known, usual.per_known),
         per_prefix: count(said.per_prefix, usual.per_prefix),
         v4_prefix: said.v4_prefix,
         v6_prefix: said.v6_prefix,
-        new: Rate { per_second: said.new_per_second, burst: said.burst },
-        strangers: Rate { per_second: said.strangers_per_second, ..usual.strangers },
-        requests: count(said.requests, usual.requests),
+        new_connections: Rate { per_second: said.new_per_second, burst: said.burst },
+        unknown_connections: Rate { per_second: said.strangers_per_second, ..usual.unknown_connections },
+        max_requests_per_address: count(said.requests, usual.max_requests_per_address),
         known: said.known.clone(),
         ..usual
     }
