--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -4,9 +4,9 @@
 use crate::config::SiteParts;
 use crate::door::Answer;
 use foldtrack_control::Failure;
+use foldtrack_delivery::Outcome;
 use foldtrack_ends::{self as ends, MessageOutcome, OutcomeStore};
 use foldtrack_journal::FailureNotice;
-use hatchline::Outcome;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::path::PathBuf;
@@ -186,12 +186,12 @@
     match outcome {
         Outcome::Ok => ends::AttemptOutcome::Ok,
         Outcome::Error => ends::AttemptOutcome::Error,
-        Outcome::Full => ends::AttemptOutcome::Rejected,
+        Outcome::Rejected => ends::AttemptOutcome::Rejected,
         Outcome::TimedOut => ends::AttemptOutcome::TimedOut,
         Outcome::ConnectFailed => ends::AttemptOutcome::NotConnected,
         Outcome::Reset => ends::AttemptOutcome::Reset,
         Outcome::Cancelled => ends::AttemptOutcome::Cancelled,
-        Outcome::Spoilt => ends::AttemptOutcome::UnreadableResponse,
-        Outcome::NotSent | Outcome::HeldBack => ends::AttemptOutcome::NotSent,
+        Outcome::UnreadableResponse => ends::AttemptOutcome::UnreadableResponse,
+        Outcome::NotSent | Outcome::Withheld => ends::AttemptOutcome::NotSent,
     }
 }
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -5,10 +5,10 @@
 use super::Node;
 use crate::call::{self, Call};
 use crate::door::{Answer, Input, Receipt, Synced};
+use foldtrack_delivery::Outcome;
 use foldtrack_ends::FinalStatus;
 use foldtrack_journal::journal::SyncJob;
 use foldtrack_journal::{FailedWrite, Record, Ticket};
-use hatchline::Outcome;
 use std::collections::HashMap;
 use std::fs::File;
 use tokio::sync::oneshot;
