--- a/src/bin/foldtrack/client_connections.rs
+++ b/src/bin/foldtrack/client_connections.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::descriptors::{DescriptorBudget, DescriptorPermit};
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::{Admit, Ask, DescriptorUser, Event, Gate, Seen, Settings};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, HashMap};
@@ -70,7 +70,7 @@
     }
 
     fn hall(&self) -> MutexGuard<'_, Hall> {
-        locked(&self.hall)
+        lock_ignoring_poison(&self.hall)
     }
 
     /// Waits until those who were let go of have left, but for a few.
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -2,8 +2,8 @@
 
 use crate::client_connections::{ClientConnections, Seat};
 use crate::clock::Clock;
-use crate::door::{Answer, Input, Inputs, Stage};
 use crate::ends_api::{self, EndsApi};
+use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::message::Message;
 use crate::streams::{HeadScan, Scanned};
 use bytes::Bytes;
@@ -52,7 +52,7 @@
 pub(crate) struct ServerContext {
     pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
-    pub inputs: Inputs,
+    pub events: EventSender,
     pub stage: watch::Receiver<Stage>,
     /// Bytes of bodies that may still be read before their messages are handed on.
     pub bodies: Semaphore,
@@ -270,9 +270,9 @@
         (&Method::GET, path) if path.starts_with("/v1/") => {
             let Some(ends_api) = &context.ends_api else { return closing(plain(StatusCode::NOT_FOUND)) };
             match path.strip_prefix("/v1/messages/") {
-                Some(id) => ends_api::message(id, &context.inputs).await,
+                Some(id) => ends_api::message(id, &context.events).await,
                 None if path == "/v1/ends" => {
-                    ends_api::ends(request.uri().query().unwrap_or(""), ends_api, &context.inputs).await
+                    ends_api::ends(request.uri().query().unwrap_or(""), ends_api, &context.events).await
                 }
                 None => plain(StatusCode::NOT_FOUND),
             }
@@ -307,16 +307,16 @@
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
     let message = read(request, known, context).await?;
     let (reply, answer) = oneshot::channel();
-    context.inputs.send(Input::HandIn { message: Arc::new(message), known, reply });
+    context.events.send(LoopEvent::Submit { message: Arc::new(message), from_known_client: known, reply });
     match answer.await {
-        Ok(Answer::TakenOn(mut receipt)) => {
+        Ok(SubmitReply::Accepted(mut receipt)) => {
             // When the client has closed, the connection drops this future before it comes here.
             receipt.written = true;
             Ok(plain(StatusCode::ACCEPTED))
         }
-        Ok(Answer::Refused { retry_in_ms }) => Ok(refused(retry_in_ms)),
-        Ok(Answer::Known { over: false }) => Ok(plain(StatusCode::ACCEPTED)),
-        Ok(Answer::Known { over: true }) => Err(StatusCode::CONFLICT),
+        Ok(SubmitReply::Refused { retry_in_ms }) => Ok(refused(retry_in_ms)),
+        Ok(SubmitReply::Duplicate { over: false }) => Ok(plain(StatusCode::ACCEPTED)),
+        Ok(SubmitReply::Duplicate { over: true }) => Err(StatusCode::CONFLICT),
         Err(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
--- a/src/bin/foldtrack/clock.rs
+++ b/src/bin/foldtrack/clock.rs
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// No clock can run so.
-    pub fn rehearse(offset: f64, rate: f64) -> Result<(), String> {
+    pub fn simulate(offset: f64, rate: f64) -> Result<(), String> {
         if !(0.5..=2.0).contains(&rate) || !(-1e9..=1e9).contains(&offset) {
             return Err(format!(
                 "a clock set by {offset} s that runs {rate} times as fast: 0.5 to 2 times, 30 years at most"
@@ -59,7 +59,7 @@
 
     /// Unix time.
     pub fn unix_now(&self) -> Micros {
-        self.unix(self.now())
+        self.unix_time(self.now())
     }
 
     /// Since the start.
@@ -77,11 +77,11 @@
         Self::BASE + self.span(at.saturating_duration_since(self.start))
     }
 
-    pub fn unix(&self, at: Micros) -> Micros {
+    pub fn unix_time(&self, at: Micros) -> Micros {
         (self.unix_start + at).saturating_sub(Self::BASE)
     }
 
-    pub fn since_unix(&self, unix: Micros) -> Micros {
+    pub fn time_at_unix(&self, unix: Micros) -> Micros {
         (Self::BASE + unix).saturating_sub(self.unix_start)
     }
 }
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -43,11 +43,11 @@
     /// An answer is given once its record is on stable storage.
     pub durable: bool,
     /// What only a site of its own has.
-    pub site: Option<SiteParts>,
+    pub site: Option<SiteConfig>,
 }
 
 /// What the loop of a site of its own has beside a platform's.
-pub(crate) struct SiteParts {
+pub(crate) struct SiteConfig {
     pub site: Site,
     pub ends: OutcomeStore,
     /// The other forwarders, if it has any.
--- a/src/bin/foldtrack/door.rs
+++ b/src/bin/foldtrack/events.rs
@@ -29,10 +29,10 @@
 }
 
 /// What a client is told.
-pub(crate) enum Answer {
-    TakenOn(Receipt),
+pub(crate) enum SubmitReply {
+    Accepted(Receipt),
     /// Handed in before: taken on then, or `over` with no more to come.
-    Known {
+    Duplicate {
         over: bool,
     },
     Refused {
@@ -43,31 +43,31 @@
 /// Tells the node, when it is dropped, whether the client's answer has been written.
 pub(crate) struct Receipt {
     pub number: u64,
-    pub inputs: Inputs,
+    pub events: EventSender,
     pub written: bool,
 }
 
 impl Drop for Receipt {
     fn drop(&mut self) {
-        self.inputs.send(Input::Answered { number: self.number, written: self.written });
+        self.events.send(LoopEvent::ReplySent { number: self.number, written: self.written });
     }
 }
 
 /// What happens to the node.
-pub(crate) enum Input {
-    HandIn {
+pub(crate) enum LoopEvent {
+    Submit {
         message: Arc<message::Message>,
         /// Its client is known: it may have the room that is kept.
-        known: bool,
-        reply: oneshot::Sender<Answer>,
+        from_known_client: bool,
+        reply: oneshot::Sender<SubmitReply>,
     },
-    Answered {
+    ReplySent {
         number: u64,
         written: bool,
     },
     CallEnded(CallEnd),
     /// A dial ahead of demand has ended, with a connection and how long it took, or without.
-    Opened {
+    Preconnected {
         target: TargetId,
         number: u64,
         opened: Option<(Connection, Duration)>,
@@ -77,22 +77,22 @@
         from: SocketAddr,
     },
     /// Notices were answered with this status, or not at all.
-    Reported {
+    NoticesReported {
         numbers: Vec<u64>,
         status: Option<StatusCode>,
         to: SocketAddr,
     },
     /// Discovery is there from now on.
-    Discovery(SocketAddr),
+    DiscoveryMoved(SocketAddr),
     Terminate,
     /// A datagram of another forwarder of the site.
     Datagram(Vec<u8>),
     /// What was handed to the peers' store under this ticket, and before it, is on disk.
-    PeersKept(u64),
+    PeerRecordsStored(u64),
     /// What the disk has confirmed, or failed to.
-    Synced(Synced),
+    JournalSynced(Synced),
     /// Of a site of its own: everything below.
-    Site(Ask),
+    SiteRequest(SiteRequest),
 }
 
 /// A sync that has been done, or has failed.
@@ -102,13 +102,13 @@
 }
 
 /// What fronts of a site ask the node. Each has one answer.
-pub(crate) enum Ask {
+pub(crate) enum SiteRequest {
     /// Ends after a cursor, which acknowledges those up to it unless the client only peeks.
     Ends { after: Option<u64>, peek: bool, most: usize, reply: oneshot::Sender<io::Result<Fetched>> },
     /// What is known of a message.
     Message { id: String, reply: oneshot::Sender<Option<Message>> },
     /// A picture of all.
-    Picture { reply: oneshot::Sender<Arc<Picture>> },
+    Snapshot { reply: oneshot::Sender<Arc<Snapshot>> },
     /// The other forwarders of the site; none where it has no others.
     Peers { reply: oneshot::Sender<Option<Peers>> },
     /// What was ordered and holds.
@@ -122,7 +122,7 @@
 
 /// What there is to see at a moment.
 #[derive(Debug)]
-pub(crate) struct Picture {
+pub(crate) struct Snapshot {
     pub at: Instant,
     pub status: Status,
     pub partners: Vec<Partner>,
@@ -135,19 +135,19 @@
 /// The way to the node. The queue has no bound of its own: each connection and each call has one input under
 /// way, and connections and calls are bounded.
 #[derive(Clone)]
-pub(crate) struct Inputs(UnboundedSender<Input>);
+pub(crate) struct EventSender(UnboundedSender<LoopEvent>);
 
-impl Inputs {
-    pub fn send(&self, input: Input) {
+impl EventSender {
+    pub fn send(&self, input: LoopEvent) {
         // The node is gone only when the process ends.
         let _ = self.0.send(input);
     }
 }
 
 /// The channel to a node that is yet to run.
-pub(crate) fn channel() -> (Inputs, UnboundedReceiver<Input>) {
+pub(crate) fn channel() -> (EventSender, UnboundedReceiver<LoopEvent>) {
     let (sender, receiver) = mpsc::unbounded_channel();
-    (Inputs(sender), receiver)
+    (EventSender(sender), receiver)
 }
 
 /// How a call ended.
@@ -156,12 +156,12 @@
     pub number: u64,
     pub attempt: u32,
     pub target: TargetId,
-    pub begun: Instant,
+    pub started_at: Instant,
     pub outcome: Outcome,
     /// Nothing is owed for the message any more.
-    pub over: bool,
+    pub settled: bool,
     /// The call's time was over when its end was seen: nobody here can tell whether an answer was written in it.
-    pub late: bool,
+    pub past_deadline: bool,
     /// The partner will never take it, or it can't be sent to this one.
     pub refused: bool,
     /// Why there was no connection, for people; empty if there was one.
@@ -170,9 +170,9 @@
     pub wait_until: Option<Micros>,
     pub report: Option<LimitReport>,
     /// How long its connection had been idle before, if it was not a new one.
-    pub idle: Option<Duration>,
+    pub idle_for: Option<Duration>,
     /// How long its connection took to be made, if it was a new one.
-    pub dialled: Option<Duration>,
+    pub connect_time: Option<Duration>,
     /// Fit for the next call.
-    pub connection: Option<Connection>,
+    pub reusable_connection: Option<Connection>,
 }
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -13,25 +13,25 @@
 mod control;
 mod descriptors;
 mod discovery_schedule;
-mod door;
 mod ends_api;
+mod events;
 mod list;
 mod lock;
 mod logs;
 mod membership;
 mod message;
+mod message_view;
 mod node;
 mod notice_queue;
 mod partner_protocol;
 mod peers;
 mod platform;
+mod registry;
 mod serve;
 mod streams;
-mod table;
-mod told;
 
 use config::Config;
-use door::{Input, Inputs};
+use events::{EventSender, LoopEvent};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 const TRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Goes over to the discovery that the configuration names, each time that SIGHUP says that it is new.
-async fn reload(mut hangup: Signal, path: PathBuf, inputs: Inputs) {
+async fn reload(mut hangup: Signal, path: PathBuf, events: EventSender) {
     while hangup.recv().await.is_some() {
         let mut read = config::discovery(&path);
         for _ in 1..TRIES {
@@ -55,34 +55,34 @@
             }
         }
         match read {
-            Ok(address) => inputs.send(Input::Discovery(address)),
+            Ok(address) => events.send(LoopEvent::DiscoveryMoved(address)),
             Err(error) => eprintln!("SIGHUP: discovery stays where it is: {error}"),
         }
     }
 }
 
 async fn run(config: Config, path: PathBuf) -> Result<(), String> {
-    let (inputs, receiver) = door::channel();
+    let (events, receiver) = events::channel();
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    tokio::spawn(reload(hangup, path, inputs.clone()));
-    serve_until_told(config, inputs, receiver, &[SignalKind::terminate()]).await
+    tokio::spawn(reload(hangup, path, events.clone()));
+    serve_until_signal(config, events, receiver, &[SignalKind::terminate()]).await
 }
 
 /// Runs the loop, and ends it at one of these signals.
-async fn serve_until_told(
-    config: Config, inputs: Inputs, receiver: UnboundedReceiver<Input>, ends: &[SignalKind],
+async fn serve_until_signal(
+    config: Config, events: EventSender, receiver: UnboundedReceiver<LoopEvent>, ends: &[SignalKind],
 ) -> Result<(), String> {
     for kind in ends {
         let mut told = signal(*kind).map_err(|e| format!("signals: {e}"))?;
-        let to_node = inputs.clone();
+        let to_node = events.clone();
         tokio::spawn(async move {
             while told.recv().await.is_some() {
-                to_node.send(Input::Terminate);
+                to_node.send(LoopEvent::Terminate);
             }
         });
     }
     let (listen, state) = (config.listen, config.state.clone());
-    let end = node::run(config, inputs, receiver).await;
+    let end = node::run(config, events, receiver).await;
     end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
 
--- a/src/bin/foldtrack/membership.rs
+++ b/src/bin/foldtrack/membership.rs
@@ -1,6 +1,6 @@
 //! Where the list of targets comes from: the platform's discovery, or a site's own file and orders.
 
-use crate::door::Inputs;
+use crate::events::EventSender;
 use crate::list::{ServerLine, ServerList, ServerState};
 use foldtrack_membership::{Change, MembershipLog, MembershipState, Order, OrderError};
 use foldtrack_site::Site;
@@ -13,7 +13,7 @@
     fn known(&self) -> ServerList;
 
     /// Begins to tell news, where they come by themselves. Whether the start waits for the first of them.
-    fn watch(&self, inputs: &Inputs) -> bool;
+    fn watch(&self, events: &EventSender) -> bool;
 
     /// Carries out an order, at a Unix time in microseconds: the list that follows is [`Membership::known`].
     fn apply_order(&mut self, at: u64, order: &Order) -> Result<Change, OrderError>;
@@ -62,7 +62,7 @@
         ServerList { version: state.version(), full: true, servers }
     }
 
-    fn watch(&self, _: &Inputs) -> bool {
+    fn watch(&self, _: &EventSender) -> bool {
         false
     }
 
--- a/src/bin/foldtrack/told.rs
+++ b/src/bin/foldtrack/message_view.rs
@@ -4,14 +4,14 @@
 use foldtrack_ends::{FinalStatus, MessageOutcome};
 
 /// An attempt as it is told.
-pub(crate) fn told_attempt(attempt: &foldtrack_ends::Attempt) -> Attempt {
+pub(crate) fn attempt_view(attempt: &foldtrack_ends::Attempt) -> Attempt {
     let (endpoint, outcome) = (attempt.endpoint.clone(), attempt.outcome.as_str().into());
     let may_have_run = !attempt.outcome.never_ran();
     Attempt { at: attempt.at, until: attempt.until, endpoint, outcome, may_have_run }
 }
 
 /// An end as it is told.
-pub(crate) fn told_end(end: &MessageOutcome) -> Message {
+pub(crate) fn message_view(end: &MessageOutcome) -> Message {
     let (state, retry_in_ms, harmless_until) = match end.result {
         FinalStatus::Delivered => ("delivered", 0, 0),
         FinalStatus::GivenUp => ("given_up", 0, 0),
@@ -30,6 +30,6 @@
         ended: end.ended,
         retry_in_ms,
         harmless_until,
-        attempts: end.attempts.iter().map(told_attempt).collect(),
+        attempts: end.attempts.iter().map(attempt_view).collect(),
     }
 }
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -1,8 +1,8 @@
 //! What a site of its own has beside the loop: kept ends, counts, and what people are shown.
 
 use super::Held;
-use crate::config::SiteParts;
-use crate::door::Answer;
+use crate::config::SiteConfig;
+use crate::events::SubmitReply;
 use foldtrack_control::Failure;
 use foldtrack_delivery::Outcome;
 use foldtrack_ends::{self as ends, MessageOutcome, OutcomeStore};
@@ -78,8 +78,8 @@
 }
 
 impl Appliance {
-    pub fn new(parts: SiteParts, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
-        let SiteParts { site, ends, .. } = parts;
+    pub fn new(parts: SiteConfig, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
+        let SiteConfig { site, ends, .. } = parts;
         ends_seen.send_replace(ends.last_published());
         let facts = |p: &foldtrack_site::Partner| PartnerFacts {
             name: p.name.clone(),
@@ -129,7 +129,7 @@
     }
 
     /// Refuses a message that there is no room for, with a wait where that helps.
-    pub fn refuse(&mut self, message: &crate::message::Message, held: usize) -> Option<Answer> {
+    pub fn refuse(&mut self, message: &crate::message::Message, held: usize) -> Option<SubmitReply> {
         let bytes = self.held_bytes + message.size() as u64 > self.held_most;
         let coming = held as u64 + self.pending.len() as u64 + 1;
         let ends = !self.ends.has_capacity(coming, self.reserved + self.room(message));
@@ -141,9 +141,9 @@
     }
 
     /// The answer of a full house, with this wait or the usual one.
-    pub fn full(&mut self, wait_ms: u64) -> Answer {
+    pub fn full(&mut self, wait_ms: u64) -> SubmitReply {
         self.counts.refused += 1;
-        Answer::Refused { retry_in_ms: self.wait(wait_ms) }
+        SubmitReply::Refused { retry_in_ms: self.wait(wait_ms) }
     }
 
     /// The wait that is told: this one, or the usual one where it is 0.
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -4,13 +4,13 @@
 use super::{Node, Taken, Waiting};
 use crate::call::{self, Call};
 use crate::descriptors::DescriptorPermit;
-use crate::door::CallEnd;
+use crate::events::CallEnd;
 use foldtrack_admission::DescriptorUser;
-use foldtrack_clearance::Overtaken;
 use foldtrack_control::Failure;
 use foldtrack_delivery::{Action, Event, Micros, Outcome, TargetId};
 use foldtrack_ends::{self as ends, Attempt};
 use foldtrack_journal::{AttemptEffect, FailureNotice, Record};
+use foldtrack_preflight::PreflightError;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
@@ -44,7 +44,7 @@
             Action::Fail { id } => self.end(id, FailureNotice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all that was decided on before, and no later than what is decided on next.
-            Action::OutageDetected { target } => self.targets.found_out(target, self.clock.now()),
+            Action::OutageDetected { target } => self.targets.record_outage(target, self.clock.now()),
             Action::CloseIdle { target } => self.pool.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is watched all the time; probes and talk are not for this kind of deployment.
@@ -93,15 +93,15 @@
         let Waiting { attempt, target, until, decided } = decided;
         let Some(held) = self.messages.get(&number) else { return };
         let (message, tries) = (held.message.clone(), held.tries);
-        let Some((address, zone, clearance)) = self.targets.begin_call(target, decided) else {
+        let Some((address, zone, preflight)) = self.targets.begin_call(target, decided) else {
             return self.outcome(number, attempt, target, Outcome::NotSent, false);
         };
         // The same is asked again once its connection is up: what is known already needs no record.
-        if let Err(why) = clearance.check(self.clock.now()) {
+        if let Err(why) = preflight.check(self.clock.now()) {
             self.targets.end_call(target);
             return self.held_back(number, attempt, target, why);
         }
-        let at = self.clock.unix(self.clock.now());
+        let at = self.clock.unix_time(self.clock.now());
         let endpoint =
             if self.site.is_some() { self.targets.name(target).to_string() } else { String::new() };
         let begun = Record::AttemptStarted { attempt: tries, at, zone, endpoint };
@@ -132,7 +132,7 @@
             deadline: self.clock.instant(until),
             connection,
             descriptor,
-            clearance,
+            preflight,
             clock: self.clock,
             protocol,
             settings: self.settings.clone(),
@@ -167,7 +167,7 @@
             let (number, protocol) = (self.next_dial, self.partner_protocols.for_destination(destination));
             let timeout = Duration::from_micros(self.settings.settings.connect_timeout);
             let dial =
-                call::dial(target, number, address, protocol, descriptor, timeout, self.inputs.clone());
+                call::dial(target, number, address, protocol, descriptor, timeout, self.events.clone());
             let dial = tokio::spawn(dial).abort_handle();
             self.pool.preconnect_started(target, number, dial);
         }
@@ -179,10 +179,10 @@
 
     /// A call that was not begun, since news has overtaken the decision. The module decides anew; it is told the wait with it,
     /// which it may not have heard of yet.
-    fn held_back(&mut self, id: u64, attempt: u32, target: TargetId, why: Overtaken) {
+    fn held_back(&mut self, id: u64, attempt: u32, target: TargetId, why: PreflightError) {
         let wait = match why {
-            Overtaken::Waits { until } => until.saturating_sub(self.clock.now()),
-            Overtaken::FoundOut | Overtaken::Closed => 0,
+            PreflightError::RetryAfter { until } => until.saturating_sub(self.clock.now()),
+            PreflightError::OutageDetected | PreflightError::Closed => 0,
         };
         let outcome = self.nothing_tried(id, Outcome::Withheld);
         self.handle(Event::Outcome {
@@ -214,10 +214,10 @@
 
     pub(super) fn call_ended(&mut self, end: CallEnd) {
         self.calls.remove(&(end.number, end.attempt));
-        self.pool.call_ended(end.target, end.idle, end.dialled, end.outcome);
+        self.pool.call_ended(end.target, end.idle_for, end.connect_time, end.outcome);
         self.attempt_ended(&end);
         let listed = self.targets.end_call(end.target);
-        if let Some(connection) = end.connection.filter(|_| listed) {
+        if let Some(connection) = end.reusable_connection.filter(|_| listed) {
             self.pool.put(end.target, connection);
         }
         self.open_ahead(end.target);
@@ -233,11 +233,11 @@
             Some(_) => end.outcome != Outcome::Ok,
             // Its partner may have written the answer after the time was over, and the platform then waits for the message's end
             // for ever: it is told one. For a message that is over a notice does no harm (PROTOCOL).
-            None => end.late,
+            None => end.past_deadline,
         };
-        if end.over && given_up {
+        if end.settled && given_up {
             self.end(end.number, FailureNotice::GivenUp);
-        } else if end.over {
+        } else if end.settled {
             self.delivered(end.number);
         } else if held {
             // There is never more than one out.
@@ -255,8 +255,8 @@
             attempt: end.attempt,
             target: end.target,
             outcome,
-            took: now.saturating_sub(self.clock.micros(end.begun)),
-            ended: end.over || !held,
+            took: now.saturating_sub(self.clock.micros(end.started_at)),
+            ended: end.settled || !held,
             // A wait runs from the answer's arrival, not from now.
             wait: end.wait_until.map_or(0, |until| until.saturating_sub(now)),
             report: end.report,
@@ -282,7 +282,7 @@
         }
         let attempt = held.history.len() as u32;
         let Some(tried) = held.history.last_mut() else { return };
-        tried.until = self.clock.unix(self.clock.now());
+        tried.until = self.clock.unix_time(self.clock.now());
         tried.outcome = if end.refused { ends::AttemptOutcome::Refused } else { kept(end.outcome) };
         if end.outcome == Outcome::Ok {
             return;
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -4,7 +4,7 @@
 
 use super::Node;
 use crate::call::{self, Call};
-use crate::door::{Answer, Input, Receipt, Synced};
+use crate::events::{LoopEvent, Receipt, SubmitReply, Synced};
 use foldtrack_delivery::Outcome;
 use foldtrack_ends::FinalStatus;
 use foldtrack_journal::journal::SyncJob;
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub(super) struct Group {
     /// Clients who are told that their message is taken on.
-    pub answers: Vec<(Ticket, u64, oneshot::Sender<Answer>)>,
+    pub answers: Vec<(Ticket, u64, oneshot::Sender<SubmitReply>)>,
     /// Calls whose records must be there before their first byte goes: a payment must not be sent again after a power
     /// cut because nothing tells of the first time.
     pub calls: Vec<(Ticket, Call, oneshot::Receiver<()>)>,
@@ -126,11 +126,11 @@
                 }
             };
         durable.under_way = Some(std::mem::take(&mut durable.gathering));
-        let inputs = self.inputs.clone();
+        let events = self.events.clone();
         tokio::task::spawn_blocking(move || {
             // Ends first: a message must not be forgotten before its end is there.
             let result = ends.iter().try_for_each(File::sync_data).and_then(|()| job.run());
-            inputs.send(Input::Synced(Synced { job, result }));
+            events.send(LoopEvent::JournalSynced(Synced { job, result }));
         });
     }
 
@@ -150,9 +150,9 @@
     fn release(&mut self, group: Group, sound: bool) {
         for (_, number, reply) in group.answers {
             if sound {
-                let receipt = Receipt { number, inputs: self.inputs.clone(), written: false };
+                let receipt = Receipt { number, events: self.events.clone(), written: false };
                 // If the client has gone, the receipt is dropped here and says so.
-                let _ = reply.send(Answer::TakenOn(receipt));
+                let _ = reply.send(SubmitReply::Accepted(receipt));
             } else {
                 // It may be there after a power cut or not: the client keeps it, under the same id.
                 let _ = reply.send(self.not_taken(number));
@@ -173,12 +173,12 @@
     fn release_call(&mut self, call: Call, mut cancelled: oneshot::Receiver<()>, sound: bool) {
         let stands = cancelled.try_recv().is_err() && call.deadline > Instant::now();
         if sound && stands {
-            tokio::spawn(call::call(call, cancelled, self.inputs.clone()));
+            tokio::spawn(call::call(call, cancelled, self.events.clone()));
             return;
         }
         let mut end = call.unstarted_end(Outcome::NotSent);
-        end.connection = call.connection.map(|(connection, _)| connection);
-        self.inputs.send(Input::CallEnded(end));
+        end.reusable_connection = call.connection.map(|(connection, _)| connection);
+        self.events.send(LoopEvent::CallEnded(end));
     }
 
     fn release_ends(&mut self, ended: Vec<(u64, FinalStatus)>, last: u64, sound: bool) {
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -1,10 +1,10 @@
 //! Messages end undelivered, and the platform is told.
 
 use super::{Held, Node, Taken};
-use crate::door::Answer;
+use crate::events::SubmitReply;
 use crate::notice_queue::PendingNotice;
 use crate::platform;
-use crate::table::Known;
+use crate::registry::Known;
 use foldtrack_delivery::{Effect, Micros};
 use foldtrack_ends::{FinalStatus, MessageOutcomeRef};
 use foldtrack_journal::{FailureNotice, Record};
@@ -41,7 +41,7 @@
                     site.let_go(&held.message);
                     site.full(retry_in_ms)
                 }
-                None => Answer::Refused { retry_in_ms },
+                None => SubmitReply::Refused { retry_in_ms },
             };
             let _ = reply.send(answer);
             return;
@@ -90,7 +90,7 @@
         let Some(until) = self.harmless_until(&message.id).into_iter().chain(own).min() else {
             return FinalStatus::HandedBack { retry_in_ms };
         };
-        let back = self.clock.unix(self.clock.now()) + 1_000 * retry_in_ms + MEMORY_MARGIN;
+        let back = self.clock.unix_time(self.clock.now()) + 1_000 * retry_in_ms + MEMORY_MARGIN;
         if back >= until {
             return FinalStatus::InDoubt;
         }
@@ -136,7 +136,7 @@
         if held.attempts > 1 || result != FinalStatus::Delivered {
             site.then(number, word);
         }
-        let ended = self.clock.unix(self.clock.now());
+        let ended = self.clock.unix_time(self.clock.now());
         // An end that goes must not leave a message behind that the journal believes to be open.
         if site.ends.drops(ended) {
             if let Err(error) = self.journal.flush() {
@@ -214,7 +214,7 @@
     pub(super) fn sweep_ends(&mut self) {
         let Some(site) = &mut self.site else { return };
         match self.journal.flush() {
-            Ok(()) => site.ends.drop_expired(self.clock.unix(self.clock.now()), 0),
+            Ok(()) => site.ends.drop_expired(self.clock.unix_time(self.clock.now()), 0),
             Err(error) => eprintln!("journal: {error}"),
         }
     }
@@ -222,7 +222,7 @@
     pub(super) fn report_notices(&mut self) {
         let Some(discovery) = &self.discovery else { return };
         while let Some((numbers, lines)) = self.notices.next_report(self.clock.now()) {
-            tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.inputs.clone()));
+            tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.events.clone()));
         }
     }
 
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -1,9 +1,9 @@
 //! Messages come in: refused, or taken on, first in the journal and then in the answer.
 
 use super::{Held, Node, Taken, Waiting};
-use crate::door::Answer;
+use crate::events::SubmitReply;
 use crate::message::Message;
-use crate::table::Known;
+use crate::registry::Known;
 use foldtrack_delivery::{Event, Outcome};
 use foldtrack_ends::FinalStatus;
 use foldtrack_journal::{Accepted, Record};
@@ -11,9 +11,11 @@
 use tokio::sync::oneshot;
 
 impl Node {
-    pub(super) fn hand_in(&mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<Answer>) {
+    pub(super) fn hand_in(
+        &mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<SubmitReply>,
+    ) {
         if let Some(known) = self.ids.look(&message.id) {
-            let _ = reply.send(Answer::Known { over: known != Known::Taken });
+            let _ = reply.send(SubmitReply::Duplicate { over: known != Known::Taken });
             return;
         }
         if let Some(known) = self.ended_before(&message.id) {
@@ -26,7 +28,9 @@
     }
 
     /// Hands a message to the module that nobody else holds.
-    pub(super) fn take_on(&mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<Answer>) {
+    pub(super) fn take_on(
+        &mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<SubmitReply>,
+    ) {
         let message = self.within_memory(message);
         if let Some(refused) = self.turned_away(&message, known) {
             self.let_go_of_id(&message.id);
@@ -47,7 +51,7 @@
             site.hold(&message);
         }
         let held_size = message.size();
-        let (since, history) = (self.clock.unix(self.clock.now()), Vec::new());
+        let (since, history) = (self.clock.unix_time(self.clock.now()), Vec::new());
         let taken = Taken::Fresh(reply);
         self.messages.insert(
             id,
@@ -59,7 +63,7 @@
     }
 
     /// The answer to a message that there is no room or no endpoint for.
-    fn turned_away(&mut self, message: &Message, known: bool) -> Option<Answer> {
+    fn turned_away(&mut self, message: &Message, known: bool) -> Option<SubmitReply> {
         if !self.targets.knows(message.destination) {
             // Perhaps its targets are on their way in the list.
             return Some(self.full_answer(message.destination));
@@ -75,7 +79,7 @@
 
     /// A message that was handed back and may have run goes out only while its partner remembers it.
     fn within_memory(&self, message: Arc<Message>) -> Arc<Message> {
-        match self.harmless_until(&message.id).map(|until| self.clock.since_unix(until)) {
+        match self.harmless_until(&message.id).map(|until| self.clock.time_at_unix(until)) {
             Some(until) if until < message.expires => {
                 let copy = Message { expires: until, ..Message::clone(&message) };
                 Arc::new(copy)
@@ -85,28 +89,27 @@
     }
 
     /// What a client is told of a message whose end is kept. One that was handed back may come again.
-    fn ended_before(&self, id: &str) -> Option<Answer> {
+    fn ended_before(&self, id: &str) -> Option<SubmitReply> {
         let site = self.site.as_ref()?;
         let (_, end) = site.ends.find(id).ok().flatten()?;
         match end.result {
-            FinalStatus::Delivered => Some(Answer::Known { over: false }),
-            FinalStatus::GivenUp | FinalStatus::InDoubt => Some(Answer::Known { over: true }),
+            FinalStatus::Delivered => Some(SubmitReply::Duplicate { over: false }),
+            FinalStatus::GivenUp | FinalStatus::InDoubt => Some(SubmitReply::Duplicate { over: true }),
             FinalStatus::HandedBack { .. } => None,
             // Its partner may have forgotten it: it could take effect twice.
-            FinalStatus::HandedBackUntil { until, .. } => {
-                (self.clock.unix(self.clock.now()) >= until).then_some(Answer::Known { over: true })
-            }
+            FinalStatus::HandedBackUntil { until, .. } => (self.clock.unix_time(self.clock.now()) >= until)
+                .then_some(SubmitReply::Duplicate { over: true }),
         }
     }
 
     /// The answer where there is no room, or no endpoint: to come again when the module expects room.
-    pub(super) fn full_answer(&mut self, destination: u32) -> Answer {
+    pub(super) fn full_answer(&mut self, destination: u32) -> SubmitReply {
         let wait = self.scheduler.advised_wait(destination).div_ceil(1000);
-        self.site.as_mut().map_or(Answer::Refused { retry_in_ms: 0 }, |s| s.full(wait))
+        self.site.as_mut().map_or(SubmitReply::Refused { retry_in_ms: 0 }, |s| s.full(wait))
     }
 
     /// The answer for a message that the journal did not take.
-    pub(super) fn not_taken(&mut self, number: u64) -> Answer {
+    pub(super) fn not_taken(&mut self, number: u64) -> SubmitReply {
         let destination = self.messages.get(&number).map_or(0, |h| h.message.destination);
         self.full_answer(destination)
     }
@@ -125,7 +128,7 @@
                 key: message.key.clone(),
                 idempotency_key: message.idempotency_key.clone(),
                 retry: message.retry.clone(),
-                expires: self.clock.unix(message.expires),
+                expires: self.clock.unix_time(message.expires),
                 body: message.body.to_vec(),
             };
             let accepted = match self.site {
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -1,5 +1,5 @@
 //! The loop that owns all state: the module, the messages and the journal. What sockets and timers tell
-//! comes in as [`Input`]s; what the module decides goes out, in its order.
+//! comes in as [`LoopEvent`]s; what the module decides goes out, in its order.
 
 mod appliance;
 mod calls;
@@ -18,14 +18,14 @@
 use crate::config::Config;
 use crate::connections::{ConnectionPool, PoolSettings};
 use crate::descriptors::{client_share, DescriptorBudget};
-use crate::door::{Answer, Input, Inputs, Stage};
 use crate::ends_api::EndsApi;
+use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::list::{ServerList, ServerState};
 use crate::membership::Membership;
 use crate::message::Message;
 use crate::notice_queue::NoticeQueue;
 use crate::partner_protocol::PartnerProtocols;
-use crate::table::{Ids, Targets};
+use crate::registry::{Ids, Targets};
 use appliance::{Appliance, LONGEST_NAME};
 use foldtrack_admission::DescriptorUser;
 use foldtrack_delivery::settings::DeploymentSettings;
@@ -63,7 +63,7 @@
 /// How far the client has been told that its message is taken on.
 enum Taken {
     /// Not at all: the module may refuse it yet.
-    Fresh(oneshot::Sender<Answer>),
+    Fresh(oneshot::Sender<SubmitReply>),
     /// The answer is on its way.
     Answering,
     /// Told.
@@ -99,7 +99,7 @@
     scheduler: DeliveryScheduler,
     settings: Arc<DeploymentSettings>,
     journal: Journal,
-    inputs: Inputs,
+    events: EventSender,
     membership: Box<dyn Membership>,
     /// The platform's taker of notices.
     discovery: Option<watch::Sender<SocketAddr>>,
@@ -144,12 +144,12 @@
 
 /// Restores what the journal holds, then serves until it is told to end.
 pub(crate) async fn run(
-    mut config: Config, inputs: Inputs, mut receiver: UnboundedReceiver<Input>,
+    mut config: Config, events: EventSender, mut receiver: UnboundedReceiver<LoopEvent>,
 ) -> io::Result<()> {
     let clock = Clock::new();
     let others = config.site.as_mut().and_then(|parts| parts.peers.take());
     let others = match others {
-        Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &inputs)?),
+        Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &events)?),
         None => None,
     };
     let ready = others.as_ref().map(|(_, io)| io.ready.clone());
@@ -183,7 +183,7 @@
         scheduler: DeliveryScheduler::new(clock.now(), config.seed, settings.settings.clone()),
         settings: settings.clone(),
         journal,
-        inputs: inputs.clone(),
+        events: events.clone(),
         membership: config.membership,
         discovery: config.discovery,
         site: site.map(Box::new),
@@ -217,7 +217,7 @@
         terminated: None,
         actions: Vec::new(),
     };
-    let news = node.membership.watch(&inputs);
+    let news = node.membership.watch(&events);
     node.list(node.membership.known(), if news { ListKind::Cached } else { ListKind::Full });
     node.begin_peers();
     let mut batch = Vec::new();
@@ -233,7 +233,7 @@
     let context = ServerContext {
         settings,
         clock,
-        inputs,
+        events,
         stage: stage_seen,
         bodies,
         unknown_client_bodies,
@@ -279,7 +279,7 @@
 
 impl Node {
     /// Takes in all that has happened, lets the module decide once, and carries out what it says.
-    fn round(&mut self, batch: &mut Vec<Input>) {
+    fn round(&mut self, batch: &mut Vec<LoopEvent>) {
         for input in batch.drain(..) {
             self.take_in(input);
         }
@@ -335,33 +335,35 @@
         self.scheduler.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn take_in(&mut self, input: LoopEvent) {
         match input {
-            Input::HandIn { message, known, reply } => self.hand_in(message, known, reply),
-            Input::Answered { number, written } => self.answered(number, written),
-            Input::CallEnded(end) => self.call_ended(end),
-            Input::Opened { target, number, opened } => {
+            LoopEvent::Submit { message, from_known_client, reply } => {
+                self.hand_in(message, from_known_client, reply)
+            }
+            LoopEvent::ReplySent { number, written } => self.answered(number, written),
+            LoopEvent::CallEnded(end) => self.call_ended(end),
+            LoopEvent::Preconnected { target, number, opened } => {
                 let open = self.targets.is_open(target);
                 self.pool.preconnect_finished(target, number, opened.filter(|_| open));
             }
             // What the old address has told late does not stand against the new one.
-            Input::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
-            Input::List { list, .. } => {
+            LoopEvent::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
+            LoopEvent::List { list, .. } => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
                 self.list(list, kind);
             }
-            Input::Reported { numbers, status, to } => self.reported(numbers, status, to),
-            Input::Discovery(address) => {
+            LoopEvent::NoticesReported { numbers, status, to } => self.reported(numbers, status, to),
+            LoopEvent::DiscoveryMoved(address) => {
                 if let Some(discovery) = &self.discovery {
                     discovery.send_replace(address);
                 }
                 self.notices.reset_pause();
             }
-            Input::Site(ask) => self.asked(ask),
-            Input::Synced(synced) => self.synced(synced),
-            Input::Datagram(bytes) => self.datagram(&bytes),
-            Input::PeersKept(ticket) => self.peers_kept(ticket),
-            Input::Terminate => {
+            LoopEvent::SiteRequest(ask) => self.asked(ask),
+            LoopEvent::JournalSynced(synced) => self.synced(synced),
+            LoopEvent::Datagram(bytes) => self.datagram(&bytes),
+            LoopEvent::PeerRecordsStored(ticket) => self.peers_kept(ticket),
+            LoopEvent::Terminate => {
                 if self.terminated.is_none() {
                     self.terminated = Some(Instant::now());
                     self.stage.send_replace(Stage::Draining);
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -1,7 +1,7 @@
 //! Orders of a site's operators, and what its fronts ask.
 
 use super::Node;
-use crate::door::Ask;
+use crate::events::SiteRequest;
 use foldtrack_control::{Done, Error};
 use foldtrack_delivery::ListKind;
 use foldtrack_ends::Fetched;
@@ -11,20 +11,22 @@
 use tokio::time::Instant;
 
 impl Node {
-    pub(super) fn asked(&mut self, ask: Ask) {
+    pub(super) fn asked(&mut self, ask: SiteRequest) {
         match ask {
             // Whoever asked may have gone.
-            Ask::Ends { after, peek, most, reply } => drop(reply.send(self.fetch(after, peek, most))),
-            Ask::Message { id, reply } => drop(reply.send(self.history(&id))),
-            Ask::Picture { reply } => self.picture(reply),
-            Ask::Order { order, reply } => self.order(order, reply),
-            Ask::Network { network, for_ms, reply } => self.network_among_peers(network, for_ms, reply),
-            Ask::Peers { .. } | Ask::State { .. } => self.asked_of_peers(ask),
+            SiteRequest::Ends { after, peek, most, reply } => drop(reply.send(self.fetch(after, peek, most))),
+            SiteRequest::Message { id, reply } => drop(reply.send(self.history(&id))),
+            SiteRequest::Snapshot { reply } => self.picture(reply),
+            SiteRequest::Order { order, reply } => self.order(order, reply),
+            SiteRequest::Network { network, for_ms, reply } => {
+                self.network_among_peers(network, for_ms, reply)
+            }
+            SiteRequest::Peers { .. } | SiteRequest::State { .. } => self.asked_of_peers(ask),
         }
     }
 
     fn fetch(&mut self, after: Option<u64>, peek: bool, most: usize) -> io::Result<Fetched> {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         let Some(site) = &mut self.site else { return Err(io::Error::other("no ends are kept here")) };
         if let Some(cursor) = after.filter(|_| !peek) {
             site.ends.acknowledge(cursor, now)?;
@@ -35,7 +37,7 @@
     /// Carries out an order: first in the log, then in the list that the module goes by, and that within this round,
     /// so that nothing new is decided against it. The answer waits for the disk, not the loop.
     fn order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
             if self.partner_protocols.exposes_secrets(partner, *address) {
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -2,7 +2,7 @@
 //! facts is brought about here, by the same orders that an operator gives.
 
 use super::Node;
-use crate::door::{Answer, Ask, Input};
+use crate::events::{LoopEvent, SiteRequest, SubmitReply};
 use crate::list::ServerList;
 use crate::message::Message;
 use crate::peers::PeerIo;
@@ -47,7 +47,7 @@
 struct Claiming {
     message: Arc<Message>,
     known: bool,
-    reply: oneshot::Sender<Answer>,
+    reply: oneshot::Sender<SubmitReply>,
 }
 
 /// An order whose operator waits.
@@ -92,7 +92,7 @@
     /// Before the loop runs: what this forwarder held true alone is stated, and what the ledger says is brought about.
     pub(super) fn begin_peers(&mut self) {
         let now = self.ms();
-        let at = self.clock.unix(self.clock.now());
+        let at = self.clock.unix_time(self.clock.now());
         let imports = self.own_statements();
         let Some(side) = &mut self.peers else { return };
         // Of a block that outlived the process its own record tells what is left.
@@ -117,19 +117,19 @@
     /// drained while it was away, and send again what an older copy of its folder holds to be unsent. What comes meanwhile
     /// is kept for the loop.
     pub(super) async fn join_peers(
-        &mut self, receiver: &mut UnboundedReceiver<Input>, later: &mut Vec<Input>,
+        &mut self, receiver: &mut UnboundedReceiver<LoopEvent>, later: &mut Vec<LoopEvent>,
     ) {
         while self.peers.as_ref().is_some_and(|s| !s.io.ready.load(Ordering::Relaxed)) {
             let due = self.peers_due().unwrap_or_else(Instant::now);
             tokio::select! {
                 input = receiver.recv() => match input {
                     Some(
-                        input @ (Input::Datagram(_)
-                        | Input::PeersKept(_)
-                        | Input::Site(Ask::Peers { .. } | Ask::State { .. })),
+                        input @ (LoopEvent::Datagram(_)
+                        | LoopEvent::PeerRecordsStored(_)
+                        | LoopEvent::SiteRequest(SiteRequest::Peers { .. } | SiteRequest::State { .. })),
                     ) => self.take_in(input),
                     Some(input) => {
-                        let ends = matches!(input, Input::Terminate);
+                        let ends = matches!(input, LoopEvent::Terminate);
                         later.push(input);
                         if ends {
                             return;
@@ -259,7 +259,7 @@
         &mut self, subject: Subject, word: FactAction, order: Option<(Order, Change)>,
         reply: oneshot::Sender<Result<Done, Error>>,
     ) {
-        let (now, at) = (self.ms(), self.clock.unix(self.clock.now()));
+        let (now, at) = (self.ms(), self.clock.unix_time(self.clock.now()));
         let Some(side) = &mut self.peers else { return };
         let number = side.next_order;
         side.next_order += 1;
@@ -418,7 +418,7 @@
     /// Carries an order out in the list that the module goes by, within this round. The ledger keeps it; the log has it so
     /// that a start without the others goes by it too.
     fn carry_out_order(&mut self, order: &Order) {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         match self.membership.apply_order(now, order) {
             Ok(Change::Applied) => {
                 self.list(self.membership.known(), ListKind::Full);
@@ -456,8 +456,8 @@
     /// Claims the id of a message that must not be repeated at will. The rest of handing it in comes once it is this
     /// forwarder's; gives back what needs no claim.
     pub(super) fn claim(
-        &mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<Answer>,
-    ) -> Option<(Arc<Message>, oneshot::Sender<Answer>)> {
+        &mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<SubmitReply>,
+    ) -> Option<(Arc<Message>, oneshot::Sender<SubmitReply>)> {
         let now = self.ms();
         let class = &self.settings.settings.classes[message.class];
         let effect = match class.effect {
@@ -469,7 +469,7 @@
         let id = message_key(&message.id);
         if side.claiming.contains_key(&id) {
             // Handed in on two connections at once: the other one is answered by what comes of it.
-            let _ = reply.send(Answer::Refused { retry_in_ms: CLAIMING_WAIT_MS });
+            let _ = reply.send(SubmitReply::Refused { retry_in_ms: CLAIMING_WAIT_MS });
             return None;
         }
         side.claiming.insert(id, Claiming { message, known, reply });
@@ -491,11 +491,11 @@
                 };
                 return self.take_on(message, known, reply);
             }
-            ClaimResult::Held | ClaimResult::Delivered => Answer::Known { over: false },
-            ClaimResult::Final => Answer::Known { over: true },
+            ClaimResult::Held | ClaimResult::Delivered => SubmitReply::Duplicate { over: false },
+            ClaimResult::Final => SubmitReply::Duplicate { over: true },
             ClaimResult::RetryAfter(wait) => match &mut self.site {
                 Some(site) => site.full(wait),
-                None => Answer::Refused { retry_in_ms: wait },
+                None => SubmitReply::Refused { retry_in_ms: wait },
             },
         };
         // Its client may have gone.
@@ -524,7 +524,7 @@
             FinalStatus::HandedBackUntil { until, .. } => {
                 // 0 stands for without bound.
                 ClaimOutcome::HandedBack(
-                    (until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1),
+                    (until.saturating_sub(self.clock.unix_time(self.clock.now())) / 1000).max(1),
                 )
             }
         }
@@ -545,7 +545,7 @@
         let classes = &self.settings.settings.classes;
         let held = self.messages.values();
         let held = held.filter(|h| classes[h.message.class].effect != foldtrack_delivery::Effect::Repeatable);
-        let unix = self.clock.unix(self.clock.now());
+        let unix = self.clock.unix_time(self.clock.now());
         let names = &self.settings.class_names;
         let is_claimed = |class: &String| {
             let class = names.iter().position(|name| name == class);
@@ -577,10 +577,10 @@
     }
 
     /// What people are shown.
-    pub(super) fn asked_of_peers(&mut self, ask: Ask) {
+    pub(super) fn asked_of_peers(&mut self, ask: SiteRequest) {
         match ask {
-            Ask::Peers { reply } => drop(reply.send(self.show_peers())),
-            Ask::State { reply } => drop(reply.send(self.show_state())),
+            SiteRequest::Peers { reply } => drop(reply.send(self.show_peers())),
+            SiteRequest::State { reply } => drop(reply.send(self.show_state())),
             _ => {}
         }
     }
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -3,8 +3,8 @@
 
 use super::Node;
 use crate::connections::ConnectionStats;
-use crate::door::{Picture, Stage};
-use crate::told::{told_attempt, told_end};
+use crate::events::{Snapshot, Stage};
+use crate::message_view::{attempt_view, message_view};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
 use foldtrack_delivery::status::{DestinationStatus, Health, RouteStatus};
 use foldtrack_delivery::{Micros, TargetId};
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub(super) struct Scan {
     /// Those who wait for it.
-    waiting: Vec<oneshot::Sender<Arc<Picture>>>,
+    waiting: Vec<oneshot::Sender<Arc<Snapshot>>>,
     /// Messages up to this number have been looked at.
     up_to: u64,
     whole: Heap,
@@ -83,7 +83,7 @@
 
 impl Node {
     /// Makes a picture for whoever asks, within the next rounds.
-    pub(super) fn picture(&mut self, reply: oneshot::Sender<Arc<Picture>>) {
+    pub(super) fn picture(&mut self, reply: oneshot::Sender<Arc<Snapshot>>) {
         self.scan.waiting.push(reply);
     }
 
@@ -112,9 +112,9 @@
         scan.waiting.into_iter().for_each(|reply| drop(reply.send(picture.clone())));
     }
 
-    fn finish(&mut self, scan: &Scan) -> Arc<Picture> {
+    fn finish(&mut self, scan: &Scan) -> Arc<Snapshot> {
         let now = self.clock.now();
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         let views = self.scheduler.status(now);
         let (whole, heaps) = (scan.whole, &scan.partners);
         let queues = self.queues(scan, unix);
@@ -126,7 +126,7 @@
         };
         let failures =
             self.site.iter().flat_map(|s| s.failures.iter().rev().map(|(_, f)| f.clone())).collect();
-        Arc::new(Picture { at: Instant::now(), status, partners, endpoints, failures, queues })
+        Arc::new(Snapshot { at: Instant::now(), status, partners, endpoints, failures, queues })
     }
 
     fn status(&self, unix: Micros, whole: Heap, longest: Duration) -> Status {
@@ -321,13 +321,13 @@
                 partner: site.partner_name(message.destination).into_owned(),
                 key: message.key.clone(),
                 taken: held.since,
-                expires: self.clock.unix(message.expires),
-                attempts: held.history.iter().map(told_attempt).collect(),
+                expires: self.clock.unix_time(message.expires),
+                attempts: held.history.iter().map(attempt_view).collect(),
                 ..Message::default()
             });
         }
         match site.ends.find(id) {
-            Ok(found) => found.map(|(_, end)| told_end(&end)),
+            Ok(found) => found.map(|(_, end)| message_view(&end)),
             Err(error) => {
                 eprintln!("ends: {error}");
                 None
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -4,7 +4,7 @@
 use super::{Held, Node, Taken};
 use crate::message::{order_key, Message};
 use crate::notice_queue::PendingNotice;
-use crate::table::Known;
+use crate::registry::Known;
 use foldtrack_delivery::{Effect, Event, Outcome};
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
@@ -46,7 +46,7 @@
             key: accepted.key,
             idempotency_key: accepted.idempotency_key,
             retry: accepted.retry,
-            expires: self.clock.since_unix(accepted.expires).min(latest),
+            expires: self.clock.time_at_unix(accepted.expires).min(latest),
             body: accepted.body.into(),
         };
         let message = self.after_old_state(message, since);
@@ -89,7 +89,7 @@
             return self.end(number, FailureNotice::GivenUp);
         };
         let first = attempts.iter().find(|t| t.effect != Some(AttemptEffect::NeverRan));
-        let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
+        let first_run = first.map(|t| (self.clock.time_at_unix(t.at), t.zone));
         let outcome = |effect| match effect {
             Some(AttemptEffect::NeverRan) => Outcome::NotSent,
             Some(AttemptEffect::MayHaveRun) | None => Outcome::Reset,
@@ -118,7 +118,7 @@
         if !self.has_old_state() {
             return message;
         }
-        let until = self.clock.since_unix(since.saturating_add(window).saturating_sub(MEMORY_MARGIN));
+        let until = self.clock.time_at_unix(since.saturating_add(window).saturating_sub(MEMORY_MARGIN));
         Message { expires: message.expires.min(until), ..message }
     }
 }
--- a/src/bin/foldtrack/node/shutdown.rs
+++ b/src/bin/foldtrack/node/shutdown.rs
@@ -1,7 +1,7 @@
 //! The steps to the end of a process that was told to end.
 
 use super::{Node, ACCEPT_ON, END_BY};
-use crate::door::Stage;
+use crate::events::Stage;
 use foldtrack_admission::DescriptorUser;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::connections::Connection;
 use crate::discovery_schedule::{DiscoverySchedule, PollFailure, Source};
-use crate::door::{Input, Inputs};
+use crate::events::{EventSender, LoopEvent};
 use crate::list::ServerList;
 use crate::membership::Membership;
 use bytes::Bytes;
@@ -74,9 +74,9 @@
 
     /// What is known may be old: a target that this forwarder was told of as drained, before it restarted, would get
     /// what it held. The agent answers at once, or discovery is down.
-    fn watch(&self, inputs: &Inputs) -> bool {
+    fn watch(&self, events: &EventSender) -> bool {
         let schedule = DiscoverySchedule::new(self.senders, self.source, self.grace, self.seed);
-        tokio::spawn(watch(self.discovery.subscribe(), schedule, inputs.clone()));
+        tokio::spawn(watch(self.discovery.subscribe(), schedule, events.clone()));
         true
     }
 
@@ -98,7 +98,9 @@
 }
 
 /// Watches the list for as long as the process runs.
-async fn watch(mut discovery: watch::Receiver<SocketAddr>, mut schedule: DiscoverySchedule, inputs: Inputs) {
+async fn watch(
+    mut discovery: watch::Receiver<SocketAddr>, mut schedule: DiscoverySchedule, events: EventSender,
+) {
     loop {
         let address = *discovery.borrow_and_update();
         // A watch that hangs on an address which is left would not end by itself for seconds.
@@ -108,13 +110,13 @@
                 Ok(()) => schedule.reset(),
                 Err(_) => return,
             },
-            () = watch_at(address, &mut schedule, &inputs) => {}
+            () = watch_at(address, &mut schedule, &events) => {}
         }
     }
 }
 
 /// Watches the list at one address, from the whole list on.
-async fn watch_at(address: SocketAddr, schedule: &mut DiscoverySchedule, inputs: &Inputs) {
+async fn watch_at(address: SocketAddr, schedule: &mut DiscoverySchedule, events: &EventSender) {
     let mut connection = None;
     let mut version: Option<u64> = None;
     loop {
@@ -158,7 +160,7 @@
                 version = Some(list.version);
                 let pause = schedule.answered(!empty);
                 if !empty {
-                    inputs.send(Input::List { list, from: address });
+                    events.send(LoopEvent::List { list, from: address });
                     if !pause.is_zero() {
                         sleep(pause).await;
                     }
@@ -183,7 +185,7 @@
 
 /// Sends notices, one JSON object a line, and tells whether they were taken, or cannot be read.
 pub(crate) async fn report(
-    mut discovery: watch::Receiver<SocketAddr>, lines: String, numbers: Vec<u64>, inputs: Inputs,
+    mut discovery: watch::Receiver<SocketAddr>, lines: String, numbers: Vec<u64>, events: EventSender,
 ) {
     let to = *discovery.borrow_and_update();
     let status = tokio::select! {
@@ -192,7 +194,7 @@
         // What the old address has not answered goes to the new one: it may never answer.
         _ = discovery.changed() => None,
     };
-    inputs.send(Input::Reported { numbers, status, to });
+    events.send(LoopEvent::NoticesReported { numbers, status, to });
 }
 
 async fn post(address: SocketAddr, lines: String) -> Option<StatusCode> {
--- a/src/bin/foldtrack/table.rs
+++ b/src/bin/foldtrack/registry.rs
@@ -2,8 +2,8 @@
 //! Both forget, so that neither grows with what has gone.
 
 use crate::list::{ServerLine, ServerState};
-use foldtrack_clearance::{Clearance, Lane, Lanes, Way};
 use foldtrack_delivery::{Micros, TargetId};
+use foldtrack_preflight::{PreflightCheck, RouteScope, RouteState, RouteStates};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
@@ -25,7 +25,7 @@
     /// Nothing new is to be written to it any more: seen by calls whose connection is yet to be made.
     closed: Arc<AtomicBool>,
     /// What it shares with the others of its destination: waits told and outages found.
-    lane: Arc<Lane>,
+    route: Arc<RouteState>,
 }
 
 impl Server {
@@ -44,7 +44,7 @@
     next: TargetId,
     /// Destinations, and when each was last seen with a target.
     cells: BTreeMap<u32, Micros>,
-    lanes: Lanes,
+    routes: RouteStates,
 }
 
 impl Targets {
@@ -58,7 +58,7 @@
         if let Some(server) = known.and_then(|n| self.servers.get_mut(&n)) {
             if (server.address, server.cell, server.zone) == (line.addr, line.cell, zone) && !server.gone {
                 server.set(gone, leaving);
-                server.lane.told_to_wait(line.hold_until);
+                server.route.defer_until(line.hold_until);
                 return Some((known?, None));
             }
             server.set(true, server.leaving);
@@ -70,8 +70,9 @@
         self.next += 1;
         self.numbers.insert(line.id.clone(), number);
         let (address, cell, id) = (line.addr, line.cell, line.id.clone());
-        let lane = self.lanes.of(if apart { Way::Route(number) } else { Way::Destination(cell) });
-        lane.told_to_wait(line.hold_until);
+        let route =
+            self.routes.of(if apart { RouteScope::Endpoint(number) } else { RouteScope::Destination(cell) });
+        route.defer_until(line.hold_until);
         self.servers.insert(
             number,
             Server {
@@ -83,7 +84,7 @@
                 leaving,
                 calls: 0,
                 closed: Arc::new(AtomicBool::new(leaving)),
-                lane,
+                route,
             },
         );
         Some((number, known))
@@ -110,17 +111,19 @@
     }
 
     /// A call begins that was decided on then, unless the target has been closed since.
-    pub fn begin_call(&mut self, number: TargetId, decided: Micros) -> Option<(SocketAddr, u32, Clearance)> {
+    pub fn begin_call(
+        &mut self, number: TargetId, decided_at: Micros,
+    ) -> Option<(SocketAddr, u32, PreflightCheck)> {
         let server = self.servers.get_mut(&number).filter(|s| !s.gone && !s.leaving)?;
         server.calls += 1;
-        let (lane, closed) = (server.lane.clone(), server.closed.clone());
-        Some((server.address, server.zone, Clearance { lane, closed, decided }))
+        let (route, closed) = (server.route.clone(), server.closed.clone());
+        Some((server.address, server.zone, PreflightCheck { route, closed, decided_at }))
     }
 
     /// The lane of a target has been found out by the module.
-    pub fn found_out(&self, number: TargetId, at: Micros) {
+    pub fn record_outage(&self, number: TargetId, at: Micros) {
         if let Some(server) = self.servers.get(&number) {
-            server.lane.found_out(at);
+            server.route.record_outage(at);
         }
     }
 
@@ -161,7 +164,7 @@
     /// numbers of the targets.
     pub fn forget(&mut self, now: Micros, before: Micros) -> Vec<TargetId> {
         self.see(now);
-        self.lanes.sweep(now);
+        self.routes.sweep(now);
         self.cells.retain(|_, seen| *seen >= before);
         let over = self.servers.iter().filter(|(_, s)| s.gone && s.calls == 0);
         let over: Vec<TargetId> = over.map(|(number, _)| *number).collect();
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -3,13 +3,13 @@
 use crate::blocks::Blocks;
 use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
-use crate::config::{Config, SiteParts};
+use crate::config::{Config, SiteConfig};
 use crate::control;
 use crate::descriptors::{descriptor_limit, DescriptorBudget, RESERVED_DESCRIPTORS};
-use crate::door;
+use crate::events;
 use crate::membership::SiteMembership;
 use crate::peers::PeerSetup;
-use crate::{logs, partner_protocol, runtime, serve_until_told};
+use crate::{logs, partner_protocol, runtime, serve_until_signal};
 use foldtrack_admission::descriptors::{self, Reserved};
 use foldtrack_admission::Rate;
 use foldtrack_delivery::settings::DeploymentSettings;
@@ -72,7 +72,7 @@
     let socket = control::bind(&site.control_socket())?;
     let (partner_protocols, file_watcher) = partner_protocol::load(&site)?;
     let _logs = (!file_watcher.is_empty()).then(logs::start);
-    let (inputs, receiver) = door::channel();
+    let (events, receiver) = events::channel();
     let config = Config {
         listen: site.listen,
         state: site.state.clone(),
@@ -88,13 +88,13 @@
         membership: Box::new(SiteMembership::new(log, site.clone())),
         discovery: None,
         durable: site.durability == Durability::Machine,
-        site: Some(SiteParts { site, ends, peers }),
+        site: Some(SiteConfig { site, ends, peers }),
     };
     let ends = [SignalKind::terminate(), SignalKind::interrupt()];
     runtime()?.block_on(async {
         file_watcher.start();
-        control::start(socket, inputs.clone(), blocks, ledger, most)?;
-        serve_until_told(config, inputs, receiver, &ends).await
+        control::start(socket, events.clone(), blocks, ledger, most)?;
+        serve_until_signal(config, events, receiver, &ends).await
     })
 }
 
