--- a/crates/dialect/src/template.rs
+++ b/crates/dialect/src/template.rs
@@ -63,11 +63,7 @@
                 "id" => Variable::Id,
                 "class" => Variable::Class,
                 "key" => Variable::Key,
-                _ => {
-                    return Err(format!(
-                        "{{{name}}} is no place; there are {{id}}, {{class}} and {{key}}"
-                    ))
-                }
+                _ => return Err(format!("{{{name}}} is no place; there are {{id}}, {{class}} and {{key}}")),
             };
             pieces.extend((!before.is_empty()).then(|| Piece::Literal(before.to_string())));
             pieces.push(Piece::Variable(name));
--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -3,7 +3,7 @@
 //! the event loop is not involved.
 
 use crate::client_connections::ClientConnections;
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::Event;
 use foldtrack_control::{self as control, ClientLine, Clients, Holding, KernelSockets};
 use ipnet::IpNet;
@@ -31,7 +31,7 @@
 struct StoredBlock {
     /// The blocked network.
     network: IpNet,
-    /// End of the block, Unix time in microseconds.
+    /// MessageOutcome of the block, Unix time in microseconds.
     until: u64,
 }
 
@@ -85,9 +85,9 @@
             Err(e) => return Err(error(&e)),
         };
         let clock = connections.clock();
-        let now = clock.unix(clock.now());
+        let now = clock.unix_time(clock.now());
         for StoredBlock { network, until } in stored.iter().filter(|stored| stored.until > now) {
-            connections.block(*network, clock.since_unix(*until)).map_err(|e| error(&e))?;
+            connections.block(*network, clock.time_at_unix(*until)).map_err(|e| error(&e))?;
         }
         let events = broadcast::Sender::new(EVENT_BUFFER);
         Ok(Arc::new(Blocks {
@@ -165,12 +165,12 @@
     /// Writes all active blocks to a new file and renames it over the old one: either file survives
     /// a power failure whole.
     fn save(&self) -> io::Result<()> {
-        let _guard = locked(&self.write_lock);
+        let _guard = lock_ignoring_poison(&self.write_lock);
         let clock = self.connections.clock();
         let now = clock.now();
         let active = self.connections.blocks().into_iter().filter(|(_, until)| *until > now);
         let stored: Vec<StoredBlock> =
-            active.map(|(network, until)| StoredBlock { network, until: clock.unix(until) }).collect();
+            active.map(|(network, until)| StoredBlock { network, until: clock.unix_time(until) }).collect();
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let mut file = tempfile::NamedTempFile::new_in(folder)?;
         file.write_all(&serde_json::to_vec(&stored)?)?;
@@ -199,12 +199,12 @@
             let clock = self.connections.clock();
             // An error means that there is no subscriber.
             let _ = self.events.send(control::Event {
-                at: clock.unix(clock.now()),
+                at: clock.unix_time(clock.now()),
                 kind: kind.into(),
                 address: address.map_or(String::new(), |a| a.to_string()),
                 text: line.clone(),
             });
-            let mut floods = locked(&self.floods);
+            let mut floods = lock_ignoring_poison(&self.floods);
             floods.insert(0, line);
             floods.truncate(MAX_FLOOD_LINES);
         }
@@ -215,7 +215,7 @@
         let clock = self.connections.clock();
         // An error means that there is no subscriber.
         let _ = self.events.send(control::Event {
-            at: clock.unix(clock.now()),
+            at: clock.unix_time(clock.now()),
             kind: kind.into(),
             text: text.into(),
             ..control::Event::default()
@@ -229,7 +229,7 @@
 
     /// Socket statistics from the kernel, at most [`SOCKET_STATS_TTL`] old.
     fn cached_socket_stats(&self) -> Option<KernelSockets> {
-        let mut last = locked(&self.kernel);
+        let mut last = lock_ignoring_poison(&self.kernel);
         match &*last {
             Some((at, stats)) if at.elapsed() < SOCKET_STATS_TTL => stats.clone(),
             _ => {
@@ -279,7 +279,7 @@
         Clients {
             clients: self.connections.client_stats(most).into_iter().map(client).collect(),
             blocks: blocks.map(|(network, left)| (network.to_string(), left)).collect(),
-            floods: locked(&self.floods).clone(),
+            floods: lock_ignoring_poison(&self.floods).clone(),
             descriptors,
             lingering: self.connections.lingering() as u32,
             kernel: self.cached_socket_stats(),
--- a/src/bin/foldtrack/call.rs
+++ b/src/bin/foldtrack/call.rs
@@ -3,14 +3,14 @@
 use crate::clock::Clock;
 use crate::connections::{Connection, SendError};
 use crate::descriptors::DescriptorPermit;
-use crate::door::{CallEnd, Input, Inputs};
+use crate::events::{CallEnd, EventSender, LoopEvent};
 use crate::message::Message;
 use crate::partner_protocol::PartnerProtocol;
 use crate::streams::ResponseTap;
-use foldtrack_clearance::{Clearance, Overtaken};
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{LimitReport, Micros, Outcome, TargetId};
 use foldtrack_dialect::{CallContext, Dialect, Meaning, Values};
-use hatchline::settings::Parsed;
-use hatchline::{LimitReport, Micros, Outcome, TargetId};
+use foldtrack_preflight::{PreflightCheck, PreflightError};
 use http::request::Parts;
 use http_body_util::Full;
 use hyper::header::HeaderMap;
@@ -61,13 +61,13 @@
     /// Read limit reports from responses (PROTOCOL).
     pub limit_reports: bool,
     /// The preflight check: whether the call may still be sent, by the latest facts.
-    pub clearance: Clearance,
+    pub preflight: PreflightCheck,
     /// The clock of the process.
     pub clock: Clock,
     /// How the partner is called.
     pub protocol: Arc<PartnerProtocol>,
     /// The settings, for the names of classes.
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
 }
 
 /// Why there is no response to interpret.
@@ -79,7 +79,7 @@
     /// The message lacks what this partner's protocol needs, and never will have it.
     Unsendable,
     /// Newer facts forbid the call. The connection can be reused.
-    Overtaken(Overtaken, Option<Box<Connection>>),
+    PreflightError(PreflightError, Option<Box<Connection>>),
 }
 
 impl Call {
@@ -90,17 +90,17 @@
             number: self.number,
             attempt: self.attempt,
             target: self.target,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             outcome,
-            over: false,
-            late: false,
+            settled: false,
+            past_deadline: false,
             refused: false,
             cause: String::new(),
             wait_until: None,
             report: None,
-            idle: self.connection.as_ref().map(|(_, idle)| *idle),
-            dialled: None,
-            connection: None,
+            idle_for: self.connection.as_ref().map(|(_, idle)| *idle),
+            connect_time: None,
+            reusable_connection: None,
         }
     }
 }
@@ -108,12 +108,12 @@
 /// Opens a connection ahead of demand and reports the result.
 pub(crate) async fn dial(
     target: TargetId, number: u64, address: SocketAddr, protocol: Arc<PartnerProtocol>,
-    descriptor: DescriptorPermit, dial_timeout: Duration, inputs: Inputs,
+    descriptor: DescriptorPermit, dial_timeout: Duration, events: EventSender,
 ) {
     let begun = Instant::now();
     let opening = Connection::open(address, protocol.encryption.as_ref(), Some(descriptor));
     let opened = timeout(dial_timeout, opening).await.ok().and_then(Result::ok);
-    inputs.send(Input::Opened { target, number, opened: opened.map(|c| (c, begun.elapsed())) });
+    events.send(LoopEvent::Preconnected { target, number, opened: opened.map(|c| (c, begun.elapsed())) });
 }
 
 /// Describes why there is no connection.
@@ -123,7 +123,7 @@
 }
 
 /// Makes one call and reports its end exactly once; it never retries by itself.
-pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: Inputs) {
+pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, events: EventSender) {
     let mut end = call.unstarted_end(Outcome::ConnectFailed);
     let Call {
         message,
@@ -135,7 +135,7 @@
         limit_reports,
         protocol,
         settings,
-        clearance,
+        preflight,
         clock,
         ..
     } = call;
@@ -149,7 +149,7 @@
             Some((connection, _)) => connection,
             None => {
                 // No connection is opened for a call that must not be sent.
-                clearance.check(clock.now()).map_err(|reason| NoResponse::Overtaken(reason, None))?;
+                preflight.check(clock.now()).map_err(|reason| NoResponse::PreflightError(reason, None))?;
                 let descriptor = Some(descriptor.ok_or(NoResponse::Outcome(Outcome::NotSent))?);
                 let begun = Instant::now();
                 let opening = Connection::open(address, protocol.encryption.as_ref(), descriptor);
@@ -167,14 +167,14 @@
                 }
             }
         };
-        if clock.now() > clearance.decided + STALL_THRESHOLD.as_micros() as Micros {
+        if clock.now() > preflight.decided_at + STALL_THRESHOLD.as_micros() as Micros {
             yield_to_socket_reads().await;
         }
         // Guards against facts that arrived while the connection was opened: up to the connect
         // timeout lies between the decision and the first byte. A destination that has meanwhile
         // requested a wait, is draining or has failed is sent nothing new.
-        if let Err(reason) = clearance.check(clock.now()) {
-            return Err(NoResponse::Overtaken(reason, Some(Box::new(connection))));
+        if let Err(reason) = preflight.check(clock.now()) {
+            return Err(NoResponse::PreflightError(reason, Some(Box::new(connection))));
         }
         // The connection was opened just as the deadline passed: a request that was due in time
         // would be written too late.
@@ -195,7 +195,7 @@
             Err(SendError::ConnectionLost | SendError::Refused(_)) => {
                 Err(NoResponse::Outcome(Outcome::Reset))
             }
-            Err(SendError::UnreadableResponse) => Err(NoResponse::Outcome(Outcome::Spoilt)),
+            Err(SendError::UnreadableResponse) => Err(NoResponse::Outcome(Outcome::UnreadableResponse)),
         }
     };
     let response = tokio::select! {
@@ -204,8 +204,8 @@
         () = sleep_until(deadline) => Err(None),
         Ok(()) = &mut cancelled => Err(Some(NoResponse::Outcome(Outcome::Cancelled))),
     };
-    end.dialled = dialled;
-    end.late = Instant::now() >= deadline;
+    end.connect_time = dialled;
+    end.past_deadline = Instant::now() >= deadline;
     if let (Err(None | Some(NoResponse::Outcome(Outcome::Cancelled))), Some(tap)) = (&response, &handed_over)
     {
         tap.read_pending();
@@ -215,8 +215,9 @@
     // about to be sent.
     let record_wait = |end: &mut CallEnd, headers: &HeaderMap| {
         let now = clock.now();
-        end.wait_until = protocol.dialect.wait(headers, clock.unix(now)).map(|wait| now.saturating_add(wait));
-        end.wait_until.into_iter().for_each(|until| clearance.lane.told_to_wait(until));
+        end.wait_until =
+            protocol.dialect.wait(headers, clock.unix_time(now)).map(|wait| now.saturating_add(wait));
+        end.wait_until.into_iter().for_each(|until| preflight.route.defer_until(until));
     };
     let no_response = response.is_err();
     match response {
@@ -229,27 +230,29 @@
                 &protocol.dialect,
                 limit_reports,
             );
-            if end.outcome == Outcome::Full {
+            if end.outcome == Outcome::Rejected {
                 record_wait(&mut end, response.headers());
             }
             let body = timeout(BODY_TIMEOUT, connection.finish(response.into_body(), MAX_BODY_BYTES)).await;
             // After a protocol switch the connection no longer speaks HTTP.
             let usable = matches!(body, Ok(Some(_))) && response_status != StatusCode::SWITCHING_PROTOCOLS;
-            end.connection = usable.then_some(connection);
+            end.reusable_connection = usable.then_some(connection);
         }
         // The status line counts although the rest of the response can't be read: the message is
         // delivered.
         Err(_) if handed_over.as_ref().is_some_and(|tap| is_delivered(tap, &protocol.dialect)) => {
-            (end.outcome, end.over) = (Outcome::Ok, true);
+            (end.outcome, end.settled) = (Outcome::Ok, true);
         }
-        Err(Some(NoResponse::Overtaken(reason, connection))) => {
-            end.outcome = Outcome::HeldBack;
+        Err(Some(NoResponse::PreflightError(reason, connection))) => {
+            end.outcome = Outcome::Withheld;
             // A draining endpoint is sent nothing new, so its connection is not kept.
-            end.connection = connection.filter(|_| reason != Overtaken::Closed).map(|connection| *connection);
-            end.wait_until = if let Overtaken::Waits { until } = reason { Some(until) } else { None };
+            end.reusable_connection =
+                connection.filter(|_| reason != PreflightError::Closed).map(|connection| *connection);
+            end.wait_until =
+                if let PreflightError::RetryAfter { until } = reason { Some(until) } else { None };
         }
         Err(Some(NoResponse::Unsendable)) => {
-            (end.outcome, end.over, end.refused) = (Outcome::NotSent, true, true)
+            (end.outcome, end.settled, end.refused) = (Outcome::NotSent, true, true)
         }
         Err(Some(NoResponse::ConnectFailed(reason))) => {
             (end.outcome, end.cause) = (Outcome::ConnectFailed, reason)
@@ -268,7 +271,7 @@
             record_wait(&mut end, &headers);
         }
     }
-    inputs.send(Input::CallEnded(end));
+    events.send(LoopEvent::CallEnded(end));
 }
 
 /// Lets the runtime process pending socket reads. Guards against a process that stalled, on its
@@ -282,7 +285,8 @@
 
 /// Builds the request head.
 fn head(
-    message: &Message, address: SocketAddr, deadline: Instant, protocol: &PartnerProtocol, settings: &Parsed,
+    message: &Message, address: SocketAddr, deadline: Instant, protocol: &PartnerProtocol,
+    settings: &DeploymentSettings,
 ) -> Result<Parts, NoResponse> {
     let timeout_us = deadline.saturating_duration_since(Instant::now()).as_micros() as u64;
     let class = settings.class_names.get(message.class).map_or("", String::as_str);
@@ -307,12 +311,12 @@
     let meaning = dialect.meaning(status.as_u16(), headers);
     end.outcome = match meaning {
         Meaning::Delivered => Outcome::Ok,
-        Meaning::Wait => Outcome::Full,
+        Meaning::Wait => Outcome::Rejected,
         Meaning::NotSent | Meaning::Over | Meaning::RefusedForGood => Outcome::NotSent,
         Meaning::HasNotRun => Outcome::ConnectFailed,
         Meaning::MayHaveRun => Outcome::Error,
     };
-    end.over = matches!(meaning, Meaning::Delivered | Meaning::Over | Meaning::RefusedForGood);
+    end.settled = matches!(meaning, Meaning::Delivered | Meaning::Over | Meaning::RefusedForGood);
     end.refused = meaning == Meaning::RefusedForGood;
     let reported =
         dialect.limit(headers).map(|limit| LimitReport { share_left: limit.remaining, rate: limit.rate });
--- a/src/bin/foldtrack/client_connections.rs
+++ b/src/bin/foldtrack/client_connections.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Clock;
 use crate::descriptors::{DescriptorBudget, DescriptorPermit};
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::{
     ClientStats, ConnectDecision, DescriptorUser, Event, Gate, RequestDecision, Settings,
 };
@@ -84,7 +84,7 @@
     }
 
     fn table(&self) -> MutexGuard<'_, ConnectionTable> {
-        locked(&self.table)
+        lock_ignoring_poison(&self.table)
     }
 
     /// Waits until all but a few of the evicted connections have closed.
--- a/src/bin/foldtrack/client_server.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -2,14 +2,14 @@
 
 use crate::client_connections::{ClientConnections, ConnectionPermit};
 use crate::clock::Clock;
-use crate::door::{Answer, Input, Inputs, Stage};
 use crate::ends_api::{self, EndsApi};
+use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::message::Message;
 use crate::streams::{HeadScan, ScannedStream};
 use bytes::Bytes;
 use foldtrack_admission::{ConnectDecision, RejectReason, RequestDecision};
-use hatchline::settings::Parsed;
-use hatchline::{Effect, Micros};
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{Effect, Micros};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
@@ -52,11 +52,11 @@
 /// State shared by all client connections.
 pub(crate) struct ServerContext {
     /// The settings, for classes and their rules.
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
     /// The clock of the process.
     pub clock: Clock,
     /// The channel to the event loop.
-    pub inputs: Inputs,
+    pub events: EventSender,
     /// How far the shutdown has proceeded.
     pub stage: watch::Receiver<Stage>,
     /// Bytes of request bodies that may be read at the same time, before their messages are passed
@@ -289,9 +289,9 @@
                 return with_close(empty_response(StatusCode::NOT_FOUND));
             };
             match path.strip_prefix("/v1/messages/") {
-                Some(id) => ends_api::message(id, &context.inputs).await,
+                Some(id) => ends_api::message(id, &context.events).await,
                 None if path == "/v1/ends" => {
-                    ends_api::ends(request.uri().query().unwrap_or(""), ends_api, &context.inputs).await
+                    ends_api::ends(request.uri().query().unwrap_or(""), ends_api, &context.events).await
                 }
                 None => empty_response(StatusCode::NOT_FOUND),
             }
@@ -327,16 +327,16 @@
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
     let message = read_message(request, known, context).await?;
     let (reply, answer) = oneshot::channel();
-    context.inputs.send(Input::HandIn { message: Arc::new(message), known, reply });
+    context.events.send(LoopEvent::Submit { message: Arc::new(message), from_known_client: known, reply });
     match answer.await {
-        Ok(Answer::TakenOn(mut receipt)) => {
+        Ok(SubmitReply::Accepted(mut receipt)) => {
             // If the client has closed the connection, this future is dropped before it gets here.
             receipt.written = true;
             Ok(empty_response(StatusCode::ACCEPTED))
         }
-        Ok(Answer::Refused { retry_in_ms }) => Ok(refusal(retry_in_ms)),
-        Ok(Answer::Known { over: false }) => Ok(empty_response(StatusCode::ACCEPTED)),
-        Ok(Answer::Known { over: true }) => Err(StatusCode::CONFLICT),
+        Ok(SubmitReply::Refused { retry_in_ms }) => Ok(refusal(retry_in_ms)),
+        Ok(SubmitReply::Duplicate { over: false }) => Ok(empty_response(StatusCode::ACCEPTED)),
+        Ok(SubmitReply::Duplicate { over: true }) => Err(StatusCode::CONFLICT),
         Err(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -7,13 +7,13 @@
 use crate::list::ServerList;
 use crate::membership::Membership;
 use crate::partner_protocol::PartnerProtocols;
-use crate::peers::Setup;
+use crate::peers::PeerSetup;
 use crate::platform::Agent;
 use foldtrack_admission::Settings as Admission;
-use foldtrack_ends::Store;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
 use foldtrack_site::Site;
-use hatchline::settings::Parsed;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use serde::Deserialize;
 use std::env;
@@ -34,7 +34,7 @@
     pub disk_bytes: u64,
     /// The disk counts as no larger: a rehearsal.
     pub disk_budget: Option<Budget>,
-    pub settings: Parsed,
+    pub settings: DeploymentSettings,
     /// How destinations are spoken to.
     pub partner_protocols: PartnerProtocols,
     pub membership: Box<dyn Membership>,
@@ -43,15 +43,15 @@
     /// An answer is given once its record is on stable storage.
     pub durable: bool,
     /// What only a site of its own has.
-    pub site: Option<SiteParts>,
+    pub site: Option<SiteConfig>,
 }
 
 /// What the loop of a site of its own has beside a platform's.
-pub(crate) struct SiteParts {
+pub(crate) struct SiteConfig {
     pub site: Site,
-    pub ends: Store,
+    pub ends: OutcomeStore,
     /// The other forwarders, if it has any.
-    pub peers: Option<Setup>,
+    pub peers: Option<PeerSetup>,
 }
 
 #[derive(Deserialize)]
@@ -63,7 +63,7 @@
     limits: Limits,
     #[serde(default)]
     known: ServerList,
-    settings: Parsed,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
--- a/src/bin/foldtrack/connections.rs
+++ b/src/bin/foldtrack/connections.rs
@@ -5,8 +5,8 @@
 use crate::descriptors::DescriptorPermit;
 use crate::streams::{ResponseTap, TappedStream};
 use bytes::Bytes;
+use foldtrack_delivery::{Outcome, TargetId};
 use foldtrack_pool::{ConnectionCounts, IdleTimeout, PreconnectPolicy};
-use hatchline::{Outcome, TargetId};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -372,7 +372,7 @@
         let idle = idle.map(|idle| idle.as_micros() as u64);
         match (outcome, idle) {
             (Outcome::Reset, Some(idle)) => endpoint.idle_timeout.reset_after(now, idle),
-            (Outcome::Ok | Outcome::Error | Outcome::Full, Some(idle)) => {
+            (Outcome::Ok | Outcome::Error | Outcome::Rejected, Some(idle)) => {
                 endpoint.idle_timeout.answered_after(now, idle)
             }
             _ => {}
--- a/src/bin/foldtrack/descriptors.rs
+++ b/src/bin/foldtrack/descriptors.rs
@@ -1,7 +1,7 @@
 //! The file descriptors of the process: the ledger of `foldtrack-admission`, with a permit for each
 //! open socket.
 
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::descriptors::MIN_CLIENT_CONNECTIONS;
 use foldtrack_admission::{DescriptorLedger, DescriptorUser, Quota};
 use std::sync::{Arc, Mutex};
@@ -41,7 +41,7 @@
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        locked(&self.budget.ledger).release(self.user);
+        lock_ignoring_poison(&self.budget.ledger).release(self.user);
     }
 }
 
@@ -67,39 +67,42 @@
 
     /// Changes the limit of the process or the number of client connections.
     pub fn set_limits(&self, limit: usize, client_connections: usize) {
-        locked(&self.ledger).set_limits(limit, Self::quotas(limit, client_connections, self.calls));
+        lock_ignoring_poison(&self.ledger)
+            .set_limits(limit, Self::quotas(limit, client_connections, self.calls));
     }
 
     /// How many descriptors a user may hold at the moment.
     pub fn limit_for(&self, user: DescriptorUser) -> usize {
-        locked(&self.ledger).limit_for(user)
+        lock_ignoring_poison(&self.ledger).limit_for(user)
     }
 
     /// How many descriptors a user holds.
     pub fn held(&self, user: DescriptorUser) -> usize {
-        locked(&self.ledger).held(user)
+        lock_ignoring_poison(&self.ledger).held(user)
     }
 
     /// How many descriptors a user holds beyond what it may.
     pub fn excess(&self, user: DescriptorUser) -> usize {
-        locked(&self.ledger).excess(user)
+        lock_ignoring_poison(&self.ledger).excess(user)
     }
 
     /// Descriptors held and allowed at the moment: clients, calls, control socket.
     pub fn usage(&self) -> [(usize, usize); 3] {
-        let ledger = locked(&self.ledger);
+        let ledger = lock_ignoring_poison(&self.ledger);
         [DescriptorUser::Clients, DescriptorUser::Calls, DescriptorUser::Control]
             .map(|p| (ledger.held(p), ledger.limit_for(p)))
     }
 
     /// Takes a permit, if the user may hold one more.
     pub fn acquire(self: &Arc<Self>, user: DescriptorUser) -> Option<DescriptorPermit> {
-        locked(&self.ledger).acquire(user).then(|| DescriptorPermit { budget: self.clone(), user })
+        lock_ignoring_poison(&self.ledger)
+            .acquire(user)
+            .then(|| DescriptorPermit { budget: self.clone(), user })
     }
 
     /// Returns a permit for a descriptor that is open already.
     pub fn acquire_unchecked(self: &Arc<Self>, user: DescriptorUser) -> DescriptorPermit {
-        locked(&self.ledger).acquire_unchecked(user);
+        lock_ignoring_poison(&self.ledger).acquire_unchecked(user);
         DescriptorPermit { budget: self.clone(), user }
     }
 }
--- a/src/bin/foldtrack/discovery_schedule.rs
+++ b/src/bin/foldtrack/discovery_schedule.rs
@@ -7,7 +7,7 @@
 //! fleet that fails together spreads its calls over all of the time that this rule allows: a
 //! discovery that is called by all at once rejects most of them and answers the others too late.
 
-use hatchline::{Micros, FLEET};
+use foldtrack_delivery::{Micros, LARGE_FLEET};
 use std::time::Duration;
 
 /// Time within which a change has to be known, after discovery has it and can be reached.
@@ -82,7 +82,7 @@
     }
 
     fn is_fleet(&self) -> bool {
-        self.senders >= FLEET
+        self.senders >= LARGE_FLEET
     }
 
     /// Maximum duration of the next long poll.
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -1,5 +1,5 @@
 //! The loop that owns all state: the module, the messages and the journal. What sockets and timers tell
-//! comes in as [`Input`]s; what the module decides goes out, in its order.
+//! comes in as [`LoopEvent`]s; what the module decides goes out, in its order.
 
 mod appliance;
 mod calls;
@@ -18,20 +18,22 @@
 use crate::config::Config;
 use crate::connections::{ConnectionPool, PoolSettings};
 use crate::descriptors::{client_share, DescriptorBudget};
-use crate::door::{Answer, Input, Inputs, Stage};
 use crate::ends_api::EndsApi;
+use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::list::{ServerList, ServerState};
 use crate::membership::Membership;
 use crate::message::Message;
 use crate::notice_queue::NoticeQueue;
 use crate::partner_protocol::PartnerProtocols;
-use crate::table::{Ids, Targets};
+use crate::registry::{Ids, Targets};
 use appliance::{Appliance, LONGEST_NAME};
 use foldtrack_admission::DescriptorUser;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{
+    Action, DeliveryScheduler, Endpoint, EndpointState, Event, ListKind, Micros, TargetId,
+};
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{Folder, Journal, Options};
-use hatchline::settings::Parsed;
-use hatchline::{Action, Brain, Endpoint, EndpointState, Event, ListKind, Micros, TargetId};
+use foldtrack_journal::{Journal, JournalDir, JournalOptions};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -61,7 +63,7 @@
 /// How far the client has been told that its message is taken on.
 enum Taken {
     /// Not at all: the module may refuse it yet.
-    Fresh(oneshot::Sender<Answer>),
+    Fresh(oneshot::Sender<SubmitReply>),
     /// The answer is on its way.
     Answering,
     /// Told.
@@ -94,10 +96,10 @@
 
 struct Node {
     clock: Clock,
-    brain: Brain,
-    settings: Arc<Parsed>,
+    scheduler: DeliveryScheduler,
+    settings: Arc<DeploymentSettings>,
     journal: Journal,
-    inputs: Inputs,
+    events: EventSender,
     membership: Box<dyn Membership>,
     /// The platform's taker of notices.
     discovery: Option<watch::Sender<SocketAddr>>,
@@ -142,15 +144,15 @@
 
 /// Restores what the journal holds, then serves until it is told to end.
 pub(crate) async fn run(
-    mut config: Config, inputs: Inputs, mut receiver: UnboundedReceiver<Input>,
+    mut config: Config, events: EventSender, mut receiver: UnboundedReceiver<LoopEvent>,
 ) -> io::Result<()> {
     let clock = Clock::new();
     let others = config.site.as_mut().and_then(|parts| parts.peers.take());
     let others = match others {
-        Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &inputs)?),
+        Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &events)?),
         None => None,
     };
-    let ready = others.as_ref().map(|(_, hands)| hands.ready.clone());
+    let ready = others.as_ref().map(|(_, io)| io.ready.clone());
     let (ends_seen, ends_api) = ends_api(&config);
     let settings = Arc::new(config.settings);
     let max_attempts = settings.settings.max_attempts;
@@ -162,30 +164,30 @@
     });
     let site = config.site.map(|parts| Appliance::new(parts, ends_seen, config.memory_bytes as u64));
     let name = if site.is_some() { LONGEST_NAME } else { 0 };
-    let options = Options {
-        room: config.disk_bytes,
-        attempts: max_attempts,
-        name,
+    let options = JournalOptions {
+        capacity_bytes: config.disk_bytes,
+        max_attempts,
+        max_endpoint_name_len: name,
         durable: config.durable,
         identity: config.seed,
     };
-    let disk = Folder::new(&config.state)?.within(config.disk_budget);
+    let disk = JournalDir::new(&config.state)?.with_budget(config.disk_budget);
     let (journal, restored) = Journal::open_on(disk, options)?;
     // Numbers of messages that are over may stand in kept ends: none is used twice.
-    let highest = journal.highest().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
+    let highest = journal.highest_number().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
     let (stage, stage_seen) = watch::channel(Stage::Serving);
     let share = client_share(config.sockets);
-    let conn_idle = Duration::from_micros(settings.settings.connection_idle);
+    let conn_idle = Duration::from_micros(settings.settings.idle_timeout);
     let mut node = Node {
         clock,
-        brain: Brain::new(clock.now(), config.seed, settings.settings.clone()),
+        scheduler: DeliveryScheduler::new(clock.now(), config.seed, settings.settings.clone()),
         settings: settings.clone(),
         journal,
-        inputs: inputs.clone(),
+        events: events.clone(),
         membership: config.membership,
         discovery: config.discovery,
         site: site.map(Box::new),
-        peers: others.map(|(peers, hands)| peers::Side::new(peers, hands)),
+        peers: others.map(|(peers, io)| peers::Side::new(peers, io)),
         durable: durable::Durable::new(config.durable),
         scan: picture::Scan::default(),
         lists: 0,
@@ -215,7 +217,7 @@
         terminated: None,
         actions: Vec::new(),
     };
-    let news = node.membership.watch(&inputs);
+    let news = node.membership.watch(&events);
     node.list(node.membership.known(), if news { ListKind::Cached } else { ListKind::Full });
     node.begin_peers();
     let mut batch = Vec::new();
@@ -231,7 +233,7 @@
     let context = ServerContext {
         settings,
         clock,
-        inputs,
+        events,
         stage: stage_seen,
         bodies,
         unknown_client_bodies,
@@ -277,7 +279,7 @@
 
 impl Node {
     /// Takes in all that has happened, lets the module decide once, and carries out what it says.
-    fn round(&mut self, batch: &mut Vec<Input>) {
+    fn round(&mut self, batch: &mut Vec<LoopEvent>) {
         for input in batch.drain(..) {
             self.take_in(input);
         }
@@ -288,7 +290,7 @@
             self.timers.pop_first();
             self.handle(Event::Timer { token });
         }
-        self.brain.decide(self.clock.now(), &mut self.actions);
+        self.scheduler.decide(self.clock.now(), &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
             self.carry_out(action);
         }
@@ -319,7 +321,7 @@
 
     /// Goes on with the journal's compaction, for a little of each round.
     fn step_journal(&mut self) {
-        if let Err(error) = self.journal.step(std::time::Instant::now() + JOURNAL_STEP) {
+        if let Err(error) = self.journal.compact_step(std::time::Instant::now() + JOURNAL_STEP) {
             eprintln!("journal: {error}");
         }
     }
@@ -330,36 +332,38 @@
     }
 
     fn handle(&mut self, event: Event) {
-        self.brain.handle(self.clock.now(), event, &mut self.actions);
+        self.scheduler.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn take_in(&mut self, input: LoopEvent) {
         match input {
-            Input::HandIn { message, known, reply } => self.hand_in(message, known, reply),
-            Input::Answered { number, written } => self.answered(number, written),
-            Input::CallEnded(end) => self.call_ended(end),
-            Input::Opened { target, number, opened } => {
+            LoopEvent::Submit { message, from_known_client, reply } => {
+                self.hand_in(message, from_known_client, reply)
+            }
+            LoopEvent::ReplySent { number, written } => self.answered(number, written),
+            LoopEvent::CallEnded(end) => self.call_ended(end),
+            LoopEvent::Preconnected { target, number, opened } => {
                 let open = self.targets.is_open(target);
                 self.pool.preconnect_finished(target, number, opened.filter(|_| open));
             }
             // What the old address has told late does not stand against the new one.
-            Input::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
-            Input::List { list, .. } => {
+            LoopEvent::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
+            LoopEvent::List { list, .. } => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
                 self.list(list, kind);
             }
-            Input::Reported { numbers, status, to } => self.reported(numbers, status, to),
-            Input::Discovery(address) => {
+            LoopEvent::NoticesReported { numbers, status, to } => self.reported(numbers, status, to),
+            LoopEvent::DiscoveryMoved(address) => {
                 if let Some(discovery) = &self.discovery {
                     discovery.send_replace(address);
                 }
                 self.notices.reset_pause();
             }
-            Input::Site(ask) => self.asked(ask),
-            Input::Synced(synced) => self.synced(synced),
-            Input::Datagram(bytes) => self.datagram(&bytes),
-            Input::PeersKept(ticket) => self.peers_kept(ticket),
-            Input::Terminate => {
+            LoopEvent::SiteRequest(ask) => self.asked(ask),
+            LoopEvent::JournalSynced(synced) => self.synced(synced),
+            LoopEvent::Datagram(bytes) => self.datagram(&bytes),
+            LoopEvent::PeerRecordsStored(ticket) => self.peers_kept(ticket),
+            LoopEvent::Terminate => {
                 if self.terminated.is_none() {
                     self.terminated = Some(Instant::now());
                     self.stage.send_replace(Stage::Draining);
@@ -380,7 +384,8 @@
         for line in list.servers {
             let zone = place(&self.settings.zone_names, &line.zone);
             let kind = place(&self.settings.kind_names, &line.kind);
-            let apart = self.settings.settings.routes_apart.get(kind as usize).copied().unwrap_or(false);
+            let apart =
+                self.settings.settings.independent_routes.get(kind as usize).copied().unwrap_or(false);
             let Some((target, replaced)) = self.targets.number(&line, zone, apart) else { continue };
             named.insert(target);
             if let Some(target) = replaced {
@@ -415,7 +420,10 @@
     fn wake_at(&self) -> Instant {
         // What was told to the module after it had decided is carried out at once, not with whatever happens next.
         let undone = !self.actions.is_empty();
-        if undone || self.scan.is_running() || self.journal.is_owing() && !self.journal.wants_sync() {
+        if undone
+            || self.scan.is_running()
+            || self.journal.has_compaction_work() && !self.journal.awaits_sync()
+        {
             return Instant::now();
         }
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -4,29 +4,29 @@
 use super::{Held, Node, Taken};
 use crate::message::{order_key, Message};
 use crate::notice_queue::PendingNotice;
-use crate::table::Known;
+use crate::registry::Known;
+use foldtrack_delivery::{Effect, Event, Outcome};
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{Fate, Notice, Record, Restored, Tried};
-use hatchline::{Effect, Event, Outcome};
+use foldtrack_journal::{AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
 impl Node {
     /// Takes over what the journal holds, in the order in which it was taken on.
-    pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, Restored>) {
-        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.numbers()).collect();
+    pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, RecoveredMessage>) {
+        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.message_numbers()).collect();
         for (number, message) in restored {
             // The process ended between the end's record and the journal's.
             match ended.contains(&number) {
-                true => self.record(number, &Record::Over),
+                true => self.record(number, &Record::Finished),
                 false => self.restore(number, message),
             }
         }
     }
 
     /// Takes over what the journal holds of a message.
-    fn restore(&mut self, number: u64, restored: Restored) {
-        let Restored { accepted, taken: since, delivered, attempts, notice } = restored;
+    fn restore(&mut self, number: u64, restored: RecoveredMessage) {
+        let RecoveredMessage { accepted, taken: since, delivered, attempts, notice } = restored;
         self.ids.insert(&accepted.id, number, Known::Taken, self.clock.now() + self.remember());
         if let Some(notice) = notice.filter(|_| self.site.is_none()) {
             let order_key = order_key(&accepted.key);
@@ -46,7 +46,7 @@
             key: accepted.key,
             idempotency_key: accepted.idempotency_key,
             retry: accepted.retry,
-            expires: self.clock.since_unix(accepted.expires).min(latest),
+            expires: self.clock.time_at_unix(accepted.expires).min(latest),
             body: accepted.body.into(),
         };
         let message = self.after_old_state(message, since);
@@ -64,7 +64,7 @@
         };
         if doubtful {
             // What the later life of this folder has sent is not in it.
-            let outcome = foldtrack_ends::Outcome::MayHaveRun;
+            let outcome = foldtrack_ends::AttemptOutcome::MayHaveRun;
             held.history.push(Attempt { at: since, until: 0, endpoint: String::new(), outcome });
         }
         if let Some(site) = &mut self.site {
@@ -74,9 +74,9 @@
         if doubtful
             && notice.is_none()
             && !delivered
-            && (effect == Some(Effect::Unsafe) || expires <= self.clock.now())
+            && (effect == Some(Effect::Once) || expires <= self.clock.now())
         {
-            return self.end(number, Notice::GivenUp);
+            return self.end(number, FailureNotice::GivenUp);
         }
         if delivered {
             return self.delivered(number);
@@ -86,15 +86,15 @@
         }
         let Some(class) = class else {
             // The settings have changed since: nothing can be promised.
-            return self.end(number, Notice::GivenUp);
+            return self.end(number, FailureNotice::GivenUp);
         };
-        let first = attempts.iter().find(|t| t.fate != Some(Fate::NeverRan));
-        let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
-        let outcome = |fate| match fate {
-            Some(Fate::NeverRan) => Outcome::NotSent,
-            Some(Fate::MayHaveRun) | None => Outcome::Reset,
+        let first = attempts.iter().find(|t| t.effect != Some(AttemptEffect::NeverRan));
+        let first_run = first.map(|t| (self.clock.time_at_unix(t.at), t.zone));
+        let outcome = |effect| match effect {
+            Some(AttemptEffect::NeverRan) => Outcome::NotSent,
+            Some(AttemptEffect::MayHaveRun) | None => Outcome::Reset,
         };
-        let attempts = attempts.iter().map(|t| outcome(t.fate)).collect();
+        let attempts = attempts.iter().map(|t| outcome(t.effect)).collect();
         let class = class as u32;
         self.handle(Event::Restored {
             id: number,
@@ -112,24 +112,24 @@
     /// A keyed message of an older copy of the folder goes out only while its partner remembers it from when it came.
     fn after_old_state(&self, message: Message, since: u64) -> Message {
         let class = self.settings.settings.classes.get(message.class);
-        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window) else {
+        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window) else {
             return message;
         };
         if !self.has_old_state() {
             return message;
         }
-        let until = self.clock.since_unix(since.saturating_add(window).saturating_sub(MEMORY_MARGIN));
+        let until = self.clock.time_at_unix(since.saturating_add(window).saturating_sub(MEMORY_MARGIN));
         Message { expires: message.expires.min(until), ..message }
     }
 }
 
 /// An attempt of an earlier process, as its journal knows it.
-fn lost(tried: &Tried) -> Attempt {
-    use foldtrack_ends::Outcome;
-    let outcome = match tried.fate {
-        Some(Fate::NeverRan) => Outcome::DidNotRun,
-        Some(Fate::MayHaveRun) => Outcome::MayHaveRun,
-        None => Outcome::Lost,
+fn lost(tried: &AttemptRecord) -> Attempt {
+    use foldtrack_ends::AttemptOutcome;
+    let outcome = match tried.effect {
+        Some(AttemptEffect::NeverRan) => AttemptOutcome::DidNotRun,
+        Some(AttemptEffect::MayHaveRun) => AttemptOutcome::MayHaveRun,
+        None => AttemptOutcome::Lost,
     };
     Attempt { at: tried.at, until: 0, endpoint: tried.endpoint.clone(), outcome }
 }
--- a/src/bin/foldtrack/notice_queue.rs
+++ b/src/bin/foldtrack/notice_queue.rs
@@ -1,8 +1,8 @@
 //! Notices of ended messages that the platform has not acknowledged yet: when they are sent, and
 //! which order keys wait for them.
 
-use foldtrack_journal::Notice;
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
+use foldtrack_journal::FailureNotice;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -20,7 +20,7 @@
     /// Hash of the order key; 0 for none.
     pub order_key: u64,
     /// How the message ended.
-    pub notice: Notice,
+    pub notice: FailureNotice,
 }
 
 impl PendingNotice {
@@ -28,9 +28,9 @@
     fn line(&self) -> String {
         let PendingNotice { id, notice, .. } = self;
         let line = match notice {
-            Notice::GivenUp => json!({"message": id, "outcome": "given_up"}),
-            Notice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
-            Notice::HandedBack { retry_in_ms } => {
+            FailureNotice::GivenUp => json!({"message": id, "outcome": "given_up"}),
+            FailureNotice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
+            FailureNotice::HandedBack { retry_in_ms } => {
                 json!({"message": id, "outcome": "handed_back", "retry_in_ms": retry_in_ms})
             }
         };
@@ -134,7 +134,7 @@
             let order_key = if number <= 2 { 7 } else { 0 };
             notices.insert(
                 number,
-                PendingNotice { id: format!("m{number}"), order_key, notice: Notice::GivenUp },
+                PendingNotice { id: format!("m{number}"), order_key, notice: FailureNotice::GivenUp },
             );
         }
         assert!(notices.holds_key(7) && !notices.holds_key(0));
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -3,22 +3,22 @@
 use crate::blocks::Blocks;
 use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
-use crate::config::{Config, SiteParts};
+use crate::config::{Config, SiteConfig};
 use crate::control;
 use crate::descriptors::{descriptor_limit, DescriptorBudget, RESERVED_DESCRIPTORS};
-use crate::door;
+use crate::events;
 use crate::membership::SiteMembership;
-use crate::peers::Setup;
-use crate::{logs, partner_protocol, runtime, serve_until_told};
+use crate::peers::PeerSetup;
+use crate::{logs, partner_protocol, runtime, serve_until_signal};
 use foldtrack_admission::descriptors::{self, Reserved};
 use foldtrack_admission::Rate;
-use foldtrack_ends::shelf::Bounds;
-use foldtrack_ends::Store;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{Class, Decay, DedupScope, ListedRate, Rules, Settings};
+use foldtrack_ends::retention::RetentionLimits;
+use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
-use foldtrack_membership::{Listed, Log, SiteList};
+use foldtrack_membership::{ListedEndpoint, MembershipLog, SiteFile};
 use foldtrack_site::{Durability, Effect, Site, MOST_ENDPOINTS};
-use hatchline::settings::Parsed;
-use hatchline::{Class, Decay, Group, ListedRate, Rules, Settings};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::hash::{BuildHasher, RandomState};
 use std::io::{Read, Write};
@@ -41,17 +41,19 @@
         .map_err(|e| format!("{}: {e}", site.state.display()))?;
     let _lock = lock(&site.state)?;
     let unix = Clock::new().unix_now();
-    let mut log = Log::open(&site.state, MOST_ENDPOINTS).map_err(|e| e.to_string())?;
-    for told in log.site_says(unix, &site_list(&site)).map_err(|e| e.to_string())? {
+    let mut log = MembershipLog::open(&site.state, MOST_ENDPOINTS).map_err(|e| e.to_string())?;
+    for told in log.apply_site_file(unix, &site_list(&site)).map_err(|e| e.to_string())? {
         eprintln!("membership: {told}");
     }
-    let bounds = Bounds { count: site.ends.count, size: site.ends.size, age: site.ends.age };
+    let bounds =
+        RetentionLimits { max_count: site.ends.count, max_bytes: site.ends.size, max_age_us: site.ends.age };
     let budget = disk_budget.map(|limit| Budget::new(&site.state, limit));
     if let Some(budget) = &budget {
         budget.limit().map_err(|e| e.to_string())?;
     }
-    let ends =
-        Store::open(&site.state.join("ends"), bounds).map_err(|e| e.to_string())?.within(budget.clone());
+    let ends = OutcomeStore::open(&site.state.join("ends"), bounds)
+        .map_err(|e| e.to_string())?
+        .with_budget(budget.clone());
     let reserved = Reserved { calls: site.limits.calls as usize, internal: RESERVED_DESCRIPTORS };
     let configured = site.limits.descriptors;
     let most = move || {
@@ -64,13 +66,13 @@
     let client_connections = ClientConnections::new(admission(&site, places), Clock::new(), ledger.clone());
     let blocks = Blocks::open(&site.state, client_connections.clone(), site.listen.port())?;
     let peers = match &site.peers {
-        Some(said) => Some(Setup::open(said, &site.state, blocks.clone())?),
+        Some(said) => Some(PeerSetup::open(said, &site.state, blocks.clone())?),
         None => None,
     };
     let socket = control::bind(&site.control_socket())?;
     let (partner_protocols, file_watcher) = partner_protocol::load(&site)?;
     let _logs = (!file_watcher.is_empty()).then(logs::start);
-    let (inputs, receiver) = door::channel();
+    let (events, receiver) = events::channel();
     let config = Config {
         listen: site.listen,
         state: site.state.clone(),
@@ -86,13 +88,13 @@
         membership: Box::new(SiteMembership::new(log, site.clone())),
         discovery: None,
         durable: site.durability == Durability::Machine,
-        site: Some(SiteParts { site, ends, peers }),
+        site: Some(SiteConfig { site, ends, peers }),
     };
     let ends = [SignalKind::terminate(), SignalKind::interrupt()];
     runtime()?.block_on(async {
         file_watcher.start();
-        control::start(socket, inputs.clone(), blocks, ledger, most)?;
-        serve_until_told(config, inputs, receiver, &ends).await
+        control::start(socket, events.clone(), blocks, ledger, most)?;
+        serve_until_signal(config, events, receiver, &ends).await
     })
 }
 
@@ -123,12 +125,12 @@
     Ok(file)
 }
 
-fn site_list(site: &Site) -> SiteList {
-    let mut list = SiteList::default();
+fn site_list(site: &Site) -> SiteFile {
+    let mut list = SiteFile::default();
     for partner in &site.partners {
         list.partners.insert(partner.name.clone(), partner.number());
         for endpoint in &partner.endpoints {
-            let listed = Listed { partner: partner.name.clone(), address: endpoint.address };
+            let listed = ListedEndpoint { partner: partner.name.clone(), address: endpoint.address };
             list.endpoints.insert(endpoint.name.clone(), listed);
         }
     }
@@ -156,20 +158,20 @@
 }
 
 /// The site in the words of the decision module.
-fn settings(site: &Site) -> Parsed {
+fn settings(site: &Site) -> DeploymentSettings {
     let class = |c: &foldtrack_site::Class| Class {
         aim: c.aim,
         deadline: c.deadline,
         worth: c.worth,
         late_value: c.late_worth,
         effect: match c.effect {
-            Effect::Repeatable => hatchline::Effect::Repeatable,
-            Effect::Keyed => hatchline::Effect::Keyed,
-            Effect::Once => hatchline::Effect::Unsafe,
+            Effect::Repeatable => foldtrack_delivery::Effect::Repeatable,
+            Effect::Keyed => foldtrack_delivery::Effect::Keyed,
+            Effect::Once => foldtrack_delivery::Effect::Once,
         },
-        group: Group::All,
-        window: c.remembered,
-        patience: c.refuse_after,
+        dedup_scope: DedupScope::All,
+        dedup_window: c.remembered,
+        max_wait: c.refuse_after,
         in_order: c.ordered,
         streaming: false,
     };
@@ -186,24 +188,24 @@
         // The figures of the rules as the first users have them; see docs/operators/site.md.
         rules: Rules {
             drain_grace: 2_000_000,
-            cold_from: 0.16,
-            ramp_time: 14_000_000,
-            tip_multiple: 2.5,
-            tip_after: 2_000_000,
-            order_pause: 100_000,
-            ask_within: 0,
+            cold_capacity_share: 0.16,
+            slow_start_time: 14_000_000,
+            overload_factor: 2.5,
+            overload_duration: 2_000_000,
+            uncertain_key_pause: 100_000,
+            list_poll_interval: 0,
         },
-        batch: vec![1; site.kinds.len()],
-        routes_apart: site.kinds.iter().map(|k| k.routes_apart).collect(),
-        zone_fee: vec![0.0],
+        max_batch: vec![1; site.kinds.len()],
+        independent_routes: site.kinds.iter().map(|k| k.routes_apart).collect(),
+        zone_cost: vec![0.0],
         listed_rate: ListedRate::Exact,
-        connection_idle: site.calls.connection_idle,
+        idle_timeout: site.calls.connection_idle,
         connect_timeout: site.calls.connect_timeout,
         streams_per_connection: 1,
         tick: 5_000,
         ..Settings::default()
     };
-    Parsed {
+    DeploymentSettings {
         settings,
         class_names: site.classes.iter().map(|c| c.name.clone()).collect(),
         kind_names: site.kinds.iter().map(|k| k.name.clone()).collect(),
