--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -31,7 +31,7 @@
 struct StoredBlock {
     /// The blocked network.
     network: IpNet,
-    /// MessageOutcome of the block, Unix time in microseconds.
+    /// When the block ends, Unix time in microseconds.
     until: u64,
 }
 
