--- a/crates/ends/src/end.rs
+++ b/crates/ends/src/end.rs
@@ -4,7 +4,7 @@
 
 /// Final status of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Result {
+pub enum FinalStatus {
     /// The partner confirmed that it accepted the message.
     Delivered,
     /// The message certainly had no effect: no attempt was made, or every attempt is known not to have run.
@@ -28,7 +28,7 @@
 
 /// Outcome of one delivery attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The attempt is still in flight.
     Out,
     /// The partner accepted the message.
@@ -36,7 +36,8 @@
     /// The partner answered with an error.
     Error,
     /// The endpoint declined the call: over a limit, closed or draining.
-    Full,
+    #[serde(rename = "Full")]
+    Rejected,
     /// No response before the timeout.
     TimedOut,
     /// No connection could be established.
@@ -46,7 +47,8 @@
     /// Cancelled by the forwarder.
     Cancelled,
     /// The response could not be parsed.
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    UnreadableResponse,
     /// The request was never sent.
     NotSent,
     /// In flight when the forwarder process ended; the outcome is unknown.
@@ -59,24 +61,24 @@
     Refused,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// The outcome's name in the control protocol.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Outcome::Out => "out",
-            Outcome::Ok => "ok",
-            Outcome::Error => "error",
-            Outcome::Full => "full",
-            Outcome::TimedOut => "timed out",
-            Outcome::NotConnected => "not connected",
-            Outcome::Reset => "reset",
-            Outcome::Cancelled => "cancelled",
-            Outcome::Spoilt => "spoilt",
-            Outcome::NotSent => "not sent",
-            Outcome::Lost => "lost",
-            Outcome::DidNotRun => "did not run",
-            Outcome::MayHaveRun => "may have run",
-            Outcome::Refused => "refused",
+            AttemptOutcome::Out => "out",
+            AttemptOutcome::Ok => "ok",
+            AttemptOutcome::Error => "error",
+            AttemptOutcome::Rejected => "full",
+            AttemptOutcome::TimedOut => "timed out",
+            AttemptOutcome::NotConnected => "not connected",
+            AttemptOutcome::Reset => "reset",
+            AttemptOutcome::Cancelled => "cancelled",
+            AttemptOutcome::UnreadableResponse => "spoilt",
+            AttemptOutcome::NotSent => "not sent",
+            AttemptOutcome::Lost => "lost",
+            AttemptOutcome::DidNotRun => "did not run",
+            AttemptOutcome::MayHaveRun => "may have run",
+            AttemptOutcome::Refused => "refused",
         }
     }
 
@@ -84,7 +86,7 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::NotConnected | Outcome::NotSent | Outcome::DidNotRun | Outcome::Refused
+            AttemptOutcome::Rejected | AttemptOutcome::NotConnected | AttemptOutcome::NotSent | AttemptOutcome::DidNotRun | AttemptOutcome::Refused
         )
     }
 }
@@ -99,12 +101,12 @@
     /// Name of the endpoint that was called.
     pub endpoint: String,
     /// Outcome of the attempt.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
 }
 
 /// Final outcome of a message, with all its attempts. Times are Unix time in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct MessageOutcome {
     /// The message's number in the journal, unique within a state folder.
     pub number: u64,
     /// The id that the client gave the message.
@@ -120,38 +122,38 @@
     /// When the message reached its final status.
     pub ended: u64,
     /// The final status.
-    pub result: Result,
+    pub result: FinalStatus,
     /// All attempts, in the order in which they began.
     pub attempts: Vec<Attempt>,
 }
 
-/// Borrowed form of [`End`]; both serialize to the same bytes.
+/// Borrowed form of [`MessageOutcome`]; both serialize to the same bytes.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct EndRef<'a> {
-    /// See [`End::number`].
+pub struct MessageOutcomeRef<'a> {
+    /// See [`MessageOutcome::number`].
     pub number: u64,
-    /// See [`End::id`].
+    /// See [`MessageOutcome::id`].
     pub id: &'a str,
-    /// See [`End::class`].
+    /// See [`MessageOutcome::class`].
     pub class: &'a str,
-    /// See [`End::partner`].
+    /// See [`MessageOutcome::partner`].
     pub partner: &'a str,
-    /// See [`End::key`].
+    /// See [`MessageOutcome::key`].
     pub key: &'a str,
-    /// See [`End::taken`].
+    /// See [`MessageOutcome::taken`].
     pub taken: u64,
-    /// See [`End::ended`].
+    /// See [`MessageOutcome::ended`].
     pub ended: u64,
-    /// See [`End::result`].
-    pub result: Result,
-    /// See [`End::attempts`].
+    /// See [`MessageOutcome::result`].
+    pub result: FinalStatus,
+    /// See [`MessageOutcome::attempts`].
     pub attempts: &'a [Attempt],
 }
 
-impl EndRef<'_> {
-    /// Copies the borrowed data into an [`End`].
-    pub fn to_owned(&self) -> End {
-        End {
+impl MessageOutcomeRef<'_> {
+    /// Copies the borrowed data into an [`MessageOutcome`].
+    pub fn to_owned(&self) -> MessageOutcome {
+        MessageOutcome {
             number: self.number,
             id: self.id.into(),
             class: self.class.into(),
@@ -165,10 +167,10 @@
     }
 }
 
-impl End {
+impl MessageOutcome {
     /// The borrowed form of this record.
-    pub fn by_ref(&self) -> EndRef<'_> {
-        EndRef {
+    pub fn by_ref(&self) -> MessageOutcomeRef<'_> {
+        MessageOutcomeRef {
             number: self.number,
             id: &self.id,
             class: &self.class,
@@ -183,7 +185,7 @@
 
     /// Upper bound of the stored size in bytes, where the id, class, partner and order key have `names` bytes together
     /// and each of `attempts` attempts names an endpoint with at most `endpoint` bytes.
-    pub fn room(names: usize, attempts: usize, endpoint: usize) -> u64 {
+    pub fn max_encoded_len(names: usize, attempts: usize, endpoint: usize) -> u64 {
         // Frame header 10, message number and times 10 each, status 24, and the length prefixes.
         (128 + names + attempts * (64 + endpoint)) as u64
     }
--- a/crates/ends/src/shelf.rs
+++ b/crates/ends/src/retention.rs
@@ -4,20 +4,20 @@
 
 /// Limits of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct RetentionLimits {
     /// Outcomes at most.
-    pub count: u64,
+    pub max_count: u64,
     /// Bytes of all segments at most.
-    pub size: u64,
+    pub max_bytes: u64,
     /// How long an acknowledged outcome is kept, in microseconds.
-    pub age: u64,
+    pub max_age_us: u64,
 }
 
-impl Bounds {
+impl RetentionLimits {
     /// Segment size in bytes after which a new segment is begun. A small part of the whole, since space is reclaimed
     /// one segment at a time.
     pub fn segment(&self) -> u64 {
-        (self.size / 16).max(4096)
+        (self.max_bytes / 16).max(4096)
     }
 }
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Retention {
     /// Limits of the store.
-    pub bounds: Bounds,
+    pub limits: RetentionLimits,
     /// The segments, oldest first.
     pub segments: VecDeque<Segment>,
     /// All outcomes up to this sequence number have been acknowledged.
@@ -63,12 +63,12 @@
 
     /// Whether one more message can be accepted: its outcome and those of all messages in flight must fit beside the
     /// unacknowledged outcomes, even if all of them are written before the next acknowledgement. `held` is the number
-    /// of messages in flight, `reserved` the sum of [`crate::End::room`] over them and the new one.
-    pub fn has_room(&self, held: u64, reserved: u64) -> bool {
+    /// of messages in flight, `reserved` the sum of [`crate::MessageOutcome::max_encoded_len`] over them and the new one.
+    pub fn has_capacity(&self, held: u64, reserved: u64) -> bool {
         let retained: u64 = self.segments.iter().filter(|s| !self.is_deletable(s)).map(|s| s.bytes).sum();
         // The open segment may be closed one outcome short of its length, and each new segment starts with a header.
-        let header_bytes = 2 * MAX_HEADER_BYTES + reserved / self.bounds.segment() * MAX_HEADER_BYTES;
-        self.unacknowledged() + held <= self.bounds.count && retained + reserved + header_bytes <= self.bounds.size
+        let header_bytes = 2 * MAX_HEADER_BYTES + reserved / self.limits.segment() * MAX_HEADER_BYTES;
+        self.unacknowledged() + held <= self.limits.max_count && retained + reserved + header_bytes <= self.limits.max_bytes
     }
 
     /// Whether a segment may be deleted: all its outcomes are acknowledged. The open segment is always kept, since it
@@ -82,8 +82,8 @@
     pub fn must_delete_oldest(&self, now: u64, coming: u64) -> bool {
         let Some(oldest) = self.segments.front().filter(|s| self.is_deletable(s)) else { return false };
         let count = self.next_sequence() - oldest.first;
-        let expired = oldest.newest.saturating_add(self.bounds.age) < now;
-        expired || count > self.bounds.count || self.bytes() + coming > self.bounds.size
+        let expired = oldest.newest.saturating_add(self.limits.max_age_us) < now;
+        expired || count > self.limits.max_count || self.bytes() + coming > self.limits.max_bytes
     }
 }
 
@@ -95,21 +95,21 @@
     use super::*;
 
     fn retention() -> Retention {
-        let bounds = Bounds { count: 100, size: 64 << 10, age: 1_000 };
+        let limits = RetentionLimits { max_count: 100, max_bytes: 64 << 10, max_age_us: 1_000 };
         let segment = |n: u64| Segment { first: 1 + 10 * n, next: 11 + 10 * n, bytes: 4096, newest: 100 * n };
-        Retention { bounds, segments: (0..4).map(segment).collect(), acknowledged: 0 }
+        Retention { limits, segments: (0..4).map(segment).collect(), acknowledged: 0 }
     }
 
     #[test]
     fn unacknowledged_outcomes_are_kept_and_limit_what_is_accepted() {
         let mut retention = retention();
         assert!(!retention.must_delete_oldest(u64::MAX, 1 << 30), "nothing is acknowledged");
-        assert!(retention.has_room(60, 1) && !retention.has_room(61, 1), "40 unacknowledged and 60 in flight are the limit");
+        assert!(retention.has_capacity(60, 1) && !retention.has_capacity(61, 1), "40 unacknowledged and 60 in flight are the limit");
         let available = (64 << 10) - 4 * 4096;
-        assert!(!retention.has_room(1, available));
+        assert!(!retention.has_capacity(1, available));
         retention.acknowledged = 10;
-        assert!(retention.has_room(70, 1) && !retention.has_room(71, 1));
-        assert!(retention.has_room(1, available), "the first segment can be deleted");
+        assert!(retention.has_capacity(70, 1) && !retention.has_capacity(71, 1));
+        assert!(retention.has_capacity(1, available), "the first segment can be deleted");
         retention.acknowledged = 40;
         assert_eq!(retention.unacknowledged(), 0);
     }
@@ -121,7 +121,7 @@
         assert!(!retention.must_delete_oldest(1_000, 0));
         assert!(retention.must_delete_oldest(1_001, 0), "too old");
         assert!(retention.must_delete_oldest(0, 64 << 10), "no space for the coming bytes");
-        retention.bounds.count = 39;
+        retention.limits.max_count = 39;
         assert!(retention.must_delete_oldest(0, 0), "too many outcomes");
         while retention.must_delete_oldest(u64::MAX, 0) {
             retention.segments.pop_front();
--- a/crates/ends/src/store.rs
+++ b/crates/ends/src/store.rs
@@ -1,7 +1,7 @@
 //! Append-only storage of message outcomes in the segment files of a folder.
 
-use crate::end::{End, EndRef};
-use crate::shelf::{Bounds, Retention, Segment};
+use crate::end::{MessageOutcome, MessageOutcomeRef};
+use crate::retention::{RetentionLimits, Retention, Segment};
 use foldtrack_journal::{frame, Budget};
 use serde::{Deserialize, Serialize};
 use std::collections::hash_map::RandomState;
@@ -29,7 +29,7 @@
         acknowledged: u64,
         highest_number: u64,
     },
-    End(End),
+    End(MessageOutcome),
     /// All outcomes up to this sequence number have been acknowledged.
     Acknowledged(u64),
 }
@@ -38,7 +38,7 @@
 #[derive(Serialize)]
 enum RecordRef<'a> {
     Head { format: u32, first: u64, acknowledged: u64, highest_number: u64 },
-    End(EndRef<'a>),
+    End(MessageOutcomeRef<'a>),
     Acknowledged(u64),
 }
 
@@ -57,14 +57,14 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Fetched {
     /// Outcomes with consecutive sequence numbers.
-    pub ends: Vec<(u64, End)>,
+    pub ends: Vec<(u64, MessageOutcome)>,
     /// Where the next fetch continues; passing it on acknowledges all outcomes up to it.
     pub cursor: u64,
 }
 
 /// The outcomes of a state folder.
 #[derive(Debug)]
-pub struct Store {
+pub struct OutcomeStore {
     folder: PathBuf,
     retention: Retention,
 /// The open files of the segments, in the same order.
@@ -78,7 +78,7 @@
     /// Length of the complete records in the open segment. A partial write that could not be truncated may follow; it
     /// is truncated before the next write.
     valid_length: u64,
-    /// Encoded records that the next [`Store::commit`] appends.
+    /// Encoded records that the next [`OutcomeStore::commit`] appends.
     staged: Vec<u8>,
     /// Sequence number of the next outcome as of the last commit. Outcomes from it on are only in memory.
     committed: u64,
@@ -97,12 +97,12 @@
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
 
-impl Store {
+impl OutcomeStore {
     /// Opens the store in a folder, or creates it. An incomplete record at the end of the last segment is truncated.
     ///
     /// # Errors
     /// A file can't be read or written, was written by a later version, or is damaged before its last record.
-    pub fn open(folder: &Path, bounds: Bounds) -> io::Result<Store> {
+    pub fn open(folder: &Path, limits: RetentionLimits) -> io::Result<OutcomeStore> {
         fs::create_dir_all(folder).map_err(|e| with_path(folder, e))?;
         let mut paths = Vec::new();
         for entry in fs::read_dir(folder).map_err(|e| with_path(folder, e))? {
@@ -113,9 +113,9 @@
             }
         }
         paths.sort();
-        let mut store = Store {
+        let mut store = OutcomeStore {
             folder: folder.to_path_buf(),
-            retention: Retention { bounds, segments: VecDeque::new(), acknowledged: 0 },
+            retention: Retention { limits, segments: VecDeque::new(), acknowledged: 0 },
             files: VecDeque::new(),
             locations: VecDeque::new(),
             by_id: HashMap::new(),
@@ -146,7 +146,7 @@
     }
 
     /// Limits the disk space to a simulated budget.
-    pub fn within(mut self, budget: Option<Budget>) -> Store {
+    pub fn with_budget(mut self, budget: Option<Budget>) -> OutcomeStore {
         self.budget = budget;
         self
     }
@@ -214,7 +214,7 @@
         Ok(())
     }
 
-    fn index(&mut self, end: EndRef<'_>, sequence: u64, segment: u64, offset: u64, length: usize) {
+    fn index(&mut self, end: MessageOutcomeRef<'_>, sequence: u64, segment: u64, offset: u64, length: usize) {
         let id_hash = self.hasher.hash_one(end.id);
         self.by_id.insert(id_hash, sequence);
         self.highest_number = self.highest_number.max(end.number);
@@ -226,7 +226,7 @@
         let head = frame::encode(&RecordRef::Head { format: FORMAT, first, acknowledged, highest_number })?;
         let create = || {
             let mut file = OpenOptions::new().read(true).append(true).create_new(true).open(&path)?;
-            Store::write_with_budget(self.budget.as_ref(), &mut file, 0, &head).map(|()| file)
+            OutcomeStore::write_with_budget(self.budget.as_ref(), &mut file, 0, &head).map(|()| file)
         };
         let file = create().map_err(|e| {
             let _ = fs::remove_file(&path);
@@ -239,26 +239,26 @@
         Ok(())
     }
 
-    /// Whether one more message can be accepted; see [`Retention::has_room`].
-    pub fn has_room(&self, held: u64, reserved: u64) -> bool {
-        self.retention.has_room(held, reserved)
+    /// Whether one more message can be accepted; see [`Retention::has_capacity`].
+    pub fn has_capacity(&self, held: u64, reserved: u64) -> bool {
+        self.retention.has_capacity(held, reserved)
     }
 
     /// Whether storing an outcome now may delete a segment.
     pub fn drops(&self, now: u64) -> bool {
-        self.retention.must_delete_oldest(now, self.retention.bounds.segment())
+        self.retention.must_delete_oldest(now, self.retention.limits.segment())
     }
 
-    /// Stages an outcome and returns its sequence number. The next [`Store::commit`] writes it, and fetches return
-    /// it after [`Store::release`].
+    /// Stages an outcome and returns its sequence number. The next [`OutcomeStore::commit`] writes it, and fetches return
+    /// it after [`OutcomeStore::publish`].
     ///
     /// # Errors
     /// The record exceeds the maximum length of a record.
-    pub fn append(&mut self, end: EndRef<'_>) -> io::Result<u64> {
+    pub fn append(&mut self, end: MessageOutcomeRef<'_>) -> io::Result<u64> {
         let frame = frame::encode(&RecordRef::End(end))?;
-        self.drop_old(end.ended, frame.len() as u64);
+        self.drop_expired(end.ended, frame.len() as u64);
         let open = self.retention.segments.back().copied().unwrap_or_default();
-        if open.next > open.first && open.bytes + frame.len() as u64 > self.retention.bounds.segment() {
+        if open.next > open.first && open.bytes + frame.len() as u64 > self.retention.limits.segment() {
             // If this fails, the current segment grows beyond its size and the next outcome tries again.
             let begun = self
                 .commit()
@@ -299,7 +299,7 @@
             file.set_len(self.valid_length)?;
             self.needs_truncation = false;
         }
-        if let Err(error) = Store::write_with_budget(self.budget.as_ref(), file, self.valid_length, &self.staged) {
+        if let Err(error) = OutcomeStore::write_with_budget(self.budget.as_ref(), file, self.valid_length, &self.staged) {
             // A partial record would hide the records behind it from a restart.
             self.needs_truncation = file.set_len(self.valid_length).is_err();
             return Err(error);
@@ -312,17 +312,17 @@
     }
 
     /// Marks all segments as unsynced, after a sync job has failed or was not run.
-    pub fn not_synced(&mut self) {
+    pub fn mark_unsynced(&mut self) {
         self.unsynced.extend(self.retention.segments.iter().map(|s| s.first));
     }
 
     /// Sequence number of the last outcome that is in a file.
-    pub fn written(&self) -> u64 {
+    pub fn last_committed(&self) -> u64 {
         self.committed - 1
     }
 
     /// Makes the committed outcomes up to this sequence number visible to clients.
-    pub fn release(&mut self, up_to: u64) {
+    pub fn publish(&mut self, up_to: u64) {
         self.released = self.released.max(up_to + 1).min(self.committed);
     }
 
@@ -345,18 +345,18 @@
     }
 
     /// Whether records are staged that have not been committed.
-    pub fn is_behind(&self) -> bool {
+    pub fn has_uncommitted(&self) -> bool {
         !self.staged.is_empty()
     }
 
-    /// Acknowledges all outcomes up to `cursor`, written with the next [`Store::commit`]. A crash may lose the latest
+    /// Acknowledges all outcomes up to `cursor`, written with the next [`OutcomeStore::commit`]. A crash may lose the latest
     /// acknowledgement; the client then fetches those outcomes again.
     ///
     /// # Errors
     /// `cursor` is beyond the last outcome that a client can have fetched.
     pub fn acknowledge(&mut self, cursor: u64, now: u64) -> io::Result<()> {
         if cursor >= self.released {
-            let last = self.last();
+            let last = self.last_published();
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
                 format!("cursor {cursor} is beyond the last outcome, {last}"),
@@ -368,12 +368,12 @@
         let frame = frame::encode(&RecordRef::Acknowledged(cursor))?;
         self.stage(&frame);
         self.retention.acknowledged = cursor;
-        self.drop_old(now, 0);
+        self.drop_expired(now, 0);
         Ok(())
     }
 
     /// Deletes acknowledged segments that exceed the limits, before `coming` more bytes are written.
-    pub fn drop_old(&mut self, now: u64, coming: u64) {
+    pub fn drop_expired(&mut self, now: u64, coming: u64) {
         while self.retention.must_delete_oldest(now, coming) {
             let Some(segment) = self.retention.segments.pop_front() else { return };
             self.files.pop_front();
@@ -398,7 +398,7 @@
     pub fn fetch(&self, cursor: u64, most: usize) -> io::Result<Fetched> {
         let first_kept = self.first_kept();
         let from = (cursor + 1).max(first_kept);
-        let mut fetched = Fetched { ends: Vec::new(), cursor: cursor.min(self.last()) };
+        let mut fetched = Fetched { ends: Vec::new(), cursor: cursor.min(self.last_published()) };
         let mut bytes = 0;
         for sequence in (from..self.released).take(most) {
             let Some(end) = self.read_outcome(sequence)? else { break };
@@ -416,7 +416,7 @@
         self.retention.segments.front().map_or(1, |s| s.first)
     }
 
-    fn read_outcome(&self, sequence: u64) -> io::Result<Option<End>> {
+    fn read_outcome(&self, sequence: u64) -> io::Result<Option<MessageOutcome>> {
         let Some(location) = sequence.checked_sub(self.first_kept()).and_then(|n| self.locations.get(n as usize))
         else {
             return Ok(None);
@@ -440,14 +440,14 @@
     ///
     /// # Errors
     /// A file can't be read.
-    pub fn look(&self, id: &str) -> io::Result<Option<(u64, End)>> {
+    pub fn find(&self, id: &str) -> io::Result<Option<(u64, MessageOutcome)>> {
         let Some(sequence) = self.by_id.get(&self.hasher.hash_one(id)) else { return Ok(None) };
         // Different ids may have the same hash.
         Ok(self.read_outcome(*sequence)?.filter(|end| end.id == id).map(|end| (*sequence, end)))
     }
 
     /// Sequence number of the last outcome visible to clients, 0 if there is none.
-    pub fn last(&self) -> u64 {
+    pub fn last_published(&self) -> u64 {
         self.released - 1
     }
 
@@ -462,18 +462,18 @@
     }
 
     /// The message numbers of all outcomes kept.
-    pub fn numbers(&self) -> impl Iterator<Item = u64> + '_ {
+    pub fn message_numbers(&self) -> impl Iterator<Item = u64> + '_ {
         self.locations.iter().map(|location| location.message_number)
     }
 
     /// Number of outcomes kept, number of those not acknowledged, and bytes of the files.
-    pub fn kept(&self) -> (u64, u64, u64) {
+    pub fn usage(&self) -> (u64, u64, u64) {
         (self.locations.len() as u64, self.retention.unacknowledged(), self.retention.bytes())
     }
 
     /// The limits of the store.
-    pub fn bounds(&self) -> Bounds {
-        self.retention.bounds
+    pub fn limits(&self) -> RetentionLimits {
+        self.retention.limits
     }
 }
 
--- a/crates/ends/src/store_tests.rs
+++ b/crates/ends/src/store_tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::end::{Attempt, Outcome, Result};
+use crate::end::{Attempt, AttemptOutcome, FinalStatus};
 
-const BOUNDS: Bounds = Bounds { count: 1000, size: 128 << 10, age: 1 << 40 };
+const LIMITS: RetentionLimits = RetentionLimits { max_count: 1000, max_bytes: 128 << 10, max_age_us: 1 << 40 };
 
-fn outcome(n: u64) -> End {
-    let attempt = Attempt { at: n, until: n + 1, endpoint: "a".into(), outcome: Outcome::Ok };
-    End {
+fn outcome(n: u64) -> MessageOutcome {
+    let attempt = Attempt { at: n, until: n + 1, endpoint: "a".into(), outcome: AttemptOutcome::Ok };
+    MessageOutcome {
         number: n,
         id: format!("m{n}"),
         class: "fee".into(),
@@ -13,23 +13,23 @@
         key: String::new(),
         taken: n,
         ended: n + 1,
-        result: Result::Delivered,
+        result: FinalStatus::Delivered,
         attempts: vec![attempt],
     }
 }
 
-fn open(folder: &Path) -> Store {
-    Store::open(folder, BOUNDS).unwrap()
+fn open(folder: &Path) -> OutcomeStore {
+    OutcomeStore::open(folder, LIMITS).unwrap()
 }
 
-fn append_and_release(store: &mut Store, end: End) -> u64 {
+fn append_and_release(store: &mut OutcomeStore, end: MessageOutcome) -> u64 {
     let sequence = store.append(end.by_ref()).unwrap();
     store.commit().unwrap();
-    store.release(store.written());
+    store.publish(store.last_committed());
     sequence
 }
 
-fn acknowledge(store: &mut Store, cursor: u64) {
+fn acknowledge(store: &mut OutcomeStore, cursor: u64) {
     store.acknowledge(cursor, 0).unwrap();
     store.commit().unwrap();
 }
@@ -53,8 +53,8 @@
     assert_eq!(store.acknowledged(), 4);
     assert_eq!(ids(&store.fetch(4, 100).unwrap()), [5, 6, 7, 8, 9, 10]);
     assert!(store.acknowledge(11, 0).is_err(), "no client can have fetched outcome 11");
-    assert_eq!(store.look("m7").unwrap(), Some((7, outcome(7))));
-    assert_eq!(store.look("m77").unwrap(), None);
+    assert_eq!(store.find("m7").unwrap(), Some((7, outcome(7))));
+    assert_eq!(store.find("m77").unwrap(), None);
     assert_eq!(store.highest_number(), 10);
 }
 
@@ -72,11 +72,11 @@
         fs::write(&path, &bytes[..cut]).unwrap();
         let mut reopened = open(folder.path());
         if cut >= before {
-            assert_eq!(reopened.last(), if cut == bytes.len() { 4 } else { 3 }, "cut at {cut}");
+            assert_eq!(reopened.last_published(), if cut == bytes.len() { 4 } else { 3 }, "cut at {cut}");
         }
         let next = append_and_release(&mut reopened, outcome(9));
         let next_open = open(folder.path());
-        assert_eq!((next_open.last(), next_open.read_outcome(next).unwrap()), (next, Some(outcome(9))), "cut at {cut}");
+        assert_eq!((next_open.last_published(), next_open.read_outcome(next).unwrap()), (next, Some(outcome(9))), "cut at {cut}");
     }
 }
 
@@ -84,10 +84,10 @@
 fn only_acknowledged_segments_are_deleted_and_accepted_messages_always_fit() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    let room = End::room(64, 1, 8);
+    let room = MessageOutcome::max_encoded_len(64, 1, 8);
     let mut number = 0;
     // No client fetches: messages are accepted up to the limit, with 10 in flight throughout.
-    while store.has_room(10, 10 * room) {
+    while store.has_capacity(10, 10 * room) {
         number += 1;
         append_and_release(&mut store, outcome(number));
     }
@@ -96,25 +96,25 @@
     (1..=9).for_each(|n| assert_eq!(append_and_release(&mut store, outcome(number + n)), number + n));
     let on_disk =
         || fs::read_dir(folder.path()).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum::<u64>();
-    assert!(on_disk() <= BOUNDS.size);
+    assert!(on_disk() <= LIMITS.max_bytes);
     assert_eq!(store.fetch(0, 1).unwrap().ends[0].0, 1);
     // After a fetch there is space again, and the oldest segments are deleted as new ones fill.
-    let last = store.last();
+    let last = store.last_published();
     acknowledge(&mut store, last);
-    assert!(store.has_room(10, 10 * room));
+    assert!(store.has_capacity(10, 10 * room));
     for n in 0..3000 {
         number += 1;
         let sequence = append_and_release(&mut store, outcome(number));
         if n % 50 == 0 {
             acknowledge(&mut store, sequence);
         }
-        assert!(on_disk() <= BOUNDS.size && store.kept().0 <= BOUNDS.count + 200);
+        assert!(on_disk() <= LIMITS.max_bytes && store.usage().0 <= LIMITS.max_count + 200);
     }
     assert!(store.first_kept() > 1 && store.by_id.len() == store.locations.len());
-    assert_eq!(store.look("m1").unwrap(), None);
+    assert_eq!(store.find("m1").unwrap(), None);
     let reopened = open(folder.path());
-    assert_eq!((reopened.last(), reopened.acknowledged()), (store.last(), store.acknowledged()));
-    assert!(reopened.numbers().eq(store.numbers()));
+    assert_eq!((reopened.last_published(), reopened.acknowledged()), (store.last_published(), store.acknowledged()));
+    assert!(reopened.message_numbers().eq(store.message_numbers()));
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let mut bytes = fs::read(&path).unwrap();
     bytes[60] ^= 1;
     fs::write(&path, &bytes).unwrap();
-    let error = Store::open(folder.path(), BOUNDS).unwrap_err().to_string();
+    let error = OutcomeStore::open(folder.path(), LIMITS).unwrap_err().to_string();
     assert!(error.contains(".ends: damaged at byte"), "{error}");
 }
 
@@ -139,16 +139,16 @@
     append_and_release(&mut store, outcome(1));
     store.append(outcome(2).by_ref()).unwrap();
     store.append(outcome(3).by_ref()).unwrap();
-    assert_eq!((store.last(), ids(&store.fetch(0, 9).unwrap())), (1, vec![1]));
-    assert_eq!(store.look("m3").unwrap(), Some((3, outcome(3))));
-    assert!(store.acknowledge(2, 0).is_err() && store.is_behind());
-    assert_eq!(open(folder.path()).last(), 1);
+    assert_eq!((store.last_published(), ids(&store.fetch(0, 9).unwrap())), (1, vec![1]));
+    assert_eq!(store.find("m3").unwrap(), Some((3, outcome(3))));
+    assert!(store.acknowledge(2, 0).is_err() && store.has_uncommitted());
+    assert_eq!(open(folder.path()).last_published(), 1);
     store.commit().unwrap();
-    assert_eq!((store.last(), store.written()), (1, 3), "written, but not yet released");
+    assert_eq!((store.last_published(), store.last_committed()), (1, 3), "written, but not yet released");
     assert!(!store.sync_job().unwrap().is_empty() && store.sync_job().unwrap().is_empty());
-    store.release(3);
+    store.publish(3);
     assert_eq!(ids(&store.fetch(0, 9).unwrap()), [1, 2, 3]);
-    assert_eq!(open(folder.path()).last(), 3);
+    assert_eq!(open(folder.path()).last_published(), 3);
 }
 
 /// When the disk takes no writes, staged records are kept, can be looked up, and are written once it does.
@@ -163,11 +163,11 @@
         store.append(outcome(n).by_ref()).unwrap();
         assert!(store.commit().is_err(), "the file is read only");
     }
-    assert_eq!((store.last(), store.look("m1999").unwrap().unwrap().0), (1, 1999));
+    assert_eq!((store.last_published(), store.find("m1999").unwrap().unwrap().0), (1, 1999));
     *store.files.back_mut().unwrap() = good;
     store.commit().unwrap();
-    store.release(store.written());
+    store.publish(store.last_committed());
     append_and_release(&mut store, outcome(2_001));
     let reopened = open(folder.path());
-    assert_eq!((reopened.last(), reopened.look("m1999").unwrap().unwrap().0), (2_001, 1999));
+    assert_eq!((reopened.last_published(), reopened.find("m1999").unwrap().unwrap().0), (2_001, 1999));
 }
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -105,7 +105,7 @@
 
 /// Implementation of [`Disk`] in a state folder of the file system.
 #[derive(Debug)]
-pub struct Folder {
+pub struct JournalDir {
     state: PathBuf,
     path: PathBuf,
     files: BTreeMap<u64, File>,
@@ -118,13 +118,13 @@
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
 
-impl Folder {
+impl JournalDir {
     /// Opens the journal folder in an existing state folder, or creates it. A version 1 file of the same name is renamed.
     ///
     /// # Errors
     /// The folder can't be created, or the file can't be renamed.
-    pub fn new(state: &Path) -> io::Result<Folder> {
-        let folder = Folder::at_state(state, false);
+    pub fn new(state: &Path) -> io::Result<JournalDir> {
+        let folder = JournalDir::at_state(state, false);
         if folder.path.is_file() {
             fs::rename(&folder.path, state.join(OLD)).map_err(|e| named(&folder.path, &e))?;
         }
@@ -132,8 +132,8 @@
         Ok(folder)
     }
 
-    fn at_state(state: &Path, reads_only: bool) -> Folder {
-        Folder {
+    fn at_state(state: &Path, reads_only: bool) -> JournalDir {
+        JournalDir {
             state: state.to_path_buf(),
             path: state.join(NAME),
             files: BTreeMap::new(),
@@ -143,14 +143,14 @@
     }
 
     /// Limits the disk space to a simulated budget.
-    pub fn within(mut self, budget: Option<Budget>) -> Folder {
+    pub fn with_budget(mut self, budget: Option<Budget>) -> JournalDir {
         self.budget = budget;
         self
     }
 
     /// Opens the folder without write access, for tools that run beside the owner of the journal.
-    pub fn read_only(state: &Path) -> Folder {
-        Folder::at_state(state, true)
+    pub fn read_only(state: &Path) -> JournalDir {
+        JournalDir::at_state(state, true)
     }
 
     /// Name of a segment's file.
@@ -159,7 +159,7 @@
     }
 
     fn at(&self, segment: u64) -> PathBuf {
-        self.path.join(Folder::file_name(segment))
+        self.path.join(JournalDir::file_name(segment))
     }
 
     fn file(&mut self, segment: u64) -> io::Result<&mut File> {
@@ -188,7 +188,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Disk for JournalDir {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         let mut numbers = Vec::new();
         if !self.path.is_dir() {
--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -11,7 +11,7 @@
 
 /// Whether an attempt has run at the partner, as far as its outcome shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum AttemptEffect {
     /// The attempt certainly did not run.
     NeverRan,
     /// The attempt ran, or this can't be known.
@@ -20,7 +20,7 @@
 
 /// Final status of a message that was not delivered, sent to the client as a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Notice {
+pub enum FailureNotice {
     /// Given up: the message may or may not have taken effect.
     GivenUp,
     /// Returned to the client: sending the message again is safe.
@@ -65,11 +65,13 @@
         zone: u32,
     },
     /// Version 1: the attempt in flight has ended. A message has at most one attempt in flight.
-    Ended(Fate),
+    Ended(AttemptEffect),
     /// The notice for the client is about to be sent.
-    Noticed(Notice),
+    #[serde(rename = "Noticed")]
+    FailureNoticed(FailureNotice),
     /// The message is finished: delivered, or its notice was acknowledged.
-    Over,
+    #[serde(rename = "Over")]
+    Finished,
     /// The message was accepted, with the time of acceptance.
     AcceptedAt {
         /// When it was accepted, Unix time in microseconds.
@@ -89,7 +91,8 @@
     /// The message was delivered, and the client has yet to be told.
     Delivered,
     /// An attempt is about to send its first byte. Attempts are numbered, so that the loss of a record is detected.
-    Try {
+    #[serde(rename = "Try")]
+    AttemptStarted {
         /// Number of the attempt, from 0.
         attempt: u32,
         /// Start of the attempt, Unix time in microseconds.
@@ -100,19 +103,21 @@
         endpoint: String,
     },
     /// An attempt has ended.
-    TryEnded {
+    #[serde(rename = "TryEnded")]
+    AttemptEnded {
         /// Number of the attempt, from 0.
         attempt: u32,
         /// Whether the attempt has run.
-        fate: Fate,
+        #[serde(rename = "fate")]
+        effect: AttemptEffect,
     },
     /// Complete state of a message, which replaces all its earlier records. Written by the compaction.
-    Carried(Box<Restored>),
+    Carried(Box<RecoveredMessage>),
 }
 
 /// An attempt as the journal records it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tried {
+pub struct AttemptRecord {
     /// Start of the attempt, Unix time in microseconds; 0 if its record is lost.
     pub at: u64,
     /// Zone of the target.
@@ -120,12 +125,13 @@
     /// Name of the endpoint, if it was recorded.
     pub endpoint: String,
     /// Whether the attempt has run; `None` if it was in flight when the process ended.
-    pub fate: Option<Fate>,
+    #[serde(rename = "fate")]
+    pub effect: Option<AttemptEffect>,
 }
 
 /// State of a message as a restart recovers it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Restored {
+pub struct RecoveredMessage {
     /// The message as it was accepted.
     pub accepted: Accepted,
     /// When it was accepted, Unix time in microseconds; 0 if that was not recorded.
@@ -133,21 +139,21 @@
     /// The message was delivered, and the client has yet to be told.
     pub delivered: bool,
     /// All attempts, in the order in which they began.
-    pub attempts: Vec<Tried>,
+    pub attempts: Vec<AttemptRecord>,
     /// The final status, if its notice has not been acknowledged yet.
-    pub notice: Option<Notice>,
+    pub notice: Option<FailureNotice>,
 }
 
-impl Restored {
-    fn new(accepted: Accepted, taken: u64) -> Restored {
-        Restored { accepted, taken, delivered: false, attempts: Vec::new(), notice: None }
+impl RecoveredMessage {
+    fn new(accepted: Accepted, taken: u64) -> RecoveredMessage {
+        RecoveredMessage { accepted, taken, delivered: false, attempts: Vec::new(), notice: None }
     }
 
     /// The state after the first record of a message; `None` if no message starts with this record.
-    pub fn begin(record: Record) -> Option<Restored> {
+    pub fn begin(record: Record) -> Option<RecoveredMessage> {
         match record {
-            Record::Accepted(accepted) => Some(Restored::new(accepted, 0)),
-            Record::AcceptedAt { at, accepted } => Some(Restored::new(accepted, at)),
+            Record::Accepted(accepted) => Some(RecoveredMessage::new(accepted, 0)),
+            Record::AcceptedAt { at, accepted } => Some(RecoveredMessage::new(accepted, at)),
             Record::Carried(restored) => Some(*restored),
             _ => None,
         }
@@ -157,47 +163,47 @@
     pub fn follow(&mut self, record: Record) {
         match record {
             Record::Begun { at, zone } => {
-                self.attempts.push(Tried { at, zone, endpoint: String::new(), fate: None });
+                self.attempts.push(AttemptRecord { at, zone, endpoint: String::new(), effect: None });
             }
             Record::BegunAt { at, zone, endpoint } => {
-                self.attempts.push(Tried { at, zone, endpoint, fate: None });
+                self.attempts.push(AttemptRecord { at, zone, endpoint, effect: None });
             }
-            Record::Ended(fate) => {
+            Record::Ended(effect) => {
                 if let Some(tried) = self.attempts.last_mut() {
-                    tried.fate = Some(fate);
+                    tried.effect = Some(effect);
                 }
             }
-            Record::Try { attempt, at, zone, endpoint } => {
+            Record::AttemptStarted { attempt, at, zone, endpoint } => {
                 if let Some(tried) = self.attempt(attempt) {
                     (tried.at, tried.zone, tried.endpoint) = (at, zone, endpoint);
                 }
             }
-            Record::TryEnded { attempt, fate } => {
+            Record::AttemptEnded { attempt, effect } => {
                 if let Some(tried) = self.attempt(attempt) {
-                    tried.fate = Some(fate);
+                    tried.effect = Some(effect);
                 }
             }
-            Record::Noticed(notice) => self.notice = Some(notice),
+            Record::FailureNoticed(notice) => self.notice = Some(notice),
             Record::Delivered => self.delivered = true,
             // A new start replaces the previous state.
             first @ (Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Carried(_)) => {
-                if let Some(restored) = Restored::begin(first) {
+                if let Some(restored) = RecoveredMessage::begin(first) {
                     *self = restored;
                 }
             }
-            Record::Over => {}
+            Record::Finished => {}
         }
     }
 
     /// Returns an attempt by its number. Missing attempts before it are added as unknown, so they count as may have run.
-    fn attempt(&mut self, number: u32) -> Option<&mut Tried> {
+    fn attempt(&mut self, number: u32) -> Option<&mut AttemptRecord> {
         /// No message has more attempts: a higher number is damage that the checksum did not detect.
         const MOST: u32 = 1000;
         if number >= MOST {
             return None;
         }
         while self.attempts.len() <= number as usize {
-            self.attempts.push(Tried { at: 0, zone: u32::MAX, endpoint: String::new(), fate: None });
+            self.attempts.push(AttemptRecord { at: 0, zone: u32::MAX, endpoint: String::new(), effect: None });
         }
         self.attempts.get_mut(number as usize)
     }
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -6,8 +6,8 @@
 //! its earlier ones. The oldest segment is removed when it has no live records: the records in it that finish a message
 //! concern only records in the same segment, or in segments already removed.
 
-use crate::disk::{Disk, Folder};
-use crate::format::{header, Record, Restored, HEADER};
+use crate::disk::{Disk, JournalDir};
+use crate::format::{header, Record, RecoveredMessage, HEADER};
 use crate::pacing::{Pacing, BLOCK, LONGEST_MESSAGE};
 use crate::recovery::{self, read_old, Place};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,7 +20,7 @@
 mod writing;
 
 pub use sync::SyncJob;
-pub use writing::{Ticket, Unwritten};
+pub use writing::{Ticket, FailedWrite};
 
 /// Upper bound in bytes of the two records of an attempt, without the endpoint name.
 const ATTEMPT_BYTES: u64 = 64;
@@ -31,13 +31,13 @@
 
 /// Settings of a journal.
 #[derive(Clone, Copy, Debug)]
-pub struct Options {
+pub struct JournalOptions {
     /// Bytes that its files may occupy.
-    pub room: u64,
+    pub capacity_bytes: u64,
     /// Maximum number of attempts per message.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Maximum length of an endpoint name in bytes; 0 if attempts are recorded without the endpoint.
-    pub name: usize,
+    pub max_endpoint_name_len: usize,
     /// Rewritten records must be on stable storage before the segment that they came from is removed.
     pub durable: bool,
     /// Identity of a new journal: unique, and not known to clients.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Health {
     /// New messages are accepted.
-    Sound,
+    Healthy,
     /// No segment can be created. Messages in flight continue in the space reserved for them; no new ones are accepted.
     Full(String),
     /// Nothing can be written. Messages in flight continue as far as they need no record.
@@ -83,9 +83,9 @@
 
 /// Append-only journal in segments, with an index of the live records.
 #[derive(Debug)]
-pub struct Journal<D: Disk = Folder> {
+pub struct Journal<D: Disk = JournalDir> {
     disk: D,
-    options: Options,
+    options: JournalOptions,
     pacing: Pacing,
     identity: u64,
     /// The segments, oldest first. Records are appended to the last.
@@ -123,21 +123,21 @@
     retry_from: Option<Instant>,
 /// Consecutive failures to read a record back.
     unreadable: u32,
-    highest: u64,
+    highest_number: u64,
     /// Bytes rewritten by the compaction since the start.
     carried: u64,
 /// Bytes appended by the owner since the start.
     appended: u64,
 }
 
-impl Journal<Folder> {
+impl Journal<JournalDir> {
     /// Opens the journal of a state folder, or creates it, and returns the unfinished messages by number. The contents of a
     /// version 1 journal are moved to the new format.
     ///
     /// # Errors
     /// Same as [`Journal::open_on`].
-    pub fn open(folder: &Path, options: Options) -> io::Result<(Self, BTreeMap<u64, Restored>)> {
-        Journal::open_on(Folder::new(folder)?, options)
+    pub fn open(folder: &Path, options: JournalOptions) -> io::Result<(Self, BTreeMap<u64, RecoveredMessage>)> {
+        Journal::open_on(JournalDir::new(folder)?, options)
     }
 }
 
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     /// The journal can't be read, has a later format version, or its next segment can't be created.
-    pub fn open_on(mut disk: D, options: Options) -> io::Result<(Self, BTreeMap<u64, Restored>)> {
+    pub fn open_on(mut disk: D, options: JournalOptions) -> io::Result<(Self, BTreeMap<u64, RecoveredMessage>)> {
         let old = disk.old()?;
         if old.is_some() {
             // The version 1 file exists until all of it has been copied: segments of an unfinished copy are discarded.
@@ -156,14 +156,14 @@
         }
         let read = recovery::read(&mut disk)?;
         for damage in &read.damage {
-            let recovery::Damage { segment, at, bytes, problem, .. } = damage;
-            eprintln!("journal/{}: {bytes} bytes at {at}: {problem}", Folder::file_name(*segment));
+            let recovery::DamagedRange { segment, at, bytes, problem, .. } = damage;
+            eprintln!("journal/{}: {bytes} bytes at {at}: {problem}", JournalDir::file_name(*segment));
         }
         let mut journal = Journal {
             disk,
             options,
             // The identity file occupies one block.
-            pacing: Pacing::new(options.room.saturating_sub(BLOCK)),
+            pacing: Pacing::new(options.capacity_bytes.saturating_sub(BLOCK)),
             identity: read.identity.unwrap_or(options.identity),
             segments: VecDeque::new(),
             sealed: 0,
@@ -171,7 +171,7 @@
             live_bytes: 0,
             waiting: Vec::new(),
             batch: writing::Batch::default(),
-            health: Health::Sound,
+            health: Health::Healthy,
             dirty: BTreeSet::new(),
             under_way: BTreeSet::new(),
             position: 0,
@@ -183,7 +183,7 @@
             announced: (0, 0),
             retry_from: None,
             unreadable: 0,
-            highest: read.highest,
+            highest_number: read.highest_number,
             carried: 0,
             appended: 0,
         };
@@ -286,21 +286,21 @@
     }
 
     /// Whether a message of about `size` bytes can be accepted, including space for all its later records.
-    pub fn has_room(&self, size: usize) -> bool {
+    pub fn has_capacity(&self, size: usize) -> bool {
         let reserve =
-            (ATTEMPT_BYTES + self.options.name as u64) * u64::from(self.options.attempts) + NOTICE_BYTES;
+            (ATTEMPT_BYTES + self.options.max_endpoint_name_len as u64) * u64::from(self.options.max_attempts) + NOTICE_BYTES;
         let messages = self.live.len() as u64 + 1;
         let live = self.live_bytes + self.batch.len() + size as u64;
-        self.health == Health::Sound && self.pacing.fits(live + messages * reserve)
+        self.health == Health::Healthy && self.pacing.fits(live + messages * reserve)
     }
 
     /// The highest message number in any record. New messages get higher numbers.
-    pub fn highest(&self) -> u64 {
-        self.highest
+    pub fn highest_number(&self) -> u64 {
+        self.highest_number
     }
 
     /// Bytes occupied by the segment files.
-    pub fn length(&self) -> u64 {
+    pub fn disk_bytes(&self) -> u64 {
         self.sealed + self.segments.back().map_or(0, Segment::blocks)
     }
 
--- a/crates/journal/src/journal/sync.rs
+++ b/crates/journal/src/journal/sync.rs
@@ -1,15 +1,15 @@
 //! Syncs: group commit for the owner, the condition for removing a segment, and the handling of a failed sync.
 
 use super::{Health, Journal, Segment};
-use crate::disk::{Disk, Folder};
+use crate::disk::{Disk, JournalDir};
 use crate::recovery::Place;
 use std::collections::BTreeSet;
 use std::fs::File;
 use std::io;
 
-impl Journal<Folder> {
+impl Journal<JournalDir> {
     /// The files to sync so that everything written so far is on stable storage. The caller runs the job, possibly on another
-    /// thread, and reports its result to [`Journal::synced`].
+    /// thread, and reports its result to [`Journal::sync_finished`].
     ///
     /// # Errors
     /// No file descriptor is available. Nothing has changed.
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// The error of the sync.
-    pub fn synced(&mut self, job: &SyncJob, result: io::Result<()>) -> io::Result<()> {
+    pub fn sync_finished(&mut self, job: &SyncJob, result: io::Result<()>) -> io::Result<()> {
         self.under_way.clear();
         match result {
             Ok(()) => {
@@ -101,7 +101,7 @@
     }
 
     /// Whether the removal of a segment waits for a sync, independently of the syncs that the owner needs.
-    pub fn wants_sync(&self) -> bool {
+    pub fn awaits_sync(&self) -> bool {
         let held_up = |front: &Segment| front.live == 0 && !self.may_go(front);
         self.options.durable && self.segments.len() > 1 && self.segments.front().is_some_and(held_up)
     }
--- a/crates/journal/src/journal/writing.rs
+++ b/crates/journal/src/journal/writing.rs
@@ -24,7 +24,7 @@
 
 /// A staged record that could not be written.
 #[derive(Debug)]
-pub struct Unwritten {
+pub struct FailedWrite {
     /// The ticket returned by [`Journal::stage`].
     pub ticket: Ticket,
     /// Number of the message.
@@ -55,7 +55,7 @@
 pub(super) struct Batch {
     bytes: Vec<u8>,
     staged: Vec<Staged>,
-    unwritten: Vec<Unwritten>,
+    unwritten: Vec<FailedWrite>,
     tickets: u64,
 }
 
@@ -87,7 +87,7 @@
         let bytes = bound(record);
         let together = self.waiting_bytes() + self.batch.len() + bytes;
         let sealed = self.segments.back().is_none_or(|s| s.length + self.batch.len() >= self.pacing.segment);
-        if sealed || self.batch.bytes.len() >= GATHERED || !self.pacing.may_append(together, self.length()) {
+        if sealed || self.batch.bytes.len() >= GATHERED || !self.pacing.may_append(together, self.disk_bytes()) {
             // Staged records were encoded with the seed of the current segment and must be written to it.
             self.write_staged();
             self.make_room(self.waiting_bytes() + bytes)?;
@@ -95,7 +95,7 @@
         let seed = self.tail_seed();
         let frame = frame::encode_onto(seed, &(number, record), &mut self.batch.bytes)?;
         let change = match record {
-            Record::Over => Change::Ends,
+            Record::Finished => Change::Ends,
             Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Carried(_) => Change::Begins,
             _ => Change::Adds,
         };
@@ -106,7 +106,7 @@
     }
 
     /// Writes the staged records. Returns those that failed since the last commit; empty if all were written.
-    pub fn commit(&mut self) -> Vec<Unwritten> {
+    pub fn commit(&mut self) -> Vec<FailedWrite> {
         self.write_staged();
         std::mem::take(&mut self.batch.unwritten)
     }
@@ -133,7 +133,7 @@
             }
             Err(error) if staged.len() == 1 => {
                 let Staged { ticket, number, .. } = staged[0];
-                self.batch.unwritten.push(Unwritten { ticket, number, error });
+                self.batch.unwritten.push(FailedWrite { ticket, number, error });
             }
             Err(_) => {
                 // A nearly full disk still takes the short records: attempts and results of messages in flight.
@@ -145,7 +145,7 @@
                         }
                         Err(error) => {
                             let (ticket, number) = (one.ticket, one.number);
-                            self.batch.unwritten.push(Unwritten { ticket, number, error });
+                            self.batch.unwritten.push(FailedWrite { ticket, number, error });
                         }
                     }
                 }
@@ -160,7 +160,7 @@
     /// Updates the index for a record that is in the file.
     fn apply(&mut self, one: &Staged, place: Place) {
         let number = one.number;
-        self.highest = self.highest.max(number);
+        self.highest_number = self.highest_number.max(number);
         match one.change {
             Change::Ends => self.forget(number),
             Change::Begins => {
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// Same as [`Journal::flush`], if too many final records wait. The message is removed from the index in any case.
-    pub fn over_soon(&mut self, number: u64) -> io::Result<()> {
+    pub fn finish_deferred(&mut self, number: u64) -> io::Result<()> {
         self.forget(number);
         self.waiting.push(number);
         if self.waiting.len() > WAITING {
@@ -203,20 +203,20 @@
     /// nothing is staged.
     pub(super) fn make_room(&mut self, bytes: u64) -> io::Result<()> {
         let mut left = self.segments.len();
-        while !self.pacing.may_append(bytes, self.length()) && left > 1 {
+        while !self.pacing.may_append(bytes, self.disk_bytes()) && left > 1 {
             // The incremental steps have not kept up, so this call compacts a whole segment.
             left -= 1;
-            if self.wants_sync() {
+            if self.awaits_sync() {
                 self.sync()?;
             }
             let front = self.segments.front().map(|s| s.number);
             while self.segments.front().map(|s| s.number) == front {
-                if self.pass_some()? == u64::MAX && self.wants_sync() {
+                if self.pass_some()? == u64::MAX && self.awaits_sync() {
                     self.sync()?;
                 }
             }
         }
-        if !self.pacing.may_append(bytes, self.length()) && self.length() + bytes + BLOCK > self.pacing.room {
+        if !self.pacing.may_append(bytes, self.disk_bytes()) && self.disk_bytes() + bytes + BLOCK > self.pacing.room {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal's room is used up"));
         }
         self.rotate()
@@ -234,7 +234,7 @@
                 // Frees the preallocated space that was not used. If this fails, it is freed when the segment is removed.
                 let _ = sealed.map(|(number, length)| self.disk.truncate(number, length));
                 if matches!(self.health, Health::Full(_)) {
-                    self.health = Health::Sound;
+                    self.health = Health::Healthy;
                 }
                 Ok(())
             }
@@ -268,7 +268,7 @@
             // Encoded only now, since the checksum seed is that of the segment they are written to.
             let mut bytes = Vec::with_capacity(self.waiting.len() * OVER_BYTES + frames.len());
             for number in &self.waiting {
-                frame::encode_onto(self.tail_seed(), &(number, &Record::Over), &mut bytes)?;
+                frame::encode_onto(self.tail_seed(), &(number, &Record::Finished), &mut bytes)?;
             }
             bytes.extend_from_slice(frames);
             self.write_bytes(&bytes)?;
@@ -327,7 +327,7 @@
     match record {
         Record::Accepted(accepted) | Record::AcceptedAt { accepted, .. } => of(accepted),
         Record::Carried(restored) => of(&restored.accepted) + 160 * (restored.attempts.len() as u64 + 1),
-        Record::Try { endpoint, .. } | Record::BegunAt { endpoint, .. } => 64 + endpoint.len() as u64,
+        Record::AttemptStarted { endpoint, .. } | Record::BegunAt { endpoint, .. } => 64 + endpoint.len() as u64,
         _ => 64,
     }
 }
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -2,7 +2,7 @@
 //! reading again, or while the owner is running, gives the same result.
 
 use crate::disk::Disk;
-use crate::format::{read_header, Header, Record, Restored, HEADER, VERSION};
+use crate::format::{read_header, Header, Record, RecoveredMessage, HEADER, VERSION};
 use crate::frame;
 use std::collections::BTreeMap;
 use std::io;
@@ -20,7 +20,7 @@
 
 /// A range of bytes without valid records.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damage {
+pub struct DamagedRange {
     /// Number of the segment.
     pub segment: u64,
     /// Offset of the first byte.
@@ -48,19 +48,19 @@
 
 /// Contents of a journal.
 #[derive(Debug, Default)]
-pub struct Read {
+pub struct RecoveredJournal {
     /// Identity of the journal, if a header or the identity file gives it.
     pub identity: Option<u64>,
     /// The segments, oldest first.
     pub segments: Vec<Segment>,
     /// Unfinished messages with the locations of their records, by message number, in the order of acceptance.
-    pub messages: BTreeMap<u64, (Restored, Vec<Place>)>,
+    pub messages: BTreeMap<u64, (RecoveredMessage, Vec<Place>)>,
     /// The highest message number in any record.
-    pub highest: u64,
+    pub highest_number: u64,
     /// Number of records read.
     pub records: u64,
     /// Ranges that could not be read.
-    pub damage: Vec<Damage>,
+    pub damage: Vec<DamagedRange>,
 }
 
 /// Seed of the checksums in a segment.
@@ -73,8 +73,8 @@
 /// # Errors
 /// A segment can't be read from the disk, or has a later format version. It is not modified, so that the program that
 /// wrote it can still read it.
-pub fn read(disk: &mut impl Disk) -> io::Result<Read> {
-    let mut read = Read::default();
+pub fn read(disk: &mut impl Disk) -> io::Result<RecoveredJournal> {
+    let mut read = RecoveredJournal::default();
     let numbers = disk.segments()?;
     // Any valid header provides the identity, which is all that the checksum seed of a segment with a lost header needs.
     for number in &numbers {
@@ -101,7 +101,7 @@
         disk.read(number, 0, &mut bytes)?;
         if before.is_some_and(|b| b + 1 != number) {
             let problem = "segments before this one are missing".into();
-            read.damage.push(Damage { segment: number, at: 0, bytes: 0, is_tail: false, problem });
+            read.damage.push(DamagedRange { segment: number, at: 0, bytes: 0, is_tail: false, problem });
         }
         before = Some(number);
         read.segment(number, &bytes, n + 1 == numbers.len())?;
@@ -109,11 +109,11 @@
     Ok(read)
 }
 
-impl Read {
+impl RecoveredJournal {
     fn segment(&mut self, number: u64, bytes: &[u8], is_last: bool) -> io::Result<()> {
         let length = bytes.len() as u64;
         let mut segment = Segment { number, length, whole: 0, is_sound: false };
-        let damage = |at: u64, to: u64, is_tail: bool, problem: &str| Damage {
+        let damage = |at: u64, to: u64, is_tail: bool, problem: &str| DamagedRange {
             segment: number,
             at,
             bytes: to - at,
@@ -173,8 +173,8 @@
 
     fn record(&mut self, number: u64, record: Record, place: Place) {
         self.records += 1;
-        self.highest = self.highest.max(number);
-        if record == Record::Over {
+        self.highest_number = self.highest_number.max(number);
+        if record == Record::Finished {
             self.messages.remove(&number);
             return;
         }
@@ -189,7 +189,7 @@
             }
             // Records of a finished message, or of one whose first record is lost, are ignored.
             None => {
-                if let Some(restored) = Restored::begin(record) {
+                if let Some(restored) = RecoveredMessage::begin(record) {
                     self.messages.insert(number, (restored, vec![place]));
                 }
             }
@@ -198,8 +198,8 @@
 }
 
 /// Reads the single file of version 1. Returns its unfinished messages and the damaged byte ranges.
-pub fn read_old(bytes: &[u8]) -> (BTreeMap<u64, Restored>, Vec<(usize, usize)>) {
-    let mut read = Read::default();
+pub fn read_old(bytes: &[u8]) -> (BTreeMap<u64, RecoveredMessage>, Vec<(usize, usize)>) {
+    let mut read = RecoveredJournal::default();
     let mut damage = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! The partners and endpoints of a site, and which of them may be called.
 //!
-//! [`State`] is the result of applying all statements so far: the versions of the site file, and the orders of
-//! operators. It does no I/O and reads no clock. [`Log`] keeps the statements in a file, so that an acknowledged order
+//! [`MembershipState`] is the result of applying all statements so far: the versions of the site file, and the orders of
+//! operators. It does no I/O and reads no clock. [`MembershipLog`] keeps the statements in a file, so that an acknowledged order
 //! survives a restart.
 //!
 //! The site file and the orders may contradict each other. The later statement wins, and an unchanged file is not a
@@ -12,5 +12,5 @@
 mod log;
 mod state;
 
-pub use log::{Log, Trouble};
-pub use state::{Change, Endpoint, EndpointState, Listed, Order, Partner, Refusal, SiteList, State};
+pub use log::{MembershipLog, OrderError};
+pub use state::{Change, Endpoint, EndpointState, ListedEndpoint, Order, Partner, Rejection, SiteFile, MembershipState};
--- a/crates/membership/src/log.rs
+++ b/crates/membership/src/log.rs
@@ -1,6 +1,6 @@
 //! The log of statements, a file in the state folder.
 
-use crate::state::{Change, Order, Refusal, SiteList, State};
+use crate::state::{Change, Order, Rejection, SiteFile, MembershipState};
 use foldtrack_journal::frame;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
@@ -18,7 +18,7 @@
     /// The first record of a file: the state that the other records are applied to.
     Head {
         format: u32,
-        state: State,
+        state: MembershipState,
     },
     Order {
         at: u64,
@@ -26,13 +26,13 @@
     },
     Site {
         at: u64,
-        site: SiteList,
+        site: SiteFile,
     },
 }
 
 /// The membership log of a process. Times are Unix time in microseconds, for people who inspect the file.
 #[derive(Debug)]
-pub struct Log {
+pub struct MembershipLog {
     path: PathBuf,
     file: File,
     length: u64,
@@ -41,10 +41,10 @@
     max_entries: usize,
     /// The file may end in a partial record that could not be truncated, so nothing more is written.
     has_partial_record: bool,
-    state: State,
+    state: MembershipState,
 }
 
-impl Log {
+impl MembershipLog {
     /// Opens the log of a state folder, or creates it. Orders can add endpoints while there are fewer than `max_entries`
     /// partners and endpoints together.
     ///
@@ -53,7 +53,7 @@
     /// # Errors
     /// The file can't be read or written, was written by a later version, or is damaged before its last record. A
     /// damaged file is not modified: the lost record may have been a drain.
-    pub fn open(folder: &Path, max_entries: usize) -> io::Result<Log> {
+    pub fn open(folder: &Path, max_entries: usize) -> io::Result<MembershipLog> {
         let path = folder.join("membership");
         let _ = fs::remove_file(path.with_extension("new"));
         let bytes = match fs::read(&path) {
@@ -64,9 +64,9 @@
         let (state, valid_length) = replay(&bytes).map_err(|problem| with_path(&path, io::Error::other(problem)))?;
         let Some(state) = state else {
             // No complete record: a first start, or a crash while the first record was written.
-            let state = State::default();
+            let state = MembershipState::default();
             let (file, length) = rewrite(&path, &state)?;
-            return Ok(Log { path, file, length, compacted_length: length, max_entries, has_partial_record: false, state });
+            return Ok(MembershipLog { path, file, length, compacted_length: length, max_entries, has_partial_record: false, state });
         };
         let file = OpenOptions::new().append(true).open(&path).map_err(|e| with_path(&path, e))?;
         if valid_length < bytes.len() {
@@ -78,11 +78,11 @@
             file.set_len(valid_length as u64).map_err(|e| with_path(&path, e))?;
         }
         let length = valid_length as u64;
-        Ok(Log { path, file, length, compacted_length: 0, max_entries, has_partial_record: false, state })
+        Ok(MembershipLog { path, file, length, compacted_length: 0, max_entries, has_partial_record: false, state })
     }
 
     /// The state after all records of the log.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &MembershipState {
         &self.state
     }
 
@@ -90,42 +90,42 @@
     ///
     /// # Errors
     /// The record could not be written; nothing has changed.
-    pub fn site_says(&mut self, at: u64, site: &SiteList) -> io::Result<Vec<String>> {
+    pub fn apply_site_file(&mut self, at: u64, site: &SiteFile) -> io::Result<Vec<String>> {
         if self.state.site() == site && self.state.version() > 0 {
             // Repeats the warnings where an order overrides the file.
-            return Ok(self.state.clone().site_says(site));
+            return Ok(self.state.clone().apply_site_file(site));
         }
         self.append(&Record::Site { at, site: site.clone() })?;
-        Ok(self.state.site_says(site))
+        Ok(self.state.apply_site_file(site))
     }
 
     /// Checks an order without applying it, and returns what it would change.
     ///
     /// # Errors
     /// The order is rejected.
-    pub fn judge(&self, order: &Order) -> Result<Change, Refusal> {
-        self.state.judge(order, self.max_entries)
+    pub fn validate(&self, order: &Order) -> Result<Change, Rejection> {
+        self.state.validate(order, self.max_entries)
     }
 
     /// Applies an order: writes it to the file first, then changes the state. Once it returns, the order survives a crash
-    /// of the process; it survives a power failure once the handle of [`Log::file`] has been synced.
+    /// of the process; it survives a power failure once the handle of [`MembershipLog::sync_handle`] has been synced.
     ///
     /// # Errors
     /// The order is rejected, or could not be written; nothing has changed.
-    pub fn order(&mut self, at: u64, order: &Order) -> Result<Change, Trouble> {
-        if self.state.judge(order, self.max_entries)? == Change::Already {
-            return Ok(Change::Already);
+    pub fn apply_order(&mut self, at: u64, order: &Order) -> Result<Change, OrderError> {
+        if self.state.validate(order, self.max_entries)? == Change::Unchanged {
+            return Ok(Change::Unchanged);
         }
         self.append(&Record::Order { at, order: order.clone() })?;
-        self.state.order(order);
-        Ok(Change::Done)
+        self.state.apply_order(order);
+        Ok(Change::Applied)
     }
 
     /// A second handle of the file, which the caller can sync on another thread.
     ///
     /// # Errors
     /// No file descriptor is available.
-    pub fn file(&self) -> io::Result<File> {
+    pub fn sync_handle(&self) -> io::Result<File> {
         self.file.try_clone()
     }
 
@@ -151,30 +151,30 @@
 
 /// Why an order was not applied.
 #[derive(Debug)]
-pub enum Trouble {
+pub enum OrderError {
     /// The order contradicts the state.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// The order could not be written.
-    Unwritten(io::Error),
+    NotWritten(io::Error),
 }
 
-impl From<Refusal> for Trouble {
-    fn from(refusal: Refusal) -> Self {
-        Trouble::Refused(refusal)
+impl From<Rejection> for OrderError {
+    fn from(rejection: Rejection) -> Self {
+        OrderError::Rejected(rejection)
     }
 }
 
-impl From<io::Error> for Trouble {
+impl From<io::Error> for OrderError {
     fn from(error: io::Error) -> Self {
-        Trouble::Unwritten(error)
+        OrderError::NotWritten(error)
     }
 }
 
-impl std::fmt::Display for Trouble {
+impl std::fmt::Display for OrderError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Trouble::Refused(refusal) => write!(f, "{refusal}"),
-            Trouble::Unwritten(error) => write!(f, "the order could not be written: {error}"),
+            OrderError::Rejected(rejection) => write!(f, "{rejection}"),
+            OrderError::NotWritten(error) => write!(f, "the order could not be written: {error}"),
         }
     }
 }
@@ -186,8 +186,8 @@
 
 /// Replays the records at the start of `bytes`. Returns the resulting state, if there is a first record, and the length
 /// of the complete records.
-fn replay(bytes: &[u8]) -> Result<(Option<State>, usize), String> {
-    let mut state: Option<State> = None;
+fn replay(bytes: &[u8]) -> Result<(Option<MembershipState>, usize), String> {
+    let mut state: Option<MembershipState> = None;
     let mut at = 0;
     while let Some((frame, record)) = frame::decode::<Record>(&bytes[at..]) {
         match (record, &mut state) {
@@ -195,8 +195,8 @@
                 return Err(format!("format {format}; this version reads {FORMAT}"));
             }
             (Record::Head { state: head, .. }, None) => state = Some(head),
-            (Record::Order { order, .. }, Some(state)) => state.order(&order),
-            (Record::Site { site, .. }, Some(state)) => drop(state.site_says(&site)),
+            (Record::Order { order, .. }, Some(state)) => state.apply_order(&order),
+            (Record::Site { site, .. }, Some(state)) => drop(state.apply_site_file(&site)),
             _ => return Err(format!("unexpected record type at byte {at}")),
         }
         at += frame.len();
@@ -210,7 +210,7 @@
 }
 
 /// Replaces the file with one that holds only the state. Returns its handle and length.
-fn rewrite(path: &Path, state: &State) -> io::Result<(File, u64)> {
+fn rewrite(path: &Path, state: &MembershipState) -> io::Result<(File, u64)> {
     let frame = frame::encode(&Record::Head { format: FORMAT, state: state.clone() })?;
     let new = path.with_extension("new");
     let written =
@@ -223,14 +223,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::state::{EndpointState, Listed};
+    use crate::state::{EndpointState, ListedEndpoint};
     use std::net::SocketAddr;
 
-    fn site() -> SiteList {
+    fn site() -> SiteFile {
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
-        SiteList {
+        SiteFile {
             partners: [("p".to_string(), 7)].into(),
-            endpoints: [("a".to_string(), Listed { partner: "p".into(), address })].into(),
+            endpoints: [("a".to_string(), ListedEndpoint { partner: "p".into(), address })].into(),
         }
     }
 
@@ -243,8 +243,8 @@
         }
     }
 
-    fn open(folder: &Path) -> Log {
-        Log::open(folder, 100).unwrap()
+    fn open(folder: &Path) -> MembershipLog {
+        MembershipLog::open(folder, 100).unwrap()
     }
 
     /// The last order is truncated at each of its bytes: after a restart it is complete or absent, and the earlier ones
@@ -253,10 +253,10 @@
     fn a_truncated_order_is_either_complete_or_absent_after_a_restart() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
-        log.order(2, &toggle(0)).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
+        log.apply_order(2, &toggle(0)).unwrap();
         let (before, earlier) = (log.length as usize, log.state.clone());
-        log.order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
+        log.apply_order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
         let (after, latest) = (log.length as usize, log.state.clone());
         let bytes = fs::read(&log.path).unwrap();
         for cut in before..=after {
@@ -264,7 +264,7 @@
             let mut reopened = open(folder.path());
             assert_eq!(reopened.state, if cut == after { latest.clone() } else { earlier.clone() }, "cut at {cut}");
             // The next order is appended after the complete records.
-            reopened.order(4, &toggle(1)).unwrap();
+            reopened.apply_order(4, &toggle(1)).unwrap();
             let next = reopened.state.clone();
             assert_eq!(open(folder.path()).state, next, "cut at {cut}");
         }
@@ -274,12 +274,12 @@
     fn a_log_truncated_in_its_first_records_is_rebuilt_from_the_site_file() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
         let bytes = fs::read(&log.path).unwrap();
         for cut in 0..bytes.len() {
             fs::write(&log.path, &bytes[..cut]).unwrap();
             let mut reopened = open(folder.path());
-            reopened.site_says(2, &site()).unwrap();
+            reopened.apply_site_file(2, &site()).unwrap();
             assert!(reopened.state.endpoints().contains_key("a"), "cut at {cut}");
         }
     }
@@ -288,14 +288,14 @@
     fn damage_before_the_last_record_is_an_error_and_the_file_is_not_modified() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
         let at = log.length as usize;
-        log.order(2, &toggle(0)).unwrap();
-        log.order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
+        log.apply_order(2, &toggle(0)).unwrap();
+        log.apply_order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
         let mut bytes = fs::read(&log.path).unwrap();
         bytes[at + 12] ^= 1;
         fs::write(&log.path, &bytes).unwrap();
-        let error = Log::open(folder.path(), 100).unwrap_err().to_string();
+        let error = MembershipLog::open(folder.path(), 100).unwrap_err().to_string();
         assert!(error.contains("membership: damaged at byte"), "{error}");
         assert_eq!(fs::read(&log.path).unwrap(), bytes);
     }
@@ -303,19 +303,19 @@
     #[test]
     fn a_log_of_a_later_version_is_an_error() {
         let folder = tempfile::tempdir().unwrap();
-        let head = Record::Head { format: FORMAT + 1, state: State::default() };
+        let head = Record::Head { format: FORMAT + 1, state: MembershipState::default() };
         fs::write(folder.path().join("membership"), frame::encode(&head).unwrap()).unwrap();
-        assert!(Log::open(folder.path(), 100).unwrap_err().to_string().contains("format 2"));
+        assert!(MembershipLog::open(folder.path(), 100).unwrap_err().to_string().contains("format 2"));
     }
 
     #[test]
     fn compaction_bounds_the_file_and_keeps_the_state() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
         let mut longest = 0;
         for n in 0..60_000 {
-            log.order(n as u64, &toggle(n)).unwrap();
+            log.apply_order(n as u64, &toggle(n)).unwrap();
             longest = longest.max(log.length);
         }
         assert!(longest < COMPACTION_THRESHOLD_BYTES + 1024, "{longest} bytes");
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -76,7 +76,7 @@
 
 /// An endpoint as the site file lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// Name of its partner.
     pub partner: String,
     /// The address it listens on.
@@ -85,25 +85,25 @@
 
 /// Partners and endpoints listed in the site file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SiteList {
+pub struct SiteFile {
     /// Destination numbers of the partners, by partner name.
     pub partners: BTreeMap<String, u32>,
     /// Endpoints, by endpoint name.
-    pub endpoints: BTreeMap<String, Listed>,
+    pub endpoints: BTreeMap<String, ListedEndpoint>,
 }
 
 /// Effect of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The order has changed the state, or would change it.
-    Done,
+    Applied,
     /// The state already is as the order says.
-    Already,
+    Unchanged,
 }
 
 /// Why an order is rejected. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// No partner has this name.
     NoSuchPartner(String),
     /// No endpoint has this name.
@@ -116,16 +116,16 @@
     TooMany(usize),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::NoSuchPartner(name) => write!(f, "there is no partner {name:?}"),
-            Refusal::NoSuchEndpoint(name) => write!(f, "there is no endpoint {name:?}"),
-            Refusal::NameTaken(name, partner, address) => {
+            Rejection::NoSuchPartner(name) => write!(f, "there is no partner {name:?}"),
+            Rejection::NoSuchEndpoint(name) => write!(f, "there is no endpoint {name:?}"),
+            Rejection::NameTaken(name, partner, address) => {
                 write!(f, "{name:?} is already an endpoint of {partner:?} at {address}; remove it first")
             }
-            Refusal::AddressTaken(address, name) => write!(f, "{address} is already the address of {name:?}"),
-            Refusal::TooMany(count) => {
+            Rejection::AddressTaken(address, name) => write!(f, "{address} is already the address of {name:?}"),
+            Rejection::TooMany(count) => {
                 write!(f, "the site already has {count} partners and endpoints, which is the maximum")
             }
         }
@@ -134,15 +134,15 @@
 
 /// Partners and endpoints after all statements so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct MembershipState {
     version: u64,
     partners: BTreeMap<String, Partner>,
     endpoints: BTreeMap<String, Endpoint>,
     /// Contents of the site file when it was last applied. Only entries that differ from it are new statements.
-    site: SiteList,
+    site: SiteFile,
 }
 
-impl State {
+impl MembershipState {
     /// Number of statements applied so far.
     pub fn version(&self) -> u64 {
         self.version
@@ -159,12 +159,12 @@
     }
 
     /// Contents of the site file when it was last applied.
-    pub fn site(&self) -> &SiteList {
+    pub fn site(&self) -> &SiteFile {
         &self.site
     }
 
     /// Whether an endpoint may be called: it is active and its partner is not paused.
-    pub fn is_open(&self, endpoint: &Endpoint) -> bool {
+    pub fn accepts_calls(&self, endpoint: &Endpoint) -> bool {
         let paused = self.partners.get(&endpoint.partner).is_none_or(|p| p.paused);
         endpoint.state == EndpointState::Active && !paused
     }
@@ -174,27 +174,27 @@
     ///
     /// # Errors
     /// The order contradicts the state.
-    pub fn judge(&self, order: &Order, max_entries: usize) -> Result<Change, Refusal> {
+    pub fn validate(&self, order: &Order, max_entries: usize) -> Result<Change, Rejection> {
         let endpoint =
-            |name: &String| self.endpoints.get(name).ok_or_else(|| Refusal::NoSuchEndpoint(name.clone()));
+            |name: &String| self.endpoints.get(name).ok_or_else(|| Rejection::NoSuchEndpoint(name.clone()));
         let partner =
-            |name: &String| self.partners.get(name).ok_or_else(|| Refusal::NoSuchPartner(name.clone()));
+            |name: &String| self.partners.get(name).ok_or_else(|| Rejection::NoSuchPartner(name.clone()));
         let already = match order {
             Order::Add { partner: partner_name, endpoint: name, address } => {
                 partner(partner_name)?;
                 if let Some(other) = self.endpoints.get(name) {
                     if (&other.partner, other.address) != (partner_name, *address) {
                         let (owner, at) = (other.partner.clone(), other.address);
-                        return Err(Refusal::NameTaken(name.clone(), owner, at));
+                        return Err(Rejection::NameTaken(name.clone(), owner, at));
                     }
-                    return Ok(Change::Already);
+                    return Ok(Change::Unchanged);
                 }
                 if let Some((other, _)) = self.endpoints.iter().find(|(_, e)| e.address == *address) {
-                    return Err(Refusal::AddressTaken(*address, other.clone()));
+                    return Err(Rejection::AddressTaken(*address, other.clone()));
                 }
                 let count = self.endpoints.len() + self.partners.len();
                 if count >= max_entries {
-                    return Err(Refusal::TooMany(count));
+                    return Err(Rejection::TooMany(count));
                 }
                 false
             }
@@ -204,15 +204,15 @@
             Order::PausePartner { partner: name } => partner(name)?.paused,
             Order::ResumePartner { partner: name } => !partner(name)?.paused,
         };
-        Ok(if already { Change::Already } else { Change::Done })
+        Ok(if already { Change::Unchanged } else { Change::Applied })
     }
 
-    /// Applies an order, which [`State::judge`] must have accepted.
-    pub fn order(&mut self, order: &Order) {
+    /// Applies an order, which [`MembershipState::validate`] must have accepted.
+    pub fn apply_order(&mut self, order: &Order) {
         self.version += 1;
         match order {
             Order::Add { partner, endpoint, address } => {
-                let listed = Listed { partner: partner.clone(), address: *address };
+                let listed = ListedEndpoint { partner: partner.clone(), address: *address };
                 self.insert_endpoint(endpoint, &listed);
             }
             Order::Drain { endpoint } => self.set_endpoint_state(endpoint, EndpointState::Draining),
@@ -235,8 +235,8 @@
         }
     }
 
-    fn insert_endpoint(&mut self, name: &str, listed: &Listed) {
-        let Listed { partner, address } = listed.clone();
+    fn insert_endpoint(&mut self, name: &str, listed: &ListedEndpoint) {
+        let ListedEndpoint { partner, address } = listed.clone();
         let state = EndpointState::Active;
         self.endpoints.insert(name.to_string(), Endpoint { partner, address, state });
     }
@@ -244,7 +244,7 @@
     /// Applies the contents of the site file. Unchanged entries have no effect. A new or changed entry sets its endpoint,
     /// and an entry that is gone removes it. If an entry has an address that belongs to an endpoint added by an order,
     /// that endpoint is removed. Returns one message for the operator for each conflict or change.
-    pub fn site_says(&mut self, site: &SiteList) -> Vec<String> {
+    pub fn apply_site_file(&mut self, site: &SiteFile) -> Vec<String> {
         let mut messages = Vec::new();
         self.version += 1;
         for (name, number) in &site.partners {
@@ -314,10 +314,10 @@
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 
-    fn site_file(lines: &[(&str, &str, u16)]) -> SiteList {
+    fn site_file(lines: &[(&str, &str, u16)]) -> SiteFile {
         let endpoint =
-            |l: &(&str, &str, u16)| (l.1.to_string(), Listed { partner: l.0.into(), address: address(l.2) });
-        SiteList {
+            |l: &(&str, &str, u16)| (l.1.to_string(), ListedEndpoint { partner: l.0.into(), address: address(l.2) });
+        SiteFile {
             partners: lines.iter().map(|l| (l.0.to_string(), u32::from(l.0.as_bytes()[0]))).collect(),
             endpoints: lines.iter().filter(|l| l.2 > 0).map(endpoint).collect(),
         }
@@ -333,49 +333,49 @@
 
     #[test]
     fn orders_override_an_unchanged_site_file_and_yield_to_a_changed_entry() {
-        let mut state = State::default();
+        let mut state = MembershipState::default();
         let file = site_file(&[("p", "a", 1), ("p", "b", 2), ("q", "c", 3)]);
-        assert!(state.site_says(&file).is_empty());
-        state.order(&drain("a"));
-        state.order(&Order::Remove { endpoint: "b".into() });
-        state.order(&add("q", "d", 4));
-        let messages = state.site_says(&file);
+        assert!(state.apply_site_file(&file).is_empty());
+        state.apply_order(&drain("a"));
+        state.apply_order(&Order::Remove { endpoint: "b".into() });
+        state.apply_order(&add("q", "d", 4));
+        let messages = state.apply_site_file(&file);
         assert!(messages.len() == 1 && messages[0].starts_with("b differs from the site file"), "{messages:?}");
         assert_eq!(state.endpoints["a"].state, EndpointState::Draining);
         assert!(!state.endpoints.contains_key("b") && state.endpoints.contains_key("d"));
         // The entry of `a` changes, which is a later statement than the drain.
-        state.site_says(&site_file(&[("p", "a", 9), ("p", "b", 2), ("q", "c", 3)]));
+        state.apply_site_file(&site_file(&[("p", "a", 9), ("p", "b", 2), ("q", "c", 3)]));
         let a = &state.endpoints["a"];
         assert!(a.state == EndpointState::Active && a.address == address(9));
         // The entry of `c` is gone, and so is partner `q` with all its endpoints, including the one added by an order.
-        let messages = state.site_says(&site_file(&[("p", "a", 9), ("p", "b", 2)]));
+        let messages = state.apply_site_file(&site_file(&[("p", "a", 9), ("p", "b", 2)]));
         assert!(messages.iter().any(|m| m.starts_with("d is removed with its partner q")), "{messages:?}");
         assert_eq!(state.endpoints.keys().collect::<Vec<_>>(), ["a"]);
     }
 
     #[test]
     fn an_order_that_contradicts_the_state_is_rejected() {
-        let mut state = State::default();
-        state.site_says(&site_file(&[("p", "a", 1)]));
-        let judge = |order: Order| state.judge(&order, MAX_ENTRIES);
-        assert_eq!(judge(add("p", "a", 1)), Ok(Change::Already));
-        assert!(matches!(judge(add("p", "a", 2)), Err(Refusal::NameTaken(..))));
-        assert!(matches!(judge(add("p", "b", 1)), Err(Refusal::AddressTaken(..))));
-        assert!(matches!(judge(add("x", "b", 2)), Err(Refusal::NoSuchPartner(_))));
-        assert!(matches!(judge(drain("x")), Err(Refusal::NoSuchEndpoint(_))));
-        assert_eq!(judge(Order::Resume { endpoint: "a".into() }), Ok(Change::Already));
-        assert_eq!(state.judge(&add("p", "b", 2), 2), Err(Refusal::TooMany(2)));
+        let mut state = MembershipState::default();
+        state.apply_site_file(&site_file(&[("p", "a", 1)]));
+        let validate = |order: Order| state.validate(&order, MAX_ENTRIES);
+        assert_eq!(validate(add("p", "a", 1)), Ok(Change::Unchanged));
+        assert!(matches!(validate(add("p", "a", 2)), Err(Rejection::NameTaken(..))));
+        assert!(matches!(validate(add("p", "b", 1)), Err(Rejection::AddressTaken(..))));
+        assert!(matches!(validate(add("x", "b", 2)), Err(Rejection::NoSuchPartner(_))));
+        assert!(matches!(validate(drain("x")), Err(Rejection::NoSuchEndpoint(_))));
+        assert_eq!(validate(Order::Resume { endpoint: "a".into() }), Ok(Change::Unchanged));
+        assert_eq!(state.validate(&add("p", "b", 2), 2), Err(Rejection::TooMany(2)));
     }
 
     #[test]
     fn a_pause_closes_all_endpoints_of_a_partner_and_keeps_their_drains() {
-        let mut state = State::default();
-        state.site_says(&site_file(&[("p", "a", 1), ("p", "b", 2)]));
-        state.order(&drain("a"));
-        state.order(&Order::PausePartner { partner: "p".into() });
-        assert!(state.endpoints.values().all(|e| !state.is_open(e)));
-        state.order(&Order::ResumePartner { partner: "p".into() });
-        assert!(!state.is_open(&state.endpoints["a"]) && state.is_open(&state.endpoints["b"]));
+        let mut state = MembershipState::default();
+        state.apply_site_file(&site_file(&[("p", "a", 1), ("p", "b", 2)]));
+        state.apply_order(&drain("a"));
+        state.apply_order(&Order::PausePartner { partner: "p".into() });
+        assert!(state.endpoints.values().all(|e| !state.accepts_calls(e)));
+        state.apply_order(&Order::ResumePartner { partner: "p".into() });
+        assert!(!state.accepts_calls(&state.endpoints["a"]) && state.accepts_calls(&state.endpoints["b"]));
     }
 
     fn any_order() -> impl Strategy<Value = Order> {
@@ -399,18 +399,18 @@
         /// address.
         #[test]
         fn orders_are_idempotent(orders in prop::collection::vec(any_order(), 0..40)) {
-            let mut state = State::default();
-            state.site_says(&site_file(&[("p", "a", 1), ("q", "b", 2)]));
+            let mut state = MembershipState::default();
+            state.apply_site_file(&site_file(&[("p", "a", 1), ("q", "b", 2)]));
             for order in orders {
                 let before = state.clone();
-                match state.judge(&order, MAX_ENTRIES) {
-                    Ok(Change::Done) => state.order(&order),
-                    Ok(Change::Already) | Err(_) => continue,
+                match state.validate(&order, MAX_ENTRIES) {
+                    Ok(Change::Applied) => state.apply_order(&order),
+                    Ok(Change::Unchanged) | Err(_) => continue,
                 }
                 prop_assert!(before != state);
-                let again = state.judge(&order, MAX_ENTRIES);
-                let removed = matches!(order, Order::Remove { .. }) && matches!(again, Err(Refusal::NoSuchEndpoint(_)));
-                prop_assert!(removed || again == Ok(Change::Already));
+                let again = state.validate(&order, MAX_ENTRIES);
+                let removed = matches!(order, Order::Remove { .. }) && matches!(again, Err(Rejection::NoSuchEndpoint(_)));
+                prop_assert!(removed || again == Ok(Change::Unchanged));
                 let addresses: BTreeSet<_> = state.endpoints.values().map(|e| e.address).collect();
                 prop_assert!(addresses.len() == state.endpoints.len());
                 prop_assert!(state.endpoints.values().all(|e| state.partners.contains_key(&e.partner)));
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -10,7 +10,7 @@
 use crate::platform::Agent;
 use crate::speech::Speeches;
 use foldtrack_admission::Settings as Admission;
-use foldtrack_ends::Store;
+use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
 use foldtrack_site::Site;
 use hatchline::settings::Parsed;
@@ -49,7 +49,7 @@
 /// What the loop of a site of its own has beside a platform's.
 pub(crate) struct SiteParts {
     pub site: Site,
-    pub ends: Store,
+    pub ends: OutcomeStore,
     /// The other forwarders, if it has any.
     pub peers: Option<Setup>,
 }
--- a/src/bin/foldtrack/membership.rs
+++ b/src/bin/foldtrack/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::door::Inputs;
 use crate::list::{ServerLine, ServerList, ServerState};
-use foldtrack_membership::{Change, Log, Order, State, Trouble};
+use foldtrack_membership::{Change, MembershipLog, Order, MembershipState, OrderError};
 use foldtrack_site::Site;
 use std::fs::File;
 use std::io;
@@ -16,27 +16,27 @@
     fn watch(&self, inputs: &Inputs) -> bool;
 
     /// Carries out an order, at a Unix time in microseconds: the list that follows is [`Membership::known`].
-    fn order(&mut self, at: u64, order: &Order) -> Result<Change, Trouble>;
+    fn apply_order(&mut self, at: u64, order: &Order) -> Result<Change, OrderError>;
 
     /// What an order would do, without doing it.
-    fn judge(&self, order: &Order) -> Result<Change, Trouble>;
+    fn validate(&self, order: &Order) -> Result<Change, OrderError>;
 
     /// What has been ordered so far, where there are orders.
-    fn state(&self) -> Option<&State>;
+    fn state(&self) -> Option<&MembershipState>;
 
     /// The file of the orders, to be synced before an order is acknowledged.
-    fn file(&self) -> io::Result<File>;
+    fn sync_handle(&self) -> io::Result<File>;
 }
 
 /// The list of a site: its file, changed by orders.
 #[derive(Debug)]
 pub(crate) struct SiteMembership {
-    log: Log,
+    log: MembershipLog,
     site: Site,
 }
 
 impl SiteMembership {
-    pub fn new(log: Log, site: Site) -> Self {
+    pub fn new(log: MembershipLog, site: Site) -> Self {
         SiteMembership { log, site }
     }
 }
@@ -52,7 +52,7 @@
                 zone: String::new(),
                 kind: self.site.kinds[partner.kind].name.clone(),
                 cell: partner.number(),
-                state: if state.is_open(endpoint) { ServerState::Active } else { ServerState::Leaving },
+                state: if state.accepts_calls(endpoint) { ServerState::Active } else { ServerState::Leaving },
                 weight: partner.rate.unwrap_or(0.0),
                 slots: partner.slots,
                 hold_until: 0,
@@ -66,19 +66,19 @@
         false
     }
 
-    fn order(&mut self, at: u64, order: &Order) -> Result<Change, Trouble> {
-        self.log.order(at, order)
+    fn apply_order(&mut self, at: u64, order: &Order) -> Result<Change, OrderError> {
+        self.log.apply_order(at, order)
     }
 
-    fn judge(&self, order: &Order) -> Result<Change, Trouble> {
-        Ok(self.log.judge(order)?)
+    fn validate(&self, order: &Order) -> Result<Change, OrderError> {
+        Ok(self.log.validate(order)?)
     }
 
-    fn state(&self) -> Option<&State> {
+    fn state(&self) -> Option<&MembershipState> {
         Some(self.log.state())
     }
 
-    fn file(&self) -> io::Result<File> {
-        self.log.file()
+    fn sync_handle(&self) -> io::Result<File> {
+        self.log.sync_handle()
     }
 }
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -4,8 +4,8 @@
 use crate::config::SiteParts;
 use crate::door::Answer;
 use foldtrack_control::Failure;
-use foldtrack_ends::{self as ends, End, Store};
-use foldtrack_journal::Notice;
+use foldtrack_ends::{self as ends, MessageOutcome, OutcomeStore};
+use foldtrack_journal::FailureNotice;
 use hatchline::Outcome;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -51,7 +51,7 @@
     pub name: String,
     /// The state folder.
     pub state: PathBuf,
-    pub ends: Store,
+    pub ends: OutcomeStore,
     /// Sequence number of the last end.
     pub ends_seen: watch::Sender<u64>,
     pub partners: HashMap<u32, PartnerFacts>,
@@ -62,10 +62,10 @@
     attempts: usize,
     longest_wait_ms: u64,
     /// Ended while the answer that takes them on was under way: whether they were taken on is yet to be seen.
-    pub pending: BTreeMap<u64, (Held, Notice)>,
+    pub pending: BTreeMap<u64, (Held, FailureNotice)>,
     /// Messages whose ends are staged, how many of them the journal has been told of since the disk would not take
     /// them, and when to try next.
-    pub ended: Vec<(u64, ends::Result)>,
+    pub ended: Vec<(u64, ends::FinalStatus)>,
     pub behind_told: usize,
     pub commit_from: Instant,
     pub counts: Counts,
@@ -80,7 +80,7 @@
 impl Appliance {
     pub fn new(parts: SiteParts, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
         let SiteParts { site, ends, .. } = parts;
-        ends_seen.send_replace(ends.last());
+        ends_seen.send_replace(ends.last_published());
         let facts = |p: &foldtrack_site::Partner| PartnerFacts {
             name: p.name.clone(),
             kind: site.kinds[p.kind].name.clone(),
@@ -121,14 +121,14 @@
     /// Room that a message's end may take.
     fn room(&self, message: &crate::message::Message) -> u64 {
         // Class and partner have names of 64 bytes at most.
-        End::room(message.id.len() + message.key.len() + 2 * LONGEST_NAME, self.attempts, LONGEST_NAME)
+        MessageOutcome::max_encoded_len(message.id.len() + message.key.len() + 2 * LONGEST_NAME, self.attempts, LONGEST_NAME)
     }
 
     /// Refuses a message that there is no room for, with a wait where that helps.
     pub fn refuse(&mut self, message: &crate::message::Message, held: usize) -> Option<Answer> {
         let bytes = self.held_bytes + message.size() as u64 > self.held_most;
         let coming = held as u64 + self.pending.len() as u64 + 1;
-        let ends = !self.ends.has_room(coming, self.reserved + self.room(message));
+        let ends = !self.ends.has_capacity(coming, self.reserved + self.room(message));
         // Ends that this round has staged count as kept; what an earlier one could not write is trouble.
         if !bytes && !ends && self.behind_told == 0 {
             return None;
@@ -178,16 +178,16 @@
 }
 
 /// An outcome as it is kept with a message's attempts.
-pub(super) fn kept(outcome: Outcome) -> ends::Outcome {
+pub(super) fn kept(outcome: Outcome) -> ends::AttemptOutcome {
     match outcome {
-        Outcome::Ok => ends::Outcome::Ok,
-        Outcome::Error => ends::Outcome::Error,
-        Outcome::Full => ends::Outcome::Full,
-        Outcome::TimedOut => ends::Outcome::TimedOut,
-        Outcome::ConnectFailed => ends::Outcome::NotConnected,
-        Outcome::Reset => ends::Outcome::Reset,
-        Outcome::Cancelled => ends::Outcome::Cancelled,
-        Outcome::Spoilt => ends::Outcome::Spoilt,
-        Outcome::NotSent | Outcome::HeldBack => ends::Outcome::NotSent,
+        Outcome::Ok => ends::AttemptOutcome::Ok,
+        Outcome::Error => ends::AttemptOutcome::Error,
+        Outcome::Full => ends::AttemptOutcome::Rejected,
+        Outcome::TimedOut => ends::AttemptOutcome::TimedOut,
+        Outcome::ConnectFailed => ends::AttemptOutcome::NotConnected,
+        Outcome::Reset => ends::AttemptOutcome::Reset,
+        Outcome::Cancelled => ends::AttemptOutcome::Cancelled,
+        Outcome::Spoilt => ends::AttemptOutcome::UnreadableResponse,
+        Outcome::NotSent | Outcome::HeldBack => ends::AttemptOutcome::NotSent,
     }
 }
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -9,7 +9,7 @@
 use foldtrack_clearance::Overtaken;
 use foldtrack_control::Failure;
 use foldtrack_ends::{self as ends, Attempt};
-use foldtrack_journal::{Fate, Notice, Record};
+use foldtrack_journal::{AttemptEffect, FailureNotice, Record};
 use hatchline::{Action, Event, Micros, Outcome, TargetId};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -39,9 +39,9 @@
                 }
             }
             Action::Refuse { id, retry_after } => {
-                self.end(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
+                self.end(id, FailureNotice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
             }
-            Action::Fail { id } => self.end(id, Notice::GivenUp),
+            Action::Fail { id } => self.end(id, FailureNotice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all that was decided on before, and no later than what is decided on next.
             Action::FoundOut { target } => self.targets.found_out(target, self.clock.now()),
@@ -101,7 +101,7 @@
         let at = self.clock.unix(self.clock.now());
         let endpoint =
             if self.site.is_some() { self.targets.name(target).to_string() } else { String::new() };
-        let begun = Record::Try { attempt: tries, at, zone, endpoint };
+        let begun = Record::AttemptStarted { attempt: tries, at, zone, endpoint };
         let ticket = match self.journal.stage(number, &begun) {
             Ok(ticket) => ticket,
             Err(error) => {
@@ -233,14 +233,14 @@
             None => end.late,
         };
         if end.over && given_up {
-            self.end(end.number, Notice::GivenUp);
+            self.end(end.number, FailureNotice::GivenUp);
         } else if end.over {
             self.delivered(end.number);
         } else if held {
             // There is never more than one out.
             let attempt = tries.unwrap_or(0).saturating_sub(1);
-            let fate = if kept(end.outcome).never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            self.record(end.number, &Record::TryEnded { attempt, fate });
+            let effect = if kept(end.outcome).never_ran() { AttemptEffect::NeverRan } else { AttemptEffect::MayHaveRun };
+            self.record(end.number, &Record::AttemptEnded { attempt, effect });
         }
         let now = self.clock.now();
         self.handle(Event::Outcome {
@@ -263,7 +263,7 @@
             site.then(number, "sent again");
         }
         let endpoint = self.targets.name(target).to_string();
-        held.history.push(Attempt { at, until: 0, endpoint, outcome: ends::Outcome::Out });
+        held.history.push(Attempt { at, until: 0, endpoint, outcome: ends::AttemptOutcome::Out });
     }
 
     fn attempt_ended(&mut self, end: &CallEnd) {
@@ -276,7 +276,7 @@
         let attempt = held.history.len() as u32;
         let Some(tried) = held.history.last_mut() else { return };
         tried.until = self.clock.unix(self.clock.now());
-        tried.outcome = if end.refused { ends::Outcome::Refused } else { kept(end.outcome) };
+        tried.outcome = if end.refused { ends::AttemptOutcome::Refused } else { kept(end.outcome) };
         if end.outcome == Outcome::Ok {
             return;
         }
@@ -288,7 +288,7 @@
             partner: site.partner_name(message.destination).into_owned(),
             endpoint: tried.endpoint.clone(),
             attempt,
-            outcome: tried.outcome.word().into(),
+            outcome: tried.outcome.as_str().into(),
             may_have_run: !tried.outcome.never_ran(),
             then: "waits".into(),
             cause: end.cause.clone(),
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -5,9 +5,9 @@
 use super::Node;
 use crate::door::{Answer, Input, Receipt, Synced};
 use crate::targets::{self, Call};
-use foldtrack_ends::Result as EndResult;
+use foldtrack_ends::FinalStatus;
 use foldtrack_journal::journal::SyncJob;
-use foldtrack_journal::{Record, Ticket, Unwritten};
+use foldtrack_journal::{Record, Ticket, FailedWrite};
 use hatchline::Outcome;
 use std::collections::HashMap;
 use std::fs::File;
@@ -23,7 +23,7 @@
     /// cut because nothing tells of the first time.
     pub calls: Vec<(Ticket, Call, oneshot::Receiver<()>)>,
     /// Messages whose ends are told, and which the journal then forgets; and the last of these ends.
-    pub ended: Vec<(u64, EndResult)>,
+    pub ended: Vec<(u64, FinalStatus)>,
     pub last_end: u64,
 }
 
@@ -63,13 +63,13 @@
 
     /// Guards against a disk that fills in the middle of a round: the messages whose records it did not take are
     /// refused, and the calls not made, as if nobody had asked.
-    fn undo(&mut self, unwritten: Vec<Unwritten>) {
-        let mut lost: HashMap<Ticket, Unwritten> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
+    fn undo(&mut self, unwritten: Vec<FailedWrite>) {
+        let mut lost: HashMap<Ticket, FailedWrite> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
         let gathering = &mut self.durable.gathering;
         let (answers, calls) = (std::mem::take(&mut gathering.answers), std::mem::take(&mut gathering.calls));
         for (ticket, number, reply) in answers {
             match lost.remove(&ticket) {
-                Some(Unwritten { error, .. }) => {
+                Some(FailedWrite { error, .. }) => {
                     eprintln!("journal: a message is refused: {error}");
                     let _ = reply.send(self.not_taken(number));
                     self.withdraw(number);
@@ -79,7 +79,7 @@
         }
         for (ticket, call, cancelled) in calls {
             match lost.remove(&ticket) {
-                Some(Unwritten { error, .. }) => {
+                Some(FailedWrite { error, .. }) => {
                     eprintln!("journal: a call is not made: {error}");
                     self.unmake_call(call);
                 }
@@ -110,7 +110,7 @@
         let durable = &mut self.durable;
         if !durable.syncs
             || durable.under_way.is_some()
-            || durable.gathering.is_empty() && !self.journal.wants_sync()
+            || durable.gathering.is_empty() && !self.journal.awaits_sync()
         {
             return;
         }
@@ -120,7 +120,7 @@
                 Ok(jobs) => jobs,
                 Err(error) => {
                     // Out of descriptors: the group waits for the next round, and so does what was taken for it.
-                    self.site.iter_mut().for_each(|s| s.ends.not_synced());
+                    self.site.iter_mut().for_each(|s| s.ends.mark_unsynced());
                     eprintln!("journal: a sync could not be begun: {error}");
                     return;
                 }
@@ -138,7 +138,7 @@
     pub(super) fn synced(&mut self, synced: Synced) {
         let Synced { job, result } = synced;
         let sound = result.is_ok();
-        if let Err(error) = self.journal.synced(&job, result) {
+        if let Err(error) = self.journal.sync_finished(&job, result) {
             eprintln!("journal: a sync has failed, its segments are not trusted again: {error}");
         }
         if let Some(group) = self.durable.under_way.take() {
@@ -156,7 +156,7 @@
             } else {
                 // It may be there after a power cut or not: the client keeps it, under the same id.
                 let _ = reply.send(self.not_taken(number));
-                self.record(number, &Record::Over);
+                self.record(number, &Record::Finished);
                 self.withdraw(number);
             }
         }
@@ -181,13 +181,13 @@
         self.inputs.send(Input::CallEnded(end));
     }
 
-    fn release_ends(&mut self, ended: Vec<(u64, EndResult)>, last: u64, sound: bool) {
+    fn release_ends(&mut self, ended: Vec<(u64, FinalStatus)>, last: u64, sound: bool) {
         let Some(site) = &mut self.site else { return };
-        site.ends.release(last);
-        site.ends_seen.send_replace(site.ends.last());
+        site.ends.publish(last);
+        site.ends_seen.send_replace(site.ends.last_published());
         for (number, result) in ended {
             if sound {
-                if let Err(error) = self.journal.over_soon(number) {
+                if let Err(error) = self.journal.finish_deferred(number) {
                     eprintln!("journal: {error}");
                 }
             } else {
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -5,8 +5,8 @@
 use crate::notices::Ending;
 use crate::platform;
 use crate::table::Known;
-use foldtrack_ends::{EndRef, Result as EndResult};
-use foldtrack_journal::{Notice, Record};
+use foldtrack_ends::{MessageOutcomeRef, FinalStatus};
+use foldtrack_journal::{FailureNotice, Record};
 use hatchline::{Effect, Micros};
 use hyper::StatusCode;
 use std::collections::HashSet;
@@ -29,12 +29,12 @@
     }
 
     /// Ends a message: in the answer to its client, if that still waits for one, else by a notice.
-    pub(super) fn end(&mut self, number: u64, notice: Notice) {
+    pub(super) fn end(&mut self, number: u64, notice: FailureNotice) {
         let Some(held) = self.messages.remove(&number) else { return };
         if let Taken::Fresh(reply) = held.taken {
             self.ids.remove(&held.message.id);
             self.let_go_of_id(&held.message.id);
-            let retry_in_ms = if let Notice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
+            let retry_in_ms = if let FailureNotice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
             let answer = match &mut self.site {
                 Some(site) => {
                     site.let_go(&held.message);
@@ -53,29 +53,29 @@
             return self.ended_by(number, held, notice);
         }
         self.ids.set(&held.message.id, Known::Ended);
-        self.record(number, &Record::Noticed(notice));
+        self.record(number, &Record::FailureNoticed(notice));
         let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
         self.notices.insert(number, ending);
     }
 
     /// A message that a site has taken on ends undelivered.
-    pub(super) fn ended_by(&mut self, number: u64, held: Held, notice: Notice) {
+    pub(super) fn ended_by(&mut self, number: u64, held: Held, notice: FailureNotice) {
         let result = match notice {
-            Notice::HandedBack { retry_in_ms } => {
+            FailureNotice::HandedBack { retry_in_ms } => {
                 let told = self.site.as_ref().map_or(retry_in_ms, |s| s.wait(retry_in_ms));
                 self.handed_back(&held, told)
             }
-            Notice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => EndResult::InDoubt,
+            FailureNotice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => FinalStatus::InDoubt,
             // An attempt of an earlier hand-in may have run.
-            Notice::GivenUp if self.harmless_until(&held.message.id).is_some() => EndResult::InDoubt,
-            Notice::GivenUp => EndResult::GivenUp,
+            FailureNotice::GivenUp if self.harmless_until(&held.message.id).is_some() => FinalStatus::InDoubt,
+            FailureNotice::GivenUp => FinalStatus::GivenUp,
         };
         self.keep_end(number, held, result);
     }
 
     /// A message goes back to its client, who may bring it again much later, by the feed of ends. Where an attempt may
     /// have run that does no harm only while its partner remembers the key: without time left for it, nobody can tell.
-    fn handed_back(&self, held: &Held, retry_in_ms: u64) -> EndResult {
+    fn handed_back(&self, held: &Held, retry_in_ms: u64) -> FinalStatus {
         let message = &held.message;
         let class = self.settings.settings.classes.get(message.class);
         let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window);
@@ -84,19 +84,19 @@
         let own =
             first.zip(window).map(|(at, window)| at.saturating_add(window).saturating_sub(MEMORY_MARGIN));
         let Some(until) = self.harmless_until(&message.id).into_iter().chain(own).min() else {
-            return EndResult::HandedBack { retry_in_ms };
+            return FinalStatus::HandedBack { retry_in_ms };
         };
         let back = self.clock.unix(self.clock.now()) + 1_000 * retry_in_ms + MEMORY_MARGIN;
         if back >= until {
-            return EndResult::InDoubt;
+            return FinalStatus::InDoubt;
         }
-        EndResult::HandedBackUntil { retry_in_ms, until }
+        FinalStatus::HandedBackUntil { retry_in_ms, until }
     }
 
     /// Until when a message may come again that was handed back and may have run, Unix time in microseconds.
     pub(super) fn harmless_until(&self, id: &str) -> Option<u64> {
-        match self.site.as_ref()?.ends.look(id).ok().flatten()?.1.result {
-            EndResult::HandedBackUntil { until, .. } => Some(until),
+        match self.site.as_ref()?.ends.find(id).ok().flatten()?.1.result {
+            FinalStatus::HandedBackUntil { until, .. } => Some(until),
             _ => None,
         }
     }
@@ -105,31 +105,31 @@
     pub(super) fn delivered(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
         match self.site {
-            Some(_) => self.keep_end(number, held, EndResult::Delivered),
-            None => self.record(number, &Record::Over),
+            Some(_) => self.keep_end(number, held, FinalStatus::Delivered),
+            None => self.record(number, &Record::Finished),
         }
     }
 
     /// Puts an end among those that this round keeps; see [`Node::commit_ends`].
-    fn keep_end(&mut self, number: u64, held: Held, result: EndResult) {
+    fn keep_end(&mut self, number: u64, held: Held, result: FinalStatus) {
         self.id_ended(&held.message.id, result);
         let Some(site) = &mut self.site else { return };
         let message = &held.message;
         let class = self.settings.class_names.get(message.class).map_or("", String::as_str);
         let counts = &mut site.counts;
         let (count, word) = match result {
-            EndResult::Delivered => (&mut counts.delivered, "delivered"),
-            EndResult::GivenUp => (&mut counts.given_up, "given up"),
-            EndResult::InDoubt => (&mut counts.in_doubt, "given up, in doubt"),
-            EndResult::HandedBack { .. } | EndResult::HandedBackUntil { .. } => {
+            FinalStatus::Delivered => (&mut counts.delivered, "delivered"),
+            FinalStatus::GivenUp => (&mut counts.given_up, "given up"),
+            FinalStatus::InDoubt => (&mut counts.in_doubt, "given up, in doubt"),
+            FinalStatus::HandedBack { .. } | FinalStatus::HandedBackUntil { .. } => {
                 (&mut counts.handed_back, "handed back")
             }
         };
         *count += 1;
-        if result == EndResult::Delivered {
+        if result == FinalStatus::Delivered {
             counts.by_partner.entry(message.destination).or_default().0 += 1;
         }
-        if held.attempts > 1 || result != EndResult::Delivered {
+        if held.attempts > 1 || result != FinalStatus::Delivered {
             site.then(number, word);
         }
         let ended = self.clock.unix(self.clock.now());
@@ -140,7 +140,7 @@
             }
         }
         let partner = site.partner_name(message.destination).into_owned();
-        let end = EndRef {
+        let end = MessageOutcomeRef {
             number,
             id: &message.id,
             class,
@@ -154,8 +154,8 @@
         site.let_go(message);
         match result {
             // It may be handed in again under its id.
-            EndResult::HandedBack { .. } | EndResult::HandedBackUntil { .. } => self.ids.remove(&message.id),
-            EndResult::Delivered => self.ids.set(&message.id, Known::Taken),
+            FinalStatus::HandedBack { .. } | FinalStatus::HandedBackUntil { .. } => self.ids.remove(&message.id),
+            FinalStatus::Delivered => self.ids.set(&message.id, Known::Taken),
             _ => self.ids.set(&message.id, Known::Ended),
         }
         match site.ends.append(end) {
@@ -169,13 +169,13 @@
     /// can go with the next one.
     pub(super) fn commit_ends(&mut self) {
         let Some(site) = &mut self.site else { return };
-        if !site.ends.is_behind() || site.commit_from > Instant::now() {
+        if !site.ends.has_uncommitted() || site.commit_from > Instant::now() {
             return;
         }
         match site.ends.commit() {
             Ok(()) => {
                 site.behind_told = 0;
-                let (ended, last) = (std::mem::take(&mut site.ended), site.ends.written());
+                let (ended, last) = (std::mem::take(&mut site.ended), site.ends.last_committed());
                 self.durable.gathering.ended.extend(ended);
                 self.durable.gathering.last_end = last;
             }
@@ -193,13 +193,13 @@
     }
 
     /// Tells the journal how a message ended whose end may not be kept.
-    pub(super) fn tell_journal(&mut self, number: u64, result: EndResult) {
+    pub(super) fn tell_journal(&mut self, number: u64, result: FinalStatus) {
         let record = match result {
-            EndResult::Delivered => Record::Delivered,
-            EndResult::HandedBack { retry_in_ms } | EndResult::HandedBackUntil { retry_in_ms, .. } => {
-                Record::Noticed(Notice::HandedBack { retry_in_ms })
+            FinalStatus::Delivered => Record::Delivered,
+            FinalStatus::HandedBack { retry_in_ms } | FinalStatus::HandedBackUntil { retry_in_ms, .. } => {
+                Record::FailureNoticed(FailureNotice::HandedBack { retry_in_ms })
             }
-            EndResult::GivenUp | EndResult::InDoubt => Record::Noticed(Notice::GivenUp),
+            FinalStatus::GivenUp | FinalStatus::InDoubt => Record::FailureNoticed(FailureNotice::GivenUp),
         };
         self.record(number, &record);
     }
@@ -208,7 +208,7 @@
     pub(super) fn sweep_ends(&mut self) {
         let Some(site) = &mut self.site else { return };
         match self.journal.flush() {
-            Ok(()) => site.ends.drop_old(self.clock.unix(self.clock.now()), 0),
+            Ok(()) => site.ends.drop_expired(self.clock.unix(self.clock.now()), 0),
             Err(error) => eprintln!("journal: {error}"),
         }
     }
@@ -232,7 +232,7 @@
         }
         let mut keys = HashSet::new();
         for number in numbers {
-            self.record(number, &Record::Over);
+            self.record(number, &Record::Finished);
             keys.extend(self.notices.remove(number).map(|ended| ended.order_key).filter(|key| *key != 0));
         }
         if !keys.is_empty() {
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -4,7 +4,7 @@
 use crate::door::Answer;
 use crate::message::Message;
 use crate::table::Known;
-use foldtrack_ends::Result as EndResult;
+use foldtrack_ends::FinalStatus;
 use foldtrack_journal::{Accepted, Record};
 use hatchline::{Event, Outcome};
 use std::sync::Arc;
@@ -66,7 +66,7 @@
         }
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
         let kept = if known { 0 } else { self.kept_room };
-        if full || !self.journal.has_room(self.fresh_bytes + message.size() + kept) {
+        if full || !self.journal.has_capacity(self.fresh_bytes + message.size() + kept) {
             return Some(self.full_answer(message.destination));
         }
         let held = self.messages.len();
@@ -87,13 +87,13 @@
     /// What a client is told of a message whose end is kept. One that was handed back may come again.
     fn ended_before(&self, id: &str) -> Option<Answer> {
         let site = self.site.as_ref()?;
-        let (_, end) = site.ends.look(id).ok().flatten()?;
+        let (_, end) = site.ends.find(id).ok().flatten()?;
         match end.result {
-            EndResult::Delivered => Some(Answer::Known { over: false }),
-            EndResult::GivenUp | EndResult::InDoubt => Some(Answer::Known { over: true }),
-            EndResult::HandedBack { .. } => None,
+            FinalStatus::Delivered => Some(Answer::Known { over: false }),
+            FinalStatus::GivenUp | FinalStatus::InDoubt => Some(Answer::Known { over: true }),
+            FinalStatus::HandedBack { .. } => None,
             // Its partner may have forgotten it: it could take effect twice.
-            EndResult::HandedBackUntil { until, .. } => {
+            FinalStatus::HandedBackUntil { until, .. } => {
                 (self.clock.unix(self.clock.now()) >= until).then_some(Answer::Known { over: true })
             }
         }
@@ -146,7 +146,7 @@
     /// The client has its answer, and the message may go; or it has gone before, and nothing is taken on.
     pub(super) fn answered(&mut self, number: u64, written: bool) {
         if !written {
-            self.record(number, &Record::Over);
+            self.record(number, &Record::Finished);
             if let Some((held, _)) = self.site.as_mut().and_then(|s| s.pending.remove(&number)) {
                 self.ids.remove(&held.message.id);
                 self.let_go_of_id(&held.message.id);
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -29,7 +29,7 @@
 use appliance::{Appliance, LONGEST_NAME};
 use foldtrack_admission::Party;
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{Folder, Journal, Options};
+use foldtrack_journal::{JournalDir, Journal, JournalOptions};
 use hatchline::settings::Parsed;
 use hatchline::{Action, Brain, Endpoint, EndpointState, Event, ListKind, Micros, TargetId};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -162,17 +162,17 @@
     });
     let site = config.site.map(|parts| Appliance::new(parts, ends_seen, config.memory_bytes as u64));
     let name = if site.is_some() { LONGEST_NAME } else { 0 };
-    let options = Options {
-        room: config.disk_bytes,
-        attempts: max_attempts,
-        name,
+    let options = JournalOptions {
+        capacity_bytes: config.disk_bytes,
+        max_attempts,
+        max_endpoint_name_len: name,
         durable: config.durable,
         identity: config.seed,
     };
-    let disk = Folder::new(&config.state)?.within(config.disk_budget);
+    let disk = JournalDir::new(&config.state)?.with_budget(config.disk_budget);
     let (journal, restored) = Journal::open_on(disk, options)?;
     // Numbers of messages that are over may stand in kept ends: none is used twice.
-    let highest = journal.highest().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
+    let highest = journal.highest_number().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
     let (stage, stage_seen) = watch::channel(Stage::Serving);
     let share = half(config.sockets);
     let conn_idle = Duration::from_micros(settings.settings.connection_idle);
@@ -305,7 +305,7 @@
 
     /// Goes on with the journal's compaction, for a little of each round.
     fn step_journal(&mut self) {
-        if let Err(error) = self.journal.step(std::time::Instant::now() + JOURNAL_STEP) {
+        if let Err(error) = self.journal.compact_step(std::time::Instant::now() + JOURNAL_STEP) {
             eprintln!("journal: {error}");
         }
     }
@@ -401,7 +401,7 @@
     fn wake_at(&self) -> Instant {
         // What was told to the module after it had decided is carried out at once, not with whatever happens next.
         let undone = !self.actions.is_empty();
-        if undone || self.scan.is_running() || self.journal.is_owing() && !self.journal.wants_sync() {
+        if undone || self.scan.is_running() || self.journal.has_compaction_work() && !self.journal.awaits_sync() {
             return Instant::now();
         }
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -4,7 +4,7 @@
 use crate::door::Ask;
 use foldtrack_control::{Done, Error};
 use foldtrack_ends::Fetched;
-use foldtrack_membership::{Change, Order, Trouble};
+use foldtrack_membership::{Change, Order, OrderError};
 use hatchline::ListKind;
 use std::io;
 use tokio::sync::oneshot;
@@ -46,16 +46,16 @@
         if self.peers.is_some() {
             return self.order_among_peers(order, reply);
         }
-        let change = match self.membership.order(now, &order) {
+        let change = match self.membership.apply_order(now, &order) {
             Ok(change) => change,
             Err(why) => return drop(reply.send(Err(Self::trouble(&why)))),
         };
-        if change == Change::Done {
+        if change == Change::Applied {
             self.list(self.membership.known(), ListKind::Full);
         }
         self.note_closed(&order);
         let done = self.done(&order, change);
-        let file = self.membership.file();
+        let file = self.membership.sync_handle();
         tokio::task::spawn_blocking(move || {
             let synced = file.and_then(|file| file.sync_data());
             let told = synced.map(|()| done).map_err(|e| {
@@ -65,21 +65,21 @@
         });
     }
 
-    pub(super) fn trouble(trouble: &Trouble) -> Error {
-        let code = if matches!(trouble, Trouble::Refused(_)) { "refused" } else { "not_kept" };
+    pub(super) fn trouble(trouble: &OrderError) -> Error {
+        let code = if matches!(trouble, OrderError::Rejected(_)) { "refused" } else { "not_kept" };
         Error { code: code.into(), text: trouble.to_string() }
     }
 
     pub(super) fn note_closed(&mut self, order: &Order) {
         let (Some(site), Some(state)) = (&mut self.site, self.membership.state()) else { return };
-        site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.is_open(e)));
+        site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.accepts_calls(e)));
         let concerns = |name: &String, partner: &String| match order {
             Order::Drain { endpoint } => endpoint == name,
             Order::PausePartner { partner: paused } => paused == partner,
             _ => false,
         };
         for (name, endpoint) in state.endpoints() {
-            if concerns(name, &endpoint.partner) && !state.is_open(endpoint) {
+            if concerns(name, &endpoint.partner) && !state.accepts_calls(endpoint) {
                 site.closed.entry(name.clone()).or_insert_with(Instant::now);
             }
         }
@@ -102,7 +102,7 @@
         let number = partner.and_then(|p| state?.partners().get(p)).map(|p| p.number);
         let held = self.messages.values().filter(|h| Some(h.message.destination) == number).count() as u32;
         Done {
-            changed: change == Change::Done,
+            changed: change == Change::Applied,
             version: state.map_or(0, |s| s.version()),
             calls,
             held,
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -7,8 +7,8 @@
 use crate::message::Message;
 use crate::peers::Hands;
 use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
-use foldtrack_ends::{End, Result as EndResult};
-use foldtrack_membership::{Change, EndpointState, Order, Trouble};
+use foldtrack_ends::{MessageOutcome, FinalStatus};
+use foldtrack_membership::{Change, EndpointState, Order, OrderError};
 use foldtrack_peers::claims::{key, Effect, Key, Verdict, Word as EndWord, REMEMBERED};
 use foldtrack_peers::fact::{Aspect, Fact, Subject, Word};
 use foldtrack_peers::ledger::Presence;
@@ -237,12 +237,12 @@
     /// An order of an operator. What makes things safer holds at once; the opposite once a majority has told what it knows.
     /// The answer comes when it is kept here and at another, or when that has been waited for long enough.
     pub(super) fn order_among_peers(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let judged = self.membership.judge(&order);
+        let judged = self.membership.validate(&order);
         let change = match judged {
             Ok(change) => change,
             Err(trouble) => return drop(reply.send(Err(Self::trouble(&trouble)))),
         };
-        if change == Change::Already {
+        if change == Change::Unchanged {
             return drop(reply.send(Ok(self.done(&order, change))));
         }
         let (subject, word) = stated(&order);
@@ -414,13 +414,13 @@
     /// that a start without the others goes by it too.
     fn carry_out_order(&mut self, order: &Order) {
         let now = self.clock.unix(self.clock.now());
-        match self.membership.order(now, order) {
-            Ok(Change::Done) => {
+        match self.membership.apply_order(now, order) {
+            Ok(Change::Applied) => {
                 self.list(self.membership.known(), ListKind::Full);
                 self.note_closed(order);
             }
-            Ok(Change::Already) => {}
-            Err(Trouble::Refused(refusal)) => {
+            Ok(Change::Unchanged) => {}
+            Err(OrderError::Rejected(refusal)) => {
                 // The site files differ: what was said of something that is not there here is kept for when it is.
                 self.tell("no_effect", &format!("an order has no effect here: {refusal}"));
             }
@@ -503,7 +503,7 @@
     }
 
     /// A message has ended.
-    pub(super) fn id_ended(&mut self, id: &str, result: EndResult) {
+    pub(super) fn id_ended(&mut self, id: &str, result: FinalStatus) {
         if self.peers.is_none() {
             return;
         }
@@ -511,12 +511,12 @@
         self.tell_end(id, word);
     }
 
-    fn end_word(&self, result: EndResult) -> EndWord {
+    fn end_word(&self, result: FinalStatus) -> EndWord {
         match result {
-            EndResult::Delivered => EndWord::Delivered,
-            EndResult::GivenUp | EndResult::InDoubt => EndWord::Over,
-            EndResult::HandedBack { .. } => EndWord::Back(0),
-            EndResult::HandedBackUntil { until, .. } => {
+            FinalStatus::Delivered => EndWord::Delivered,
+            FinalStatus::GivenUp | FinalStatus::InDoubt => EndWord::Over,
+            FinalStatus::HandedBack { .. } => EndWord::Back(0),
+            FinalStatus::HandedBackUntil { until, .. } => {
                 // 0 stands for without bound.
                 EndWord::Back((until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1))
             }
@@ -552,7 +552,7 @@
                 break;
             }
             cursor = fetched.cursor;
-            let remembered = |end: &End| end.ended + 1000 * REMEMBERED > unix;
+            let remembered = |end: &MessageOutcome| end.ended + 1000 * REMEMBERED > unix;
             let told = fetched.ends.iter().filter(|(_, end)| remembered(end) && is_claimed(&end.class));
             ended.extend(told.map(|(_, end)| (key(&end.id), self.end_word(end.result))));
         }
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -6,7 +6,7 @@
 use crate::door::{Picture, Stage};
 use crate::told::{told_attempt, told_end};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
-use foldtrack_membership::State;
+use foldtrack_membership::MembershipState;
 use hatchline::views::{DestinationView, Health, LaneView};
 use hatchline::{Micros, TargetId};
 use std::collections::HashMap;
@@ -131,7 +131,7 @@
 
     fn status(&self, unix: Micros, whole: Heap, longest: Duration) -> Status {
         let Some(site) = &self.site else { return Status::default() };
-        let (ends, ends_unfetched, ends_bytes) = site.ends.kept();
+        let (ends, ends_unfetched, ends_bytes) = site.ends.usage();
         let counts = &site.counts;
         Status {
             name: site.name.clone(),
@@ -159,21 +159,21 @@
             calls: self.calls.len() as u32,
             calls_most: self.settings.settings.slots,
             oldest_ms: whole.age_ms(unix),
-            journal_bytes: self.journal.length(),
+            journal_bytes: self.journal.disk_bytes(),
             journal_most: site.journal_most,
             ends,
             ends_unfetched,
-            ends_most: site.ends.bounds().count,
+            ends_most: site.ends.limits().max_count,
             ends_bytes,
-            ends_bytes_most: site.ends.bounds().size,
+            ends_bytes_most: site.ends.limits().max_bytes,
             ends_unwritten: site.behind_told as u32,
-            membership: self.membership.state().map_or(0, State::version),
+            membership: self.membership.state().map_or(0, MembershipState::version),
             longest_round_us: longest.as_micros() as u64,
         }
     }
 
     fn partners(
-        &self, state: &State, views: &[DestinationView], heaps: &HashMap<u32, Heap>, unix: Micros,
+        &self, state: &MembershipState, views: &[DestinationView], heaps: &HashMap<u32, Heap>, unix: Micros,
     ) -> Vec<Partner> {
         let Some(site) = &self.site else { return Vec::new() };
         let by_number: HashMap<u32, &DestinationView> = views.iter().map(|v| (v.destination, v)).collect();
@@ -181,7 +181,7 @@
         for endpoint in state.endpoints().values() {
             let (all, open) = counts.entry(&endpoint.partner).or_default();
             *all += 1;
-            *open += u32::from(state.is_open(endpoint));
+            *open += u32::from(state.accepts_calls(endpoint));
         }
         let partner = |(name, partner): (&String, &foldtrack_membership::Partner)| {
             let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.lanes);
@@ -226,7 +226,7 @@
         state.partners().iter().map(partner).collect()
     }
 
-    fn endpoints(&self, state: &State, views: &[DestinationView]) -> Vec<Endpoint> {
+    fn endpoints(&self, state: &MembershipState, views: &[DestinationView]) -> Vec<Endpoint> {
         // Of targets that share a name, the latest one stands for it; calls of all count.
         let mut by_name: HashMap<&str, (TargetId, &LaneView, u64)> = HashMap::new();
         let mut calls: HashMap<&str, u32> = HashMap::new();
@@ -243,7 +243,7 @@
         }
         let endpoint = |(name, endpoint): (&String, &foldtrack_membership::Endpoint)| {
             let lane = by_name.get(name.as_str());
-            let (open, calls) = (state.is_open(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
+            let (open, calls) = (state.accepts_calls(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
             let draining = endpoint.state == foldtrack_membership::EndpointState::Draining;
             let closed =
                 self.site.as_ref().and_then(|s| s.closed.get(name)).map_or(Duration::ZERO, Instant::elapsed);
@@ -325,7 +325,7 @@
                 ..Message::default()
             });
         }
-        match site.ends.look(id) {
+        match site.ends.find(id) {
             Ok(found) => found.map(|(_, end)| told_end(&end)),
             Err(error) => {
                 eprintln!("ends: {error}");
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -6,27 +6,27 @@
 use crate::notices::Ending;
 use crate::table::Known;
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{Fate, Notice, Record, Restored, Tried};
+use foldtrack_journal::{AttemptEffect, FailureNotice, Record, RecoveredMessage, AttemptRecord};
 use hatchline::{Effect, Event, Outcome};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
 impl Node {
     /// Takes over what the journal holds, in the order in which it was taken on.
-    pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, Restored>) {
-        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.numbers()).collect();
+    pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, RecoveredMessage>) {
+        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.message_numbers()).collect();
         for (number, message) in restored {
             // The process ended between the end's record and the journal's.
             match ended.contains(&number) {
-                true => self.record(number, &Record::Over),
+                true => self.record(number, &Record::Finished),
                 false => self.restore(number, message),
             }
         }
     }
 
     /// Takes over what the journal holds of a message.
-    fn restore(&mut self, number: u64, restored: Restored) {
-        let Restored { accepted, taken: since, delivered, attempts, notice } = restored;
+    fn restore(&mut self, number: u64, restored: RecoveredMessage) {
+        let RecoveredMessage { accepted, taken: since, delivered, attempts, notice } = restored;
         self.ids.insert(&accepted.id, number, Known::Taken, self.clock.now() + self.remember());
         if let Some(notice) = notice.filter(|_| self.site.is_none()) {
             let order_key = order_key(&accepted.key);
@@ -64,7 +64,7 @@
         };
         if doubtful {
             // What the later life of this folder has sent is not in it.
-            let outcome = foldtrack_ends::Outcome::MayHaveRun;
+            let outcome = foldtrack_ends::AttemptOutcome::MayHaveRun;
             held.history.push(Attempt { at: since, until: 0, endpoint: String::new(), outcome });
         }
         if let Some(site) = &mut self.site {
@@ -76,7 +76,7 @@
             && !delivered
             && (effect == Some(Effect::Unsafe) || expires <= self.clock.now())
         {
-            return self.end(number, Notice::GivenUp);
+            return self.end(number, FailureNotice::GivenUp);
         }
         if delivered {
             return self.delivered(number);
@@ -86,15 +86,15 @@
         }
         let Some(class) = class else {
             // The settings have changed since: nothing can be promised.
-            return self.end(number, Notice::GivenUp);
+            return self.end(number, FailureNotice::GivenUp);
         };
-        let first = attempts.iter().find(|t| t.fate != Some(Fate::NeverRan));
+        let first = attempts.iter().find(|t| t.effect != Some(AttemptEffect::NeverRan));
         let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
-        let outcome = |fate| match fate {
-            Some(Fate::NeverRan) => Outcome::NotSent,
-            Some(Fate::MayHaveRun) | None => Outcome::Reset,
+        let outcome = |effect| match effect {
+            Some(AttemptEffect::NeverRan) => Outcome::NotSent,
+            Some(AttemptEffect::MayHaveRun) | None => Outcome::Reset,
         };
-        let attempts = attempts.iter().map(|t| outcome(t.fate)).collect();
+        let attempts = attempts.iter().map(|t| outcome(t.effect)).collect();
         let class = class as u32;
         self.handle(Event::Restored {
             id: number,
@@ -124,12 +124,12 @@
 }
 
 /// An attempt of an earlier process, as its journal knows it.
-fn lost(tried: &Tried) -> Attempt {
-    use foldtrack_ends::Outcome;
-    let outcome = match tried.fate {
-        Some(Fate::NeverRan) => Outcome::DidNotRun,
-        Some(Fate::MayHaveRun) => Outcome::MayHaveRun,
-        None => Outcome::Lost,
+fn lost(tried: &AttemptRecord) -> Attempt {
+    use foldtrack_ends::AttemptOutcome;
+    let outcome = match tried.effect {
+        Some(AttemptEffect::NeverRan) => AttemptOutcome::DidNotRun,
+        Some(AttemptEffect::MayHaveRun) => AttemptOutcome::MayHaveRun,
+        None => AttemptOutcome::Lost,
     };
     Attempt { at: tried.at, until: 0, endpoint: tried.endpoint.clone(), outcome }
 }
--- a/src/bin/foldtrack/notices.rs
+++ b/src/bin/foldtrack/notices.rs
@@ -1,6 +1,6 @@
 //! The ends that the platform has not taken yet: which go out when, and the keys that wait for them.
 
-use foldtrack_journal::Notice;
+use foldtrack_journal::FailureNotice;
 use hatchline::Micros;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,16 +15,16 @@
 pub(crate) struct Ending {
     pub id: String,
     pub order_key: u64,
-    pub notice: Notice,
+    pub notice: FailureNotice,
 }
 
 impl Ending {
     fn line(&self) -> String {
         let Ending { id, notice, .. } = self;
         let line = match notice {
-            Notice::GivenUp => json!({"message": id, "outcome": "given_up"}),
-            Notice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
-            Notice::HandedBack { retry_in_ms } => {
+            FailureNotice::GivenUp => json!({"message": id, "outcome": "given_up"}),
+            FailureNotice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
+            FailureNotice::HandedBack { retry_in_ms } => {
                 json!({"message": id, "outcome": "handed_back", "retry_in_ms": retry_in_ms})
             }
         };
@@ -120,7 +120,7 @@
         let mut notices = Notices::default();
         for number in (1..=100).rev() {
             let order_key = if number <= 2 { 7 } else { 0 };
-            notices.insert(number, Ending { id: format!("m{number}"), order_key, notice: Notice::GivenUp });
+            notices.insert(number, Ending { id: format!("m{number}"), order_key, notice: FailureNotice::GivenUp });
         }
         assert!(notices.hold(7) && !notices.hold(0));
         let (numbers, lines) = notices.next(0).unwrap();
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -6,7 +6,7 @@
 use crate::list::ServerList;
 use crate::membership::Membership;
 use bytes::Bytes;
-use foldtrack_membership::{Change, Order, State, Trouble};
+use foldtrack_membership::{Change, Order, MembershipState, OrderError};
 use hatchline::Micros;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -80,19 +80,19 @@
         true
     }
 
-    fn order(&mut self, _: u64, _: &Order) -> Result<Change, Trouble> {
-        Err(Trouble::Unwritten(io::Error::other("the list is the platform's")))
+    fn apply_order(&mut self, _: u64, _: &Order) -> Result<Change, OrderError> {
+        Err(OrderError::NotWritten(io::Error::other("the list is the platform's")))
     }
 
-    fn judge(&self, _: &Order) -> Result<Change, Trouble> {
-        Err(Trouble::Unwritten(io::Error::other("the list is the platform's")))
+    fn validate(&self, _: &Order) -> Result<Change, OrderError> {
+        Err(OrderError::NotWritten(io::Error::other("the list is the platform's")))
     }
 
-    fn state(&self) -> Option<&State> {
+    fn state(&self) -> Option<&MembershipState> {
         None
     }
 
-    fn file(&self) -> io::Result<File> {
+    fn sync_handle(&self) -> io::Result<File> {
         Err(io::Error::other("the list is the platform's"))
     }
 }
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -12,10 +12,10 @@
 use crate::{logs, runtime, serve_until_told, speech};
 use foldtrack_admission::descriptors::{self, Kept};
 use foldtrack_admission::Rate;
-use foldtrack_ends::shelf::Bounds;
-use foldtrack_ends::Store;
+use foldtrack_ends::retention::RetentionLimits;
+use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
-use foldtrack_membership::{Listed, Log, SiteList};
+use foldtrack_membership::{ListedEndpoint, MembershipLog, SiteFile};
 use foldtrack_site::{Durability, Effect, Site, MOST_ENDPOINTS};
 use hatchline::settings::Parsed;
 use hatchline::{Class, Decay, Group, ListedRate, Rules, Settings};
@@ -41,17 +41,17 @@
         .map_err(|e| format!("{}: {e}", site.state.display()))?;
     let _lock = lock(&site.state)?;
     let unix = Clock::new().unix_now();
-    let mut log = Log::open(&site.state, MOST_ENDPOINTS).map_err(|e| e.to_string())?;
-    for told in log.site_says(unix, &site_list(&site)).map_err(|e| e.to_string())? {
+    let mut log = MembershipLog::open(&site.state, MOST_ENDPOINTS).map_err(|e| e.to_string())?;
+    for told in log.apply_site_file(unix, &site_list(&site)).map_err(|e| e.to_string())? {
         eprintln!("membership: {told}");
     }
-    let bounds = Bounds { count: site.ends.count, size: site.ends.size, age: site.ends.age };
+    let bounds = RetentionLimits { max_count: site.ends.count, max_bytes: site.ends.size, max_age_us: site.ends.age };
     let budget = disk_budget.map(|limit| Budget::new(&site.state, limit));
     if let Some(budget) = &budget {
         budget.limit().map_err(|e| e.to_string())?;
     }
     let ends =
-        Store::open(&site.state.join("ends"), bounds).map_err(|e| e.to_string())?.within(budget.clone());
+        OutcomeStore::open(&site.state.join("ends"), bounds).map_err(|e| e.to_string())?.with_budget(budget.clone());
     let kept = Kept { calls: site.limits.calls as usize, house: OTHER_SOCKETS };
     let configured = site.limits.descriptors;
     let most = move || {
@@ -123,12 +123,12 @@
     Ok(file)
 }
 
-fn site_list(site: &Site) -> SiteList {
-    let mut list = SiteList::default();
+fn site_list(site: &Site) -> SiteFile {
+    let mut list = SiteFile::default();
     for partner in &site.partners {
         list.partners.insert(partner.name.clone(), partner.number());
         for endpoint in &partner.endpoints {
-            let listed = Listed { partner: partner.name.clone(), address: endpoint.address };
+            let listed = ListedEndpoint { partner: partner.name.clone(), address: endpoint.address };
             list.endpoints.insert(endpoint.name.clone(), listed);
         }
     }
