--- a/crates/ends/src/end.rs
+++ b/crates/ends/src/end.rs
@@ -16,8 +16,8 @@
         /// Suggested delay before sending it again, in milliseconds; 0 if there is no suggestion.
         retry_in_ms: u64,
     },
-    /// Returned to the client, but an attempt may have run: sending it again is safe only while the partner still
-    /// discards duplicates of it.
+    /// Returned to the client, but an attempt may have run: sending it again is safe only while the partner
+    /// still discards duplicates of it.
     HandedBackUntil {
         /// Suggested delay before sending it again, in milliseconds; 0 if there is no suggestion.
         retry_in_ms: u64,
@@ -86,7 +86,11 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            AttemptOutcome::Rejected | AttemptOutcome::NotConnected | AttemptOutcome::NotSent | AttemptOutcome::DidNotRun | AttemptOutcome::Refused
+            AttemptOutcome::Rejected
+                | AttemptOutcome::NotConnected
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::DidNotRun
+                | AttemptOutcome::Refused
         )
     }
 }
@@ -183,8 +187,8 @@
         }
     }
 
-    /// Upper bound of the stored size in bytes, where the id, class, partner and order key have `names` bytes together
-    /// and each of `attempts` attempts names an endpoint with at most `endpoint` bytes.
+    /// Upper bound of the stored size in bytes, where the id, class, partner and order key have `names` bytes
+    /// together and each of `attempts` attempts names an endpoint with at most `endpoint` bytes.
     pub fn max_encoded_len(names: usize, attempts: usize, endpoint: usize) -> u64 {
         // Frame header 10, message number and times 10 each, status 24, and the length prefixes.
         (128 + names + attempts * (64 + endpoint)) as u64
--- a/crates/ends/src/retention.rs
+++ b/crates/ends/src/retention.rs
@@ -14,8 +14,8 @@
 }
 
 impl RetentionLimits {
-    /// Segment size in bytes after which a new segment is begun. A small part of the whole, since space is reclaimed
-    /// one segment at a time.
+    /// Segment size in bytes after which a new segment is begun. A small part of the whole, since space is
+    /// reclaimed one segment at a time.
     pub fn segment(&self) -> u64 {
         (self.max_bytes / 16).max(4096)
     }
@@ -61,18 +61,21 @@
         self.segments.iter().map(|s| s.bytes).sum()
     }
 
-    /// Whether one more message can be accepted: its outcome and those of all messages in flight must fit beside the
-    /// unacknowledged outcomes, even if all of them are written before the next acknowledgement. `held` is the number
-    /// of messages in flight, `reserved` the sum of [`crate::MessageOutcome::max_encoded_len`] over them and the new one.
+    /// Whether one more message can be accepted: its outcome and those of all messages in flight must fit
+    /// beside the unacknowledged outcomes, even if all of them are written before the next acknowledgement.
+    /// `held` is the number of messages in flight, `reserved` the sum of
+    /// [`crate::MessageOutcome::max_encoded_len`] over them and the new one.
     pub fn has_capacity(&self, held: u64, reserved: u64) -> bool {
         let retained: u64 = self.segments.iter().filter(|s| !self.is_deletable(s)).map(|s| s.bytes).sum();
-        // The open segment may be closed one outcome short of its length, and each new segment starts with a header.
+        // The open segment may be closed one outcome short of its length, and each new segment starts with a
+        // header.
         let header_bytes = 2 * MAX_HEADER_BYTES + reserved / self.limits.segment() * MAX_HEADER_BYTES;
-        self.unacknowledged() + held <= self.limits.max_count && retained + reserved + header_bytes <= self.limits.max_bytes
+        self.unacknowledged() + held <= self.limits.max_count
+            && retained + reserved + header_bytes <= self.limits.max_bytes
     }
 
-    /// Whether a segment may be deleted: all its outcomes are acknowledged. The open segment is always kept, since it
-    /// holds the latest acknowledgement.
+    /// Whether a segment may be deleted: all its outcomes are acknowledged. The open segment is always kept,
+    /// since it holds the latest acknowledgement.
     fn is_deletable(&self, segment: &Segment) -> bool {
         segment.next <= self.acknowledged + 1
             && self.segments.back().is_some_and(|open| open.first != segment.first)
@@ -104,7 +107,10 @@
     fn unacknowledged_outcomes_are_kept_and_limit_what_is_accepted() {
         let mut retention = retention();
         assert!(!retention.must_delete_oldest(u64::MAX, 1 << 30), "nothing is acknowledged");
-        assert!(retention.has_capacity(60, 1) && !retention.has_capacity(61, 1), "40 unacknowledged and 60 in flight are the limit");
+        assert!(
+            retention.has_capacity(60, 1) && !retention.has_capacity(61, 1),
+            "40 unacknowledged and 60 in flight are the limit"
+        );
         let available = (64 << 10) - 4 * 4096;
         assert!(!retention.has_capacity(1, available));
         retention.acknowledged = 10;
--- a/crates/ends/src/store.rs
+++ b/crates/ends/src/store.rs
@@ -1,7 +1,7 @@
 //! Append-only storage of message outcomes in the segment files of a folder.
 
 use crate::end::{MessageOutcome, MessageOutcomeRef};
-use crate::retention::{RetentionLimits, Retention, Segment};
+use crate::retention::{Retention, RetentionLimits, Segment};
 use foldtrack_journal::{frame, Budget};
 use serde::{Deserialize, Serialize};
 use std::collections::hash_map::RandomState;
@@ -67,7 +67,7 @@
 pub struct OutcomeStore {
     folder: PathBuf,
     retention: Retention,
-/// The open files of the segments, in the same order.
+    /// The open files of the segments, in the same order.
     files: VecDeque<File>,
     /// Location of each outcome, oldest first.
     locations: VecDeque<Location>,
@@ -75,14 +75,15 @@
     by_id: HashMap<u64, u64>,
     hasher: RandomState,
     highest_number: u64,
-    /// Length of the complete records in the open segment. A partial write that could not be truncated may follow; it
-    /// is truncated before the next write.
+    /// Length of the complete records in the open segment. A partial write that could not be truncated may
+    /// follow; it is truncated before the next write.
     valid_length: u64,
     /// Encoded records that the next [`OutcomeStore::commit`] appends.
     staged: Vec<u8>,
     /// Sequence number of the next outcome as of the last commit. Outcomes from it on are only in memory.
     committed: u64,
-    /// Outcomes before this sequence number are visible to clients: those of the last commit, or of the last sync.
+    /// Outcomes before this sequence number are visible to clients: those of the last commit, or of the last
+    /// sync.
     released: u64,
     /// First sequence numbers of the segments with data that no sync has confirmed.
     unsynced: BTreeSet<u64>,
@@ -98,7 +99,8 @@
 }
 
 impl OutcomeStore {
-    /// Opens the store in a folder, or creates it. An incomplete record at the end of the last segment is truncated.
+    /// Opens the store in a folder, or creates it. An incomplete record at the end of the last segment is
+    /// truncated.
     ///
     /// # Errors
     /// A file can't be read or written, was written by a later version, or is damaged before its last record.
@@ -138,7 +140,8 @@
                 (store.retention.next_sequence(), store.retention.acknowledged, store.highest_number);
             store.begin_segment(first, acknowledged, number)?;
         }
-        // Deleted segments were acknowledged, even if the record of the acknowledgement was lost with the process.
+        // Deleted segments were acknowledged, even if the record of the acknowledgement was lost with the
+        // process.
         store.retention.acknowledged = store.retention.acknowledged.max(store.first_kept() - 1);
         store.committed = store.retention.next_sequence();
         store.released = store.committed;
@@ -152,7 +155,9 @@
     }
 
     /// Writes as to a full disk where there is a budget: the bytes that fit, and then an error.
-    fn write_with_budget(budget: Option<&Budget>, file: &mut File, offset: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write_with_budget(
+        budget: Option<&Budget>, file: &mut File, offset: u64, bytes: &[u8],
+    ) -> io::Result<()> {
         let admitted = budget.map_or(Ok(bytes.len()), |budget| budget.admit(file, offset, bytes.len()))?;
         file.write_all(&bytes[..admitted])?;
         if admitted < bytes.len() {
@@ -190,9 +195,12 @@
             at += frame.len();
         }
         if at < bytes.len() {
-            let complete_record_follows = (at + 1..bytes.len()).any(|next| frame::decode::<Record>(&bytes[next..]).is_some());
+            let complete_record_follows =
+                (at + 1..bytes.len()).any(|next| frame::decode::<Record>(&bytes[next..]).is_some());
             if complete_record_follows || !last {
-                return error(format!("damaged at byte {at}: move the file away to start without its contents"));
+                return error(format!(
+                    "damaged at byte {at}: move the file away to start without its contents"
+                ));
             }
             eprintln!(
                 "{}: truncated at byte {at}, removing an incomplete record of {} bytes",
@@ -218,7 +226,13 @@
         let id_hash = self.hasher.hash_one(end.id);
         self.by_id.insert(id_hash, sequence);
         self.highest_number = self.highest_number.max(end.number);
-        self.locations.push_back(Location { segment, offset, length: length as u32, id_hash, message_number: end.number });
+        self.locations.push_back(Location {
+            segment,
+            offset,
+            length: length as u32,
+            id_hash,
+            message_number: end.number,
+        });
     }
 
     fn begin_segment(&mut self, first: u64, acknowledged: u64, highest_number: u64) -> io::Result<()> {
@@ -249,8 +263,8 @@
         self.retention.must_delete_oldest(now, self.retention.limits.segment())
     }
 
-    /// Stages an outcome and returns its sequence number. The next [`OutcomeStore::commit`] writes it, and fetches return
-    /// it after [`OutcomeStore::publish`].
+    /// Stages an outcome and returns its sequence number. The next [`OutcomeStore::commit`] writes it, and
+    /// fetches return it after [`OutcomeStore::publish`].
     ///
     /// # Errors
     /// The record exceeds the maximum length of a record.
@@ -260,15 +274,17 @@
         let open = self.retention.segments.back().copied().unwrap_or_default();
         if open.next > open.first && open.bytes + frame.len() as u64 > self.retention.limits.segment() {
             // If this fails, the current segment grows beyond its size and the next outcome tries again.
-            let begun = self
-                .commit()
-                .and_then(|()| self.begin_segment(open.next, self.retention.acknowledged, self.highest_number));
+            let begun = self.commit().and_then(|()| {
+                self.begin_segment(open.next, self.retention.acknowledged, self.highest_number)
+            });
             if let Err(error) = begun {
                 eprintln!("ends: cannot begin a new segment: {error}");
             }
         }
         let offset = self.stage(&frame);
-        let Some(open) = self.retention.segments.back_mut() else { return Err(io::Error::other("no open segment")) };
+        let Some(open) = self.retention.segments.back_mut() else {
+            return Err(io::Error::other("no open segment"));
+        };
         let (sequence, segment) = (open.next, open.first);
         open.next += 1;
         open.newest = end.ended;
@@ -299,7 +315,9 @@
             file.set_len(self.valid_length)?;
             self.needs_truncation = false;
         }
-        if let Err(error) = OutcomeStore::write_with_budget(self.budget.as_ref(), file, self.valid_length, &self.staged) {
+        if let Err(error) =
+            OutcomeStore::write_with_budget(self.budget.as_ref(), file, self.valid_length, &self.staged)
+        {
             // A partial record would hide the records behind it from a restart.
             self.needs_truncation = file.set_len(self.valid_length).is_err();
             return Err(error);
@@ -349,8 +367,8 @@
         !self.staged.is_empty()
     }
 
-    /// Acknowledges all outcomes up to `cursor`, written with the next [`OutcomeStore::commit`]. A crash may lose the latest
-    /// acknowledgement; the client then fetches those outcomes again.
+    /// Acknowledges all outcomes up to `cursor`, written with the next [`OutcomeStore::commit`]. A crash may
+    /// lose the latest acknowledgement; the client then fetches those outcomes again.
     ///
     /// # Errors
     /// `cursor` is beyond the last outcome that a client can have fetched.
@@ -390,8 +408,8 @@
         }
     }
 
-    /// The outcomes after `cursor`, `most` at most; empty if there are none. Outcomes before the oldest one kept are
-    /// skipped, as they were acknowledged.
+    /// The outcomes after `cursor`, `most` at most; empty if there are none. Outcomes before the oldest one
+    /// kept are skipped, as they were acknowledged.
     ///
     /// # Errors
     /// A file can't be read.
@@ -417,7 +435,8 @@
     }
 
     fn read_outcome(&self, sequence: u64) -> io::Result<Option<MessageOutcome>> {
-        let Some(location) = sequence.checked_sub(self.first_kept()).and_then(|n| self.locations.get(n as usize))
+        let Some(location) =
+            sequence.checked_sub(self.first_kept()).and_then(|n| self.locations.get(n as usize))
         else {
             return Ok(None);
         };
@@ -427,7 +446,9 @@
         let mut bytes = vec![0; location.length as usize];
         let open = n + 1 == self.retention.segments.len();
         match location.offset.checked_sub(self.valid_length).filter(|_| open) {
-            Some(offset) => bytes.copy_from_slice(&self.staged[offset as usize..][..location.length as usize]),
+            Some(offset) => {
+                bytes.copy_from_slice(&self.staged[offset as usize..][..location.length as usize])
+            }
             None => self.files[n].read_exact_at(&mut bytes, location.offset)?,
         }
         match frame::decode::<Record>(&bytes) {
--- a/crates/ends/src/store_tests.rs
+++ b/crates/ends/src/store_tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::end::{Attempt, AttemptOutcome, FinalStatus};
 
-const LIMITS: RetentionLimits = RetentionLimits { max_count: 1000, max_bytes: 128 << 10, max_age_us: 1 << 40 };
+const LIMITS: RetentionLimits =
+    RetentionLimits { max_count: 1000, max_bytes: 128 << 10, max_age_us: 1 << 40 };
 
 fn outcome(n: u64) -> MessageOutcome {
     let attempt = Attempt { at: n, until: n + 1, endpoint: "a".into(), outcome: AttemptOutcome::Ok };
@@ -58,7 +59,8 @@
     assert_eq!(store.highest_number(), 10);
 }
 
-/// Truncates the file at each byte of the last record: the outcomes before it remain, and the next one follows them.
+/// Truncates the file at each byte of the last record: the outcomes before it remain, and the next one
+/// follows them.
 #[test]
 fn a_truncated_record_is_either_complete_or_absent_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
@@ -76,7 +78,11 @@
         }
         let next = append_and_release(&mut reopened, outcome(9));
         let next_open = open(folder.path());
-        assert_eq!((next_open.last_published(), next_open.read_outcome(next).unwrap()), (next, Some(outcome(9))), "cut at {cut}");
+        assert_eq!(
+            (next_open.last_published(), next_open.read_outcome(next).unwrap()),
+            (next, Some(outcome(9))),
+            "cut at {cut}"
+        );
     }
 }
 
@@ -113,7 +119,10 @@
     assert!(store.first_kept() > 1 && store.by_id.len() == store.locations.len());
     assert_eq!(store.find("m1").unwrap(), None);
     let reopened = open(folder.path());
-    assert_eq!((reopened.last_published(), reopened.acknowledged()), (store.last_published(), store.acknowledged()));
+    assert_eq!(
+        (reopened.last_published(), reopened.acknowledged()),
+        (store.last_published(), store.acknowledged())
+    );
     assert!(reopened.message_numbers().eq(store.message_numbers()));
 }
 
@@ -130,8 +139,8 @@
     assert!(error.contains(".ends: damaged at byte"), "{error}");
 }
 
-/// A staged outcome can be looked up by its id, is not visible to fetches, and is lost if the process ends before the
-/// commit.
+/// A staged outcome can be looked up by its id, is not visible to fetches, and is lost if the process ends
+/// before the commit.
 #[test]
 fn an_outcome_is_visible_only_after_commit_and_release() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/journal/benches/journal/main.rs
+++ b/crates/journal/benches/journal/main.rs
@@ -1,31 +1,33 @@
-//! The journal beside that of version 1, fjall and redb, doing the same work in one run. `cargo bench -p
-//! foldtrack-journal`; `-- NAME` runs one of: appends, pause, recovery, amplification, room,
+//! Compares the journal with its version 1, fjall and redb on the same work in one run: `cargo bench -p
+//! foldtrack-journal`. With `-- NAME`, runs one benchmark: appends, pause, recovery, amplification, room or
 //! cold.
 //!
-//! The work is a message's: it is taken on, and a while later it is over. Writers that wait for a sync together share
-//! it: so many records, then one sync.
+//! The work is that of a message: it is accepted, and finished a while later. Concurrent writers share syncs:
+//! one sync follows as many records as there are writers.
 
 mod v1;
 
 use fjall::{KeyspaceCreateOptions, PersistMode};
 use foldtrack_journal::disk::Disk;
-use foldtrack_journal::{Accepted, JournalDir, Journal, JournalOptions, Record};
+use foldtrack_journal::{Accepted, Journal, JournalDir, JournalOptions, Record};
 use redb::{Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use std::io;
 use std::num::NonZeroU64;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// Table of the messages in redb.
 const TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("messages");
-/// Messages that are not over at any time in the append work.
+/// Messages that are unfinished at any time in the append benchmark.
 const HELD: u64 = 500;
 
-fn number(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+/// Reads a number from the environment, with a default.
+fn number_from_env(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-/// A body that no compression makes shorter: some of the stores try.
-fn noise(number: u64, length: usize) -> Vec<u8> {
+/// An incompressible body, since some of the stores compress.
+fn incompressible_body(number: u64, length: usize) -> Vec<u8> {
     let mut random = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut words = std::iter::repeat_with(move || {
         random ^= random << 13;
@@ -47,7 +49,7 @@
         idempotency_key: Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211".into()),
         retry: None,
         expires: 1 << 50,
-        body: noise(number, body),
+        body: incompressible_body(number, body),
     }
 }
 
@@ -55,15 +57,15 @@
     JournalOptions { capacity_bytes: room, max_attempts: 8, max_endpoint_name_len: 0, durable, identity: 7 }
 }
 
-/// A store that takes messages on, forgets them, and brings what it was told to stable storage.
+/// A store under test: accepts and finishes messages, and makes a group of changes durable.
 trait Store {
-    fn take(&mut self, number: u64, body: usize);
-    fn over(&mut self, number: u64);
-    /// Ends a group; with a sync or without.
+    fn accept(&mut self, number: u64, body: usize);
+    fn finish(&mut self, number: u64);
+    /// Ends a group of changes, with or without a sync.
     fn end_group(&mut self, sync: bool);
 }
 
-/// A group in one write, as the forwarder's rounds do it, or each record alone.
+/// The journal. Writes a group with one `write`, as the forwarder does, or each record separately.
 struct Segments(Journal, bool);
 
 impl Segments {
@@ -76,10 +78,10 @@
 }
 
 impl Store for Segments {
-    fn take(&mut self, number: u64, body: usize) {
+    fn accept(&mut self, number: u64, body: usize) {
         self.write(number, &Record::Accepted(message(number, body)));
     }
-    fn over(&mut self, number: u64) {
+    fn finish(&mut self, number: u64) {
         self.write(number, &Record::Finished);
     }
     fn end_group(&mut self, sync: bool) {
@@ -94,7 +96,7 @@
 struct Version1(v1::Journal, std::fs::File);
 
 impl Store for Version1 {
-    fn take(&mut self, number: u64, body: usize) {
+    fn accept(&mut self, number: u64, body: usize) {
         let m = message(number, body);
         let accepted = v1::Accepted {
             id: m.id,
@@ -108,11 +110,11 @@
         };
         self.0.append(number, &v1::Record::Accepted(accepted)).unwrap();
     }
-    fn over(&mut self, number: u64) {
+    fn finish(&mut self, number: u64) {
         self.0.append(number, &v1::Record::Finished).unwrap();
     }
     fn end_group(&mut self, sync: bool) {
-        // It never synced: what it would have cost, had it.
+        // Version 1 never synced. This measures what a sync would have cost.
         if sync {
             self.1.sync_all().unwrap();
         }
@@ -122,11 +124,11 @@
 struct Fjall(fjall::Database, fjall::Keyspace, fjall::OwnedWriteBatch);
 
 impl Store for Fjall {
-    fn take(&mut self, number: u64, body: usize) {
+    fn accept(&mut self, number: u64, body: usize) {
         let bytes = foldtrack_journal::frame::encode(&message(number, body)).unwrap();
         self.2.insert(&self.1, number.to_be_bytes(), bytes);
     }
-    fn over(&mut self, number: u64) {
+    fn finish(&mut self, number: u64) {
         self.2.remove(&self.1, number.to_be_bytes());
     }
     fn end_group(&mut self, sync: bool) {
@@ -139,10 +141,10 @@
 struct Redb(redb::Database, Vec<(u64, Option<usize>)>);
 
 impl Store for Redb {
-    fn take(&mut self, number: u64, body: usize) {
+    fn accept(&mut self, number: u64, body: usize) {
         self.1.push((number, Some(body)));
     }
-    fn over(&mut self, number: u64) {
+    fn finish(&mut self, number: u64) {
         self.1.push((number, None));
     }
     fn end_group(&mut self, sync: bool) {
@@ -186,12 +188,12 @@
 const KINDS: [&str; 5] = ["segments", "one by one", "version 1", "fjall", "redb"];
 
 fn appends() {
-    println!("appends a second (a message is two records: taken on, over), {HELD} held; ratio to segments");
+    println!("appends per second (a message is two records: accepted, finished), {HELD} messages held; ratio to segments");
     for (body, sync, messages) in
         [(200, false, 40_000), (16_384, false, 8_000), (200, true, 4_000), (16_384, true, 2_000)]
     {
         for writers in [1, 8, 64] {
-            // A writer alone syncs for each record: fewer do.
+            // A single writer syncs after each record, so it writes fewer messages.
             let messages = if sync && writers == 1 { messages / 8 } else { messages };
             let mut line =
                 format!("  {body:>5} B {} {writers:>2} writers:", if sync { "sync   " } else { "no sync" });
@@ -201,9 +203,9 @@
                 let mut store = open(kind, folder.path());
                 let (start, mut in_group) = (Instant::now(), 0);
                 for n in 1..=messages {
-                    store.take(n, body);
+                    store.accept(n, body);
                     if n > HELD {
-                        store.over(n - HELD);
+                        store.finish(n - HELD);
                     }
                     in_group += 1;
                     if in_group == writers {
@@ -221,24 +223,24 @@
     }
 }
 
-/// 100 MB are held; the longest times that taking one on and ending one take, with a step of the compaction.
+/// Longest times to accept and finish a message, with a compaction step, while 100 MB of messages are held.
 fn pause() {
     let (body, held) = (50_000, 2_000);
-    let passing = number("PASSING", 20_000);
-    println!("pause: {held} messages of {body} bytes held, {passing} of 10000 passing; one round's time");
+    let passing = number_from_env("PASSING", 20_000);
+    println!("pause: {held} messages of {body} bytes held, {passing} messages of 10000 bytes passing through; time of a round");
     for kind in KINDS {
         let folder = tempfile::tempdir().unwrap();
         let mut store = open(kind, folder.path());
         for n in 1..=held {
-            store.take(n, body);
+            store.accept(n, body);
             store.end_group(false);
         }
         let mut times: Vec<f64> = (0..passing)
             .map(|n| {
                 let start = Instant::now();
-                store.take(held + 1 + n, 10_000);
+                store.accept(held + 1 + n, 10_000);
                 if n > 50 {
-                    store.over(held + 1 + n - 50);
+                    store.finish(held + 1 + n - 50);
                 }
                 store.end_group(false);
                 start.elapsed().as_secs_f64() * 1e3
@@ -252,12 +254,12 @@
 
 fn recovery() {
     let records = 100_000;
-    println!("recovery: {records} messages of 200 bytes that are not over");
+    println!("recovery: {records} unfinished messages of 200 bytes");
     for kind in KINDS {
         let folder = tempfile::tempdir().unwrap();
         let mut store = open(kind, folder.path());
         for n in 1..=records {
-            store.take(n, 200);
+            store.accept(n, 200);
             if n % 64 == 0 {
                 store.end_group(false);
             }
@@ -286,52 +288,53 @@
     }
 }
 
-/// Messages of 1,000 bytes turn over in a room of 8 MB of which so much is live.
+/// Messages of 1,000 bytes are replaced in a journal with a capacity of 8 MB, at different shares of live
+/// records.
 fn amplification() {
-    println!("write amplification: bytes written for each byte that the owner appends, room 8 MB");
+    println!("write amplification: bytes written for each byte that the owner appends, capacity 8 MB");
     for percent in [10, 50, 90] {
         let folder = tempfile::tempdir().unwrap();
         let (mut journal, _) = Journal::open(folder.path(), options(8 << 20, false)).unwrap();
         let (mut first, mut last) = (1, 0);
-        // Of what may be live at the most, since more is not taken on.
-        let mut most = 0;
+        // The shares refer to the maximum of live bytes, since no more is accepted.
+        let mut max_live = 0;
         while journal.has_capacity(1_200) {
             last += 1;
             journal.append(last, &Record::Accepted(message(last, 1_000))).unwrap();
-            most = journal.live_bytes();
+            max_live = journal.live_bytes();
         }
-        while journal.live_bytes() > most / 100 * percent {
+        while journal.live_bytes() > max_live / 100 * percent {
             journal.append(first, &Record::Finished).unwrap();
             first += 1;
         }
-        let before = journal.written();
+        let before = journal.write_stats();
         let mut longest = 0;
         for n in 0..60_000u64 {
             last += 1;
             journal.append(last, &Record::Accepted(message(last, 1_000))).unwrap();
-            // Some stay for long: what is over is not simply the oldest.
+            // Every fourth message stays long, so that it is not always the oldest that is finished.
             let over = if n % 4 == 0 { first } else { last - 20 };
             if over >= first {
                 journal.append(over, &Record::Finished).unwrap();
             }
             first += u64::from(n % 4 == 0);
-            while journal.live_bytes() > most / 100 * percent {
+            while journal.live_bytes() > max_live / 100 * percent {
                 journal.append(first, &Record::Finished).unwrap();
                 first += 1;
             }
             journal.compact_step(Instant::now() + Duration::from_micros(300)).unwrap();
             longest = longest.max(journal.disk_bytes());
         }
-        let (appended, carried) = (journal.written().0 - before.0, journal.written().1 - before.1);
+        let (appended, carried) = (journal.write_stats().0 - before.0, journal.write_stats().1 - before.1);
         println!(
-            "  {percent}% of the most that may be live: {:.2}; files {longest} bytes at the most",
+            "  {percent}% of the maximum of live bytes: {:.2}; files at most {longest} bytes",
             (appended + carried) as f64 / appended as f64
         );
     }
 }
 
 fn room() {
-    println!("messages that fit a room of 3 MB, with what is set aside for 8 attempts of each");
+    println!("messages that fit a capacity of 3 MB, with space reserved for 8 attempts of each");
     for body in [200, 2_000, 20_000, 64_000] {
         let count = |taken: &mut dyn FnMut(u64) -> bool| (1..).take_while(|n| taken(*n)).count();
         let (one, two) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
@@ -348,7 +351,7 @@
         let before = count(&mut |n| {
             let fits = old.0.has_capacity(body + 128);
             if fits {
-                old.take(n, body);
+                old.accept(n, body);
             }
             fits
         });
@@ -356,22 +359,22 @@
     }
 }
 
-/// A disk that is not told what will be read.
-struct Untold(JournalDir);
+/// A disk that does not prefetch.
+struct WithoutPrefetch(JournalDir);
 
-impl Disk for Untold {
-    fn will_read(&mut self, _: u64, _: u64, _: NonZeroU64) {}
+impl Disk for WithoutPrefetch {
+    fn prefetch(&mut self, _: u64, _: u64, _: NonZeroU64) {}
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         self.0.segments()
     }
-    fn create(&mut self, segment: u64, room: u64) -> io::Result<()> {
-        self.0.create(segment, room)
+    fn create(&mut self, segment: u64, reserve: u64) -> io::Result<()> {
+        self.0.create(segment, reserve)
     }
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<usize> {
         self.0.append(segment, bytes)
     }
-    fn read(&mut self, segment: u64, at: u64, buffer: &mut [u8]) -> io::Result<()> {
-        self.0.read(segment, at, buffer)
+    fn read(&mut self, segment: u64, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+        self.0.read(segment, offset, buffer)
     }
     fn length(&mut self, segment: u64) -> io::Result<u64> {
         self.0.length(segment)
@@ -391,18 +394,19 @@
     fn identity(&mut self) -> io::Result<Option<Vec<u8>>> {
         self.0.identity()
     }
-    fn keep_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.0.keep_identity(bytes)
+    fn store_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.0.store_identity(bytes)
     }
-    fn old(&mut self) -> io::Result<Option<Vec<u8>>> {
-        self.0.old()
+    fn v1_file(&mut self) -> io::Result<Option<Vec<u8>>> {
+        self.0.v1_file()
     }
-    fn remove_old(&mut self) -> io::Result<()> {
-        self.0.remove_old()
+    fn remove_v1(&mut self) -> io::Result<()> {
+        self.0.remove_v1()
     }
 }
 
-/// What was held has left the page cache: how long a step of the compaction takes, when the disk is told ahead and not.
+/// Duration of a compaction step with and without prefetching, when the held messages have left the page
+/// cache.
 fn cold() {
     fn steps(disk: impl Disk, folder: &Path, name: &str) {
         let (body, held) = (50_000, 1_000);
@@ -421,11 +425,11 @@
             if n > 50 {
                 journal.append(held + 1 + n - 50, &Record::Finished).unwrap();
             }
-            let (start, before) = (Instant::now(), journal.written().1);
+            let (start, before) = (Instant::now(), journal.write_stats().1);
             journal.compact_step(start + Duration::from_micros(300)).unwrap();
-            // The forwarder's rounds have other work and the sockets between them.
+            // Between two rounds, the forwarder does other work and handles its sockets.
             let took = start.elapsed();
-            if journal.written().1 > before {
+            if journal.write_stats().1 > before {
                 times.push(took.as_secs_f64() * 1e3);
             }
             std::thread::sleep(Duration::from_micros(100));
@@ -434,17 +438,17 @@
         let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize];
         let (p50, p99, longest) = (at(0.5), at(0.99), at(1.0));
         println!(
-            "  {name:<10} {} steps that carried: p50 {p50:.2}, p99 {p99:.2}, longest {longest:.2} ms",
+            "  {name:<10} {} steps that rewrote records: p50 {p50:.2}, p99 {p99:.2}, longest {longest:.2} ms",
             times.len()
         );
     }
     println!(
-        "cold: 1,000 messages of 50,000 bytes held and gone from the page cache; one step of the compaction"
+        "cold: 1,000 messages of 50,000 bytes held and evicted from the page cache; time of a compaction step"
     );
     for _ in 0..3 {
         let (one, two) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-        steps(JournalDir::new(one.path()).unwrap(), one.path(), "told ahead");
-        steps(Untold(JournalDir::new(two.path()).unwrap()), two.path(), "not told");
+        steps(JournalDir::new(one.path()).unwrap(), one.path(), "prefetch");
+        steps(WithoutPrefetch(JournalDir::new(two.path()).unwrap()), two.path(), "none");
     }
 }
 
--- a/crates/journal/benches/journal/v1.rs
+++ b/crates/journal/benches/journal/v1.rs
@@ -1,4 +1,5 @@
-//! The journal of version 1, as it was: one file, every live frame in memory, compacted in one stroke. For comparison.
+//! The version 1 journal, for comparison: a single file, with all live frames in memory, compacted in one
+//! step.
 #![allow(missing_docs, dead_code, unreachable_pub)]
 
 use foldtrack_journal::frame;
@@ -8,107 +9,108 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Room between two compactions at the least, and for files to count in whole blocks.
-const SLACK: u64 = 16 * 1024;
-/// A file this far over twice what is live is compacted, however much room there is.
-const STALE: u64 = 1 << 20;
-/// Bytes at most that the two records of an attempt, and the one of a notice, take.
+/// Minimum space between two compactions, which also covers rounding to whole blocks. In bytes.
+const SLACK_BYTES: u64 = 16 * 1024;
+/// A file that exceeds twice the live bytes by this many bytes is compacted, even if there is space.
+const MAX_STALE_BYTES: u64 = 1 << 20;
+/// Upper bound in bytes of the two records of an attempt.
 const ATTEMPT_BYTES: u64 = 64;
+/// Upper bound in bytes of the record of a notice.
 const NOTICE_BYTES: u64 = 64;
 
-/// Whether an attempt has run, as far as its outcome tells.
+/// Whether an attempt has run at the partner, as far as its outcome shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptEffect {
-    /// Surely not.
+    /// The attempt certainly did not run.
     NeverRan,
-    /// It did, or nobody can tell.
+    /// The attempt ran, or this can't be known.
     MayHaveRun,
 }
 
-/// The end of a message that is not delivered.
+/// Final status of a message that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FailureNotice {
-    /// Failed: nothing is promised.
+    /// Given up: the message may or may not have taken effect.
     GivenUp,
-    /// Refused: handing it in again is harmless.
+    /// Returned to the client: sending the message again is safe.
     HandedBack {
-        /// After so many milliseconds, 0 for no advice.
+        /// Suggested delay before sending it again, in milliseconds; 0 if there is no suggestion.
         retry_in_ms: u64,
     },
 }
 
-/// A message as it was taken on. Times are Unix time in microseconds.
+/// A message as it was accepted from the client. Times are Unix time in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// As the client named it.
+    /// The id that the client gave the message.
     pub id: String,
-    /// The class's name.
+    /// Name of the message's class.
     pub class: String,
-    /// The number of its destination.
+    /// Destination number.
     pub destination: u32,
-    /// The key of its order, empty for none.
+    /// The order key; empty if the message is not ordered.
     pub key: String,
-    /// Goes on unchanged.
+    /// The client's idempotency key, passed on unchanged.
     pub idempotency_key: Option<String>,
-    /// What `X-Retry` said, for the operators.
+    /// Value of the `X-Retry` header, for operators.
     pub retry: Option<String>,
-    /// Until when it may be delivered.
+    /// Deadline for the delivery.
     pub expires: u64,
-    /// Any bytes.
+    /// The message body, uninterpreted.
     pub body: Vec<u8>,
 }
 
-/// What has happened to a message.
+/// A record of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Taken on.
+    /// The message was accepted.
     Accepted(Accepted),
-    /// Written before the attempt's first byte.
+    /// An attempt is about to send its first byte.
     Begun {
-        /// When, Unix time in microseconds.
+        /// Start of the attempt, Unix time in microseconds.
         at: u64,
-        /// The target's zone.
+        /// Zone of the target.
         zone: u32,
     },
-    /// Of the attempt that was out: there is never more than one.
+    /// The attempt in flight has ended. A message has at most one attempt in flight.
     Ended(AttemptEffect),
-    /// Written before the notice is sent.
+    /// The notice for the client is about to be sent.
     #[serde(rename = "Noticed")]
     FailureNoticed(FailureNotice),
-    /// Delivered, or its notice is answered.
+    /// The message is finished: delivered, or its notice was acknowledged.
     #[serde(rename = "Over")]
     Finished,
 }
 
-/// An attempt as the journal knows it; without a effect it was out when the process ended.
+/// An attempt as the journal records it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptRecord {
-    /// When it began, Unix time in microseconds.
+    /// Start of the attempt, Unix time in microseconds.
     pub at: u64,
-    /// The target's zone.
+    /// Zone of the target.
     pub zone: u32,
-    /// Whether it has run.
+    /// Whether the attempt has run; `None` if it was in flight when the process ended.
     pub effect: Option<AttemptEffect>,
 }
 
-/// What a restart finds of a message.
+/// State of a message as a restart recovers it.
 #[derive(Debug)]
 pub struct RecoveredMessage {
-    /// As it was taken on.
+    /// The message as it was accepted.
     pub accepted: Accepted,
-    /// Its attempts, in their order.
+    /// All attempts, in the order in which they began.
     pub attempts: Vec<AttemptRecord>,
-    /// Its end, if that has not been answered yet.
+    /// The final status, if its notice has not been acknowledged yet.
     pub notice: Option<FailureNotice>,
 }
 
-/// The journal of one process.
+/// The journal of a process.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
     file: File,
     length: u64,
-    /// The frames of each message that is not over, by its number in the order of arrival.
+    /// The frames of each unfinished message, by message number, in the order of arrival.
     live: BTreeMap<u64, Vec<u8>>,
     live_bytes: u64,
     room: u64,
@@ -116,12 +118,13 @@
 }
 
 impl Journal {
-    /// Opens the journal of a folder that may hold `room` bytes, and tells what is not over.
+    /// Opens the journal of a folder with a capacity of `room` bytes, and returns the unfinished messages by
+    /// number.
     pub fn open(
         folder: &Path, room: u64, max_attempts: u32,
     ) -> io::Result<(Journal, BTreeMap<u64, RecoveredMessage>)> {
         let path = folder.join("journal");
-        // A compaction that the process did not live to finish.
+        // Left over from a compaction that did not finish.
         let _ = fs::remove_file(path.with_extension("new"));
         let file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
         let bytes = fs::read(&path)?;
@@ -132,20 +135,20 @@
         let mut at = 0;
         while at < bytes.len() {
             if let Some((frame, (number, record))) = frame::decode(&bytes[at..]) {
-                replay(&mut restored, number, &record);
-                journal.keep(number, &record, frame);
+                apply_record(&mut restored, number, &record);
+                journal.index_record(number, &record, frame);
                 at += frame.len();
                 continue;
             }
             match (at + 1..bytes.len()).find(|next| frame::decode::<(u64, Record)>(&bytes[*next..]).is_some())
             {
                 Some(next) => {
-                    eprintln!("journal: {} damaged bytes at {at} passed over", next - at);
+                    eprintln!("journal: {} damaged bytes at {at} skipped", next - at);
                     at = next;
                 }
                 None => {
                     eprintln!(
-                        "journal: cut at {at}, {} bytes of a record that was not finished",
+                        "journal: truncated at byte {at}, removing an incomplete record of {} bytes",
                         bytes.len() - at
                     );
                     journal.file.set_len(at as u64)?;
@@ -154,45 +157,45 @@
             }
         }
         journal.length = at as u64;
-        // Damage may have taken what the frames of a message rest on: they are of no use then.
+        // Without its first record, which may be damaged, the other frames of a message are useless.
         journal.live.retain(|number, _| restored.contains_key(number));
         journal.live_bytes = journal.live.values().map(|f| f.len() as u64).sum();
         Ok((journal, restored))
     }
 
-    /// Whether a message of about this size can be taken on, with all that may have to be written of it: the
-    /// live frames must fit twice, once in the old file and once in the new one of a compaction.
+    /// Whether a message of about `size` bytes can be accepted, including space for all its later records:
+    /// the live frames must fit twice, in the old and in the new file of a compaction.
     pub fn has_capacity(&self, size: usize) -> bool {
         let messages = self.live.len() as u64 + 1;
-        2 * (self.live_bytes + size as u64 + messages * self.reserve) + SLACK <= self.room
+        2 * (self.live_bytes + size as u64 + messages * self.reserve) + SLACK_BYTES <= self.room
     }
 
-    /// Appends a record and keeps it in mind.
+    /// Appends a record to the file and to the frames in memory.
     ///
     /// # Errors
-    /// The record is not in the file: the disk is full, say. What was written of it is cut off again.
+    /// The record is not in the file, for example because the disk is full. A partial record is truncated.
     pub fn append(&mut self, number: u64, record: &Record) -> io::Result<()> {
         let frame = frame::encode(&(number, record))?;
         let length = self.length + frame.len() as u64;
-        let full = length + self.live_bytes + frame.len() as u64 + SLACK / 2 > self.room;
-        if full || length > 2 * self.live_bytes + STALE {
+        let full = length + self.live_bytes + frame.len() as u64 + SLACK_BYTES / 2 > self.room;
+        if full || length > 2 * self.live_bytes + MAX_STALE_BYTES {
             self.compact()?;
         }
         if let Err(error) = self.file.write_all(&frame) {
-            // What was written of it would stand between the records that follow.
+            // A partial record would stand between the records that follow.
             let _ = self.file.set_len(self.length);
             return Err(error);
         }
         self.length += frame.len() as u64;
-        self.keep(number, record, &frame);
+        self.index_record(number, record, &frame);
         Ok(())
     }
 
-    fn keep(&mut self, number: u64, record: &Record, frame: &[u8]) {
+    fn index_record(&mut self, number: u64, record: &Record, frame: &[u8]) {
         match record {
             Record::Finished => {
-                let gone = self.live.remove(&number).map_or(0, |f| f.len());
-                self.live_bytes -= gone as u64;
+                let removed = self.live.remove(&number).map_or(0, |f| f.len());
+                self.live_bytes -= removed as u64;
             }
             _ => {
                 self.live.entry(number).or_default().extend_from_slice(frame);
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Writes what is live to a new file that takes the old one's place.
+    /// Writes the live frames to a new file and replaces the old one with it.
     fn compact(&mut self) -> io::Result<()> {
         let new = self.path.with_extension("new");
         let mut bytes = Vec::with_capacity(self.live_bytes as usize);
@@ -220,7 +223,7 @@
     }
 }
 
-fn replay(restored: &mut BTreeMap<u64, RecoveredMessage>, number: u64, record: &Record) {
+fn apply_record(restored: &mut BTreeMap<u64, RecoveredMessage>, number: u64, record: &Record) {
     if let Record::Accepted(accepted) = record {
         let fresh = RecoveredMessage { accepted: accepted.clone(), attempts: Vec::new(), notice: None };
         restored.insert(number, fresh);
@@ -228,10 +231,12 @@
     }
     let Some(message) = restored.get_mut(&number) else { return };
     match record {
-        Record::Begun { at, zone } => message.attempts.push(AttemptRecord { at: *at, zone: *zone, effect: None }),
+        Record::Begun { at, zone } => {
+            message.attempts.push(AttemptRecord { at: *at, zone: *zone, effect: None })
+        }
         Record::Ended(effect) => {
-            if let Some(tried) = message.attempts.last_mut() {
-                tried.effect = Some(*effect);
+            if let Some(attempt) = message.attempts.last_mut() {
+                attempt.effect = Some(*effect);
             }
         }
         Record::FailureNoticed(notice) => message.notice = Some(*notice),
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -9,16 +9,16 @@
 use std::path::{Path, PathBuf};
 
 /// Name of the folder of the segments. In version 1, the journal was a single file of this name.
-const NAME: &str = "journal";
+const SEGMENTS_DIR: &str = "journal";
 /// Name of the version 1 file until its contents have been moved to segments.
-const OLD: &str = "journal.v1";
+const V1_FILE: &str = "journal.v1";
 /// File with the second copy of the journal's identity, in the folder of the segments.
-const IDENTITY: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 /// Upper bound of the size of the identity file in bytes; a longer file was not written by this program.
-const IDENTITY_MOST: u64 = 512;
+const MAX_IDENTITY_BYTES: u64 = 512;
 
-/// Storage of a journal: numbered segments, and possibly the single file of version 1. Any operation may fail. The effect
-/// of a failed operation is unknown, but records that were complete before it stay readable.
+/// Storage of a journal: numbered segments, and possibly the single file of version 1. Any operation may
+/// fail. The effect of a failed operation is unknown, but records that were complete before it stay readable.
 pub trait Disk {
     /// Numbers of the existing segments, in ascending order.
     ///
@@ -26,11 +26,11 @@
     /// The folder can't be read.
     fn segments(&mut self) -> io::Result<Vec<u64>>;
 
-    /// Creates an empty segment and preallocates `room` bytes for it where the file system supports that.
+    /// Creates an empty segment and preallocates `reserve` bytes for it where the file system supports that.
     ///
     /// # Errors
     /// No space or file descriptor is available, or the segment exists.
-    fn create(&mut self, segment: u64, room: u64) -> io::Result<()>;
+    fn create(&mut self, segment: u64, reserve: u64) -> io::Result<()>;
 
     /// Appends bytes and returns how many were written. Like `write`, it may write only a part of them.
     ///
@@ -38,15 +38,15 @@
     /// Nothing was written, or an unknown part.
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Fills the buffer from offset `at` of a segment.
+    /// Fills the buffer from an offset in a segment.
     ///
     /// # Errors
     /// The segment is too short, or can't be read.
-    fn read(&mut self, segment: u64, at: u64, buffer: &mut [u8]) -> io::Result<()>;
+    fn read(&mut self, segment: u64, offset: u64, buffer: &mut [u8]) -> io::Result<()>;
 
-    /// Announces that bytes of a segment will be read soon, so that the disk can prefetch them. Does not block; an
-    /// implementation may ignore it.
-    fn will_read(&mut self, segment: u64, at: u64, bytes: NonZeroU64);
+    /// Announces that bytes of a segment will be read soon, so that the disk can prefetch them. Does not
+    /// block; an implementation may ignore it.
+    fn prefetch(&mut self, segment: u64, offset: u64, bytes: NonZeroU64);
 
     /// Length of a segment in bytes.
     ///
@@ -78,7 +78,7 @@
     /// The segment may or may not have been removed.
     fn remove(&mut self, segment: u64) -> io::Result<()>;
 
-    /// The identity stored by [`Disk::keep_identity`], if there is one.
+    /// The identity stored by [`Disk::store_identity`], if there is one.
     ///
     /// # Errors
     /// It can't be read.
@@ -88,19 +88,19 @@
     ///
     /// # Errors
     /// The identity may be stored wholly, in part, or not at all.
-    fn keep_identity(&mut self, bytes: &[u8]) -> io::Result<()>;
+    fn store_identity(&mut self, bytes: &[u8]) -> io::Result<()>;
 
     /// Contents of the version 1 file, if there is one.
     ///
     /// # Errors
     /// It can't be read.
-    fn old(&mut self) -> io::Result<Option<Vec<u8>>>;
+    fn v1_file(&mut self) -> io::Result<Option<Vec<u8>>>;
 
     /// Removes the version 1 file.
     ///
     /// # Errors
     /// The file may or may not have been removed.
-    fn remove_old(&mut self) -> io::Result<()>;
+    fn remove_v1(&mut self) -> io::Result<()>;
 }
 
 /// Implementation of [`Disk`] in a state folder of the file system.
@@ -109,35 +109,36 @@
     state: PathBuf,
     path: PathBuf,
     files: BTreeMap<u64, File>,
-    reads_only: bool,
+    read_only: bool,
     budget: Option<Budget>,
 }
 
 /// Adds the path to an error's text.
-fn named(path: &Path, error: &io::Error) -> io::Error {
+fn with_path(path: &Path, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
 
 impl JournalDir {
-    /// Opens the journal folder in an existing state folder, or creates it. A version 1 file of the same name is renamed.
+    /// Opens the journal folder in an existing state folder, or creates it. A version 1 file of the same name
+    /// is renamed.
     ///
     /// # Errors
     /// The folder can't be created, or the file can't be renamed.
     pub fn new(state: &Path) -> io::Result<JournalDir> {
-        let folder = JournalDir::at_state(state, false);
+        let folder = JournalDir::in_state_folder(state, false);
         if folder.path.is_file() {
-            fs::rename(&folder.path, state.join(OLD)).map_err(|e| named(&folder.path, &e))?;
+            fs::rename(&folder.path, state.join(V1_FILE)).map_err(|e| with_path(&folder.path, &e))?;
         }
-        fs::create_dir_all(&folder.path).map_err(|e| named(&folder.path, &e))?;
+        fs::create_dir_all(&folder.path).map_err(|e| with_path(&folder.path, &e))?;
         Ok(folder)
     }
 
-    fn at_state(state: &Path, reads_only: bool) -> JournalDir {
+    fn in_state_folder(state: &Path, read_only: bool) -> JournalDir {
         JournalDir {
             state: state.to_path_buf(),
-            path: state.join(NAME),
+            path: state.join(SEGMENTS_DIR),
             files: BTreeMap::new(),
-            reads_only,
+            read_only,
             budget: None,
         }
     }
@@ -150,7 +151,7 @@
 
     /// Opens the folder without write access, for tools that run beside the owner of the journal.
     pub fn read_only(state: &Path) -> JournalDir {
-        JournalDir::at_state(state, true)
+        JournalDir::in_state_folder(state, true)
     }
 
     /// Name of a segment's file.
@@ -158,15 +159,15 @@
         format!("{segment:08}")
     }
 
-    fn at(&self, segment: u64) -> PathBuf {
+    fn segment_path(&self, segment: u64) -> PathBuf {
         self.path.join(JournalDir::file_name(segment))
     }
 
     fn file(&mut self, segment: u64) -> io::Result<&mut File> {
         if !self.files.contains_key(&segment) {
-            let path = self.at(segment);
-            let opened = OpenOptions::new().read(true).append(!self.reads_only).open(&path);
-            self.files.insert(segment, opened.map_err(|e| named(&path, &e))?);
+            let path = self.segment_path(segment);
+            let opened = OpenOptions::new().read(true).append(!self.read_only).open(&path);
+            self.files.insert(segment, opened.map_err(|e| with_path(&path, &e))?);
         }
         self.files.get_mut(&segment).ok_or_else(|| io::Error::other("no such segment"))
     }
@@ -194,8 +195,8 @@
         if !self.path.is_dir() {
             return Ok(numbers);
         }
-        for entry in fs::read_dir(&self.path).map_err(|e| named(&self.path, &e))? {
-            let name = entry.map_err(|e| named(&self.path, &e))?.file_name();
+        for entry in fs::read_dir(&self.path).map_err(|e| with_path(&self.path, &e))? {
+            let name = entry.map_err(|e| with_path(&self.path, &e))?.file_name();
             let number = name.to_str().and_then(|n| n.parse::<u64>().ok());
             numbers.extend(number);
         }
@@ -203,28 +204,29 @@
         Ok(numbers)
     }
 
-    fn create(&mut self, segment: u64, room: u64) -> io::Result<()> {
-        let path = self.at(segment);
+    fn create(&mut self, segment: u64, reserve: u64) -> io::Result<()> {
+        let path = self.segment_path(segment);
         if let Some(budget) = &self.budget {
-            if budget.grant(room).map_err(|e| named(&path, &e))? < room {
-                return Err(named(
+            if budget.grant(reserve).map_err(|e| with_path(&path, &e))? < reserve {
+                return Err(with_path(
                     &path,
                     &io::Error::new(io::ErrorKind::StorageFull, "the disk budget is used up"),
                 ));
             }
         }
-        let made = OpenOptions::new().read(true).append(true).create_new(true).open(&path);
-        let file = made.map_err(|e| named(&path, &e))?;
-        if room > 0 {
-            // Preallocates space, so that accepted messages can be finished on a full disk. The file's length stays 0.
-            let set_aside = rustix::fs::fallocate(&file, rustix::fs::FallocateFlags::KEEP_SIZE, 0, room)
+        let opened = OpenOptions::new().read(true).append(true).create_new(true).open(&path);
+        let file = opened.map_err(|e| with_path(&path, &e))?;
+        if reserve > 0 {
+            // Preallocates space, so that accepted messages can be finished on a full disk. The file's length
+            // stays 0.
+            let allocated = rustix::fs::fallocate(&file, rustix::fs::FallocateFlags::KEEP_SIZE, 0, reserve)
                 .map_err(io::Error::from);
-            match set_aside {
+            match allocated {
                 Err(e)
                     if e.kind() == io::ErrorKind::StorageFull || e.kind() == io::ErrorKind::QuotaExceeded =>
                 {
                     let _ = fs::remove_file(&path);
-                    return Err(named(&path, &e));
+                    return Err(with_path(&path, &e));
                 }
                 // The file system does not support preallocation. Writes may then fail, which is handled.
                 _ => {}
@@ -235,85 +237,85 @@
     }
 
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<usize> {
-        let path = self.at(segment);
+        let path = self.segment_path(segment);
         let budget = self.budget.clone();
         let file = self.file(segment)?;
         let admitted = match budget {
             Some(budget) => file.metadata().and_then(|m| budget.admit(file, m.len(), bytes.len())),
             None => Ok(bytes.len()),
         };
-        admitted.and_then(|count| file.write(&bytes[..count])).map_err(|e| named(&path, &e))
+        admitted.and_then(|count| file.write(&bytes[..count])).map_err(|e| with_path(&path, &e))
     }
 
-    fn read(&mut self, segment: u64, at: u64, buffer: &mut [u8]) -> io::Result<()> {
-        let path = self.at(segment);
-        self.file(segment)?.read_exact_at(buffer, at).map_err(|e| named(&path, &e))
+    fn read(&mut self, segment: u64, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+        let path = self.segment_path(segment);
+        self.file(segment)?.read_exact_at(buffer, offset).map_err(|e| with_path(&path, &e))
     }
 
-    fn will_read(&mut self, segment: u64, at: u64, bytes: NonZeroU64) {
+    fn prefetch(&mut self, segment: u64, offset: u64, bytes: NonZeroU64) {
         if let Ok(file) = self.file(segment) {
             // Only a hint: if the file system ignores it, later reads block as they would without it.
-            let _ = rustix::fs::fadvise(file, at, Some(bytes), rustix::fs::Advice::WillNeed);
+            let _ = rustix::fs::fadvise(file, offset, Some(bytes), rustix::fs::Advice::WillNeed);
         }
     }
 
     fn length(&mut self, segment: u64) -> io::Result<u64> {
-        let path = self.at(segment);
-        self.file(segment)?.metadata().map(|m| m.len()).map_err(|e| named(&path, &e))
+        let path = self.segment_path(segment);
+        self.file(segment)?.metadata().map(|m| m.len()).map_err(|e| with_path(&path, &e))
     }
 
     fn truncate(&mut self, segment: u64, length: u64) -> io::Result<()> {
-        let path = self.at(segment);
-        self.file(segment)?.set_len(length).map_err(|e| named(&path, &e))
+        let path = self.segment_path(segment);
+        self.file(segment)?.set_len(length).map_err(|e| with_path(&path, &e))
     }
 
     fn sync(&mut self, segment: u64) -> io::Result<()> {
-        let path = self.at(segment);
-        self.file(segment)?.sync_data().map_err(|e| named(&path, &e))
+        let path = self.segment_path(segment);
+        self.file(segment)?.sync_data().map_err(|e| with_path(&path, &e))
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.folder().and_then(|f| f.sync_all()).map_err(|e| named(&self.path, &e))
+        self.folder().and_then(|f| f.sync_all()).map_err(|e| with_path(&self.path, &e))
     }
 
     fn remove(&mut self, segment: u64) -> io::Result<()> {
-        let path = self.at(segment);
-        fs::remove_file(&path).map_err(|e| named(&path, &e))?;
+        let path = self.segment_path(segment);
+        fs::remove_file(&path).map_err(|e| with_path(&path, &e))?;
         self.files.remove(&segment);
         Ok(())
     }
 
     fn identity(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let path = self.path.join(IDENTITY);
+        let path = self.path.join(IDENTITY_FILE);
         let mut bytes = Vec::new();
-        match File::open(&path).and_then(|file| file.take(IDENTITY_MOST).read_to_end(&mut bytes)) {
+        match File::open(&path).and_then(|file| file.take(MAX_IDENTITY_BYTES).read_to_end(&mut bytes)) {
             Ok(_) => Ok(Some(bytes)),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(named(&path, &e)),
+            Err(e) => Err(with_path(&path, &e)),
         }
     }
 
-    fn keep_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let path = self.path.join(IDENTITY);
-        let kept =
+    fn store_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let path = self.path.join(IDENTITY_FILE);
+        let stored =
             File::create(&path).and_then(|mut file| file.write_all(bytes).and_then(|()| file.sync_all()));
-        kept.map_err(|e| named(&path, &e))
+        stored.map_err(|e| with_path(&path, &e))
     }
 
-    fn old(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let path = if self.path.is_file() { self.path.clone() } else { self.state.join(OLD) };
+    fn v1_file(&mut self) -> io::Result<Option<Vec<u8>>> {
+        let path = if self.path.is_file() { self.path.clone() } else { self.state.join(V1_FILE) };
         match fs::read(&path) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(named(&path, &e)),
+            Err(e) => Err(with_path(&path, &e)),
         }
     }
 
-    fn remove_old(&mut self) -> io::Result<()> {
-        let path = self.state.join(OLD);
-        fs::remove_file(&path).map_err(|e| named(&path, &e))?;
+    fn remove_v1(&mut self) -> io::Result<()> {
+        let path = self.state.join(V1_FILE);
+        fs::remove_file(&path).map_err(|e| with_path(&path, &e))?;
         // Left over from a compaction of the version 1 file that did not finish.
         let _ = fs::remove_file(self.state.join("journal.new"));
-        File::open(&self.state).and_then(|f| f.sync_all()).map_err(|e| named(&self.state, &e))
+        File::open(&self.state).and_then(|f| f.sync_all()).map_err(|e| with_path(&self.state, &e))
     }
 }
--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -4,10 +4,10 @@
 
 /// Version of the format.
 pub const VERSION: u32 = 2;
-/// Size of the header in bytes: marker, version, identity of the journal and number of the segment (little-endian), and
-/// the CRC-32 of these.
-pub const HEADER: usize = 32;
-const MARK: [u8; 8] = *b"foldjrnl";
+/// Size of the header in bytes: marker, version, identity of the journal and number of the segment
+/// (little-endian), and the CRC-32 of these.
+pub const HEADER_BYTES: usize = 32;
+const MARKER: [u8; 8] = *b"foldjrnl";
 
 /// Whether an attempt has run at the partner, as far as its outcome shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,8 @@
     pub body: Vec<u8>,
 }
 
-/// A record of a message. The encoding uses the position of each variant, so new ones must be added at the end.
+/// A record of a message. The encoding uses the position of each variant, so new ones must be added at the
+/// end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// The message was accepted. The time of acceptance is not recorded.
@@ -90,7 +91,8 @@
     },
     /// The message was delivered, and the client has yet to be told.
     Delivered,
-    /// An attempt is about to send its first byte. Attempts are numbered, so that the loss of a record is detected.
+    /// An attempt is about to send its first byte. Attempts are numbered, so that the loss of a record is
+    /// detected.
     #[serde(rename = "Try")]
     AttemptStarted {
         /// Number of the attempt, from 0.
@@ -112,7 +114,8 @@
         effect: AttemptEffect,
     },
     /// Complete state of a message, which replaces all its earlier records. Written by the compaction.
-    Carried(Box<RecoveredMessage>),
+    #[serde(rename = "Carried")]
+    Snapshot(Box<RecoveredMessage>),
 }
 
 /// An attempt as the journal records it.
@@ -150,17 +153,17 @@
     }
 
     /// The state after the first record of a message; `None` if no message starts with this record.
-    pub fn begin(record: Record) -> Option<RecoveredMessage> {
+    pub fn from_first_record(record: Record) -> Option<RecoveredMessage> {
         match record {
             Record::Accepted(accepted) => Some(RecoveredMessage::new(accepted, 0)),
             Record::AcceptedAt { at, accepted } => Some(RecoveredMessage::new(accepted, at)),
-            Record::Carried(restored) => Some(*restored),
+            Record::Snapshot(message) => Some(*message),
             _ => None,
         }
     }
 
     /// Applies a later record of the message.
-    pub fn follow(&mut self, record: Record) {
+    pub fn apply(&mut self, record: Record) {
         match record {
             Record::Begun { at, zone } => {
                 self.attempts.push(AttemptRecord { at, zone, endpoint: String::new(), effect: None });
@@ -169,41 +172,47 @@
                 self.attempts.push(AttemptRecord { at, zone, endpoint, effect: None });
             }
             Record::Ended(effect) => {
-                if let Some(tried) = self.attempts.last_mut() {
-                    tried.effect = Some(effect);
+                if let Some(attempt_record) = self.attempts.last_mut() {
+                    attempt_record.effect = Some(effect);
                 }
             }
             Record::AttemptStarted { attempt, at, zone, endpoint } => {
-                if let Some(tried) = self.attempt(attempt) {
-                    (tried.at, tried.zone, tried.endpoint) = (at, zone, endpoint);
+                if let Some(attempt_record) = self.attempt_mut(attempt) {
+                    (attempt_record.at, attempt_record.zone, attempt_record.endpoint) = (at, zone, endpoint);
                 }
             }
             Record::AttemptEnded { attempt, effect } => {
-                if let Some(tried) = self.attempt(attempt) {
-                    tried.effect = Some(effect);
+                if let Some(attempt_record) = self.attempt_mut(attempt) {
+                    attempt_record.effect = Some(effect);
                 }
             }
             Record::FailureNoticed(notice) => self.notice = Some(notice),
             Record::Delivered => self.delivered = true,
             // A new start replaces the previous state.
-            first @ (Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Carried(_)) => {
-                if let Some(restored) = RecoveredMessage::begin(first) {
-                    *self = restored;
+            first @ (Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Snapshot(_)) => {
+                if let Some(message) = RecoveredMessage::from_first_record(first) {
+                    *self = message;
                 }
             }
             Record::Finished => {}
         }
     }
 
-    /// Returns an attempt by its number. Missing attempts before it are added as unknown, so they count as may have run.
-    fn attempt(&mut self, number: u32) -> Option<&mut AttemptRecord> {
+    /// Returns an attempt by its number. Missing attempts before it are added as unknown, so they count as
+    /// may have run.
+    fn attempt_mut(&mut self, number: u32) -> Option<&mut AttemptRecord> {
         /// No message has more attempts: a higher number is damage that the checksum did not detect.
-        const MOST: u32 = 1000;
-        if number >= MOST {
+        const MAX_ATTEMPTS: u32 = 1000;
+        if number >= MAX_ATTEMPTS {
             return None;
         }
         while self.attempts.len() <= number as usize {
-            self.attempts.push(AttemptRecord { at: 0, zone: u32::MAX, endpoint: String::new(), effect: None });
+            self.attempts.push(AttemptRecord {
+                at: 0,
+                zone: u32::MAX,
+                endpoint: String::new(),
+                effect: None,
+            });
         }
         self.attempts.get_mut(number as usize)
     }
@@ -226,25 +235,25 @@
 }
 
 /// Encodes the header of a segment.
-pub fn header(identity: u64, segment: u64) -> [u8; HEADER] {
-    let mut bytes = [0; HEADER];
-    bytes[..8].copy_from_slice(&MARK);
+pub fn header(identity: u64, segment: u64) -> [u8; HEADER_BYTES] {
+    let mut bytes = [0; HEADER_BYTES];
+    bytes[..8].copy_from_slice(&MARKER);
     bytes[8..12].copy_from_slice(&VERSION.to_le_bytes());
     bytes[12..20].copy_from_slice(&identity.to_le_bytes());
     bytes[20..28].copy_from_slice(&segment.to_le_bytes());
-    let sum = crc32fast::hash(&bytes[..28]);
-    bytes[28..].copy_from_slice(&sum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes[..28]);
+    bytes[28..].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
 /// Decodes the header at the start of `bytes`.
 pub fn read_header(bytes: &[u8]) -> Header {
-    let number = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_le_bytes);
-    let short = |at: usize| bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes);
-    let sound = bytes.starts_with(&MARK) && bytes.get(..28).map(crc32fast::hash) == short(28);
-    match (short(8), number(12), number(20)) {
-        (Some(VERSION), Some(identity), Some(segment)) if sound => Header::Known { identity, segment },
-        (Some(version), ..) if sound => Header::Version(version),
+    let u64_at = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_le_bytes);
+    let u32_at = |at: usize| bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes);
+    let valid = bytes.starts_with(&MARKER) && bytes.get(..28).map(crc32fast::hash) == u32_at(28);
+    match (u32_at(8), u64_at(12), u64_at(20)) {
+        (Some(VERSION), Some(identity), Some(segment)) if valid => Header::Known { identity, segment },
+        (Some(version), ..) if valid => Header::Version(version),
         _ => Header::Unreadable,
     }
 }
--- a/crates/journal/src/journal/sync.rs
+++ b/crates/journal/src/journal/sync.rs
@@ -1,33 +1,34 @@
-//! Syncs: group commit for the owner, the condition for removing a segment, and the handling of a failed sync.
+//! Syncs: group commit for the owner, the condition for removing a segment, and the handling of a failed
+//! sync.
 
 use super::{Health, Journal, Segment};
 use crate::disk::{Disk, JournalDir};
-use crate::recovery::Place;
+use crate::recovery::RecordLocation;
 use std::collections::BTreeSet;
 use std::fs::File;
 use std::io;
 
 impl Journal<JournalDir> {
-    /// The files to sync so that everything written so far is on stable storage. The caller runs the job, possibly on another
-    /// thread, and reports its result to [`Journal::sync_finished`].
+    /// The files to sync so that everything written so far is on stable storage. The caller runs the job,
+    /// possibly on another thread, and reports its result to [`Journal::sync_finished`].
     ///
     /// # Errors
     /// No file descriptor is available. Nothing has changed.
     pub fn sync_job(&mut self) -> io::Result<SyncJob> {
         let mut files = Vec::new();
-        for segment in &self.dirty {
+        for segment in &self.unsynced {
             // A segment that has been removed since needs no sync.
             if self.segments.iter().any(|s| s.number == *segment) {
                 files.push(self.disk.handle(*segment)?);
             }
         }
-        if self.entries_changed {
+        if self.directory_changed {
             files.push(self.disk.folder()?);
-            self.entries_changed = false;
+            self.directory_changed = false;
         }
-        let segments = std::mem::take(&mut self.dirty);
-        self.under_way.extend(&segments);
-        Ok(SyncJob { files, segments, position: self.position, removals: self.removals })
+        let segments = std::mem::take(&mut self.unsynced);
+        self.syncing.extend(&segments);
+        Ok(SyncJob { files, segments, bytes_written: self.bytes_written, removals: self.removals })
     }
 }
 
@@ -36,7 +37,7 @@
 pub struct SyncJob {
     files: Vec<File>,
     segments: BTreeSet<u64>,
-    position: u64,
+    bytes_written: u64,
     removals: u64,
 }
 
@@ -51,50 +52,52 @@
 }
 
 impl<D: Disk> Journal<D> {
-    /// Flushes everything written so far to stable storage. Blocks; see [`Journal::sync_job`] for a way that does not.
+    /// Flushes everything written so far to stable storage. Blocks; see [`Journal::sync_job`] for a way that
+    /// does not.
     ///
     /// # Errors
     /// It is unknown which of the data is on stable storage: the segments are no longer relied on.
     pub fn sync(&mut self) -> io::Result<()> {
-        let mut segments = std::mem::take(&mut self.dirty);
-        segments.extend(&self.under_way);
-        let position = self.position;
+        let mut segments = std::mem::take(&mut self.unsynced);
+        segments.extend(&self.syncing);
+        let bytes_written = self.bytes_written;
         for number in &segments {
-            let there = self.segments.iter().any(|s| s.number == *number);
-            if let Err(error) = if there { self.disk.sync(*number) } else { Ok(()) } {
-                self.distrust(&segments);
+            let exists = self.segments.iter().any(|s| s.number == *number);
+            if let Err(error) = if exists { self.disk.sync(*number) } else { Ok(()) } {
+                self.evacuate(&segments);
                 return Err(error);
             }
         }
         // A job may have taken the folder and not have reported its result yet.
-        if self.entries_changed || self.removals > self.removals_synced {
+        if self.directory_changed || self.removals > self.removals_synced {
             if let Err(error) = self.disk.sync_folder() {
-                self.distrust(&segments);
+                self.evacuate(&segments);
                 return Err(error);
             }
-            self.entries_changed = false;
+            self.directory_changed = false;
             self.removals_synced = self.removals;
         }
-        self.synced = self.synced.max(position);
+        self.bytes_synced = self.bytes_synced.max(bytes_written);
         Ok(())
     }
 
-    /// Takes the result of a sync job. If the job failed, the segments that it covered are no longer relied on: their live
-    /// records are rewritten to a new segment, and [`Journal::health`] reports a failure of that.
+    /// Takes the result of a sync job. If the job failed, the segments that it covered are no longer relied
+    /// on: their live records are rewritten to a new segment, and [`Journal::health`] reports a failure of
+    /// that.
     ///
     /// # Errors
     /// The error of the sync.
     pub fn sync_finished(&mut self, job: &SyncJob, result: io::Result<()>) -> io::Result<()> {
-        self.under_way.clear();
+        self.syncing.clear();
         match result {
             Ok(()) => {
-                self.synced = self.synced.max(job.position);
+                self.bytes_synced = self.bytes_synced.max(job.bytes_written);
                 self.removals_synced = self.removals_synced.max(job.removals);
                 Ok(())
             }
             Err(error) => {
-                self.entries_changed = true;
-                self.distrust(&job.segments);
+                self.directory_changed = true;
+                self.evacuate(&job.segments);
                 Err(error)
             }
         }
@@ -102,27 +105,30 @@
 
     /// Whether the removal of a segment waits for a sync, independently of the syncs that the owner needs.
     pub fn awaits_sync(&self) -> bool {
-        let held_up = |front: &Segment| front.live == 0 && !self.may_go(front);
-        self.options.durable && self.segments.len() > 1 && self.segments.front().is_some_and(held_up)
+        let is_blocked = |front: &Segment| front.live_bytes == 0 && !self.may_remove(front);
+        self.options.durable && self.segments.len() > 1 && self.segments.front().is_some_and(is_blocked)
     }
 
-/// Whether the oldest segment may be removed: everything rewritten out of it, and every earlier removal, is synced.
-    pub(super) fn may_go(&self, front: &Segment) -> bool {
-        !self.options.durable || (front.carried_at <= self.synced && self.removals == self.removals_synced)
+    /// Whether the oldest segment may be removed: everything rewritten out of it, and every earlier removal,
+    /// is synced.
+    pub(super) fn may_remove(&self, front: &Segment) -> bool {
+        !self.options.durable
+            || (front.rewritten_at <= self.bytes_synced && self.removals == self.removals_synced)
     }
 
     /// Moves everything that is live in these segments to a new one, after their sync has failed.
-    pub(super) fn distrust(&mut self, segments: &BTreeSet<u64>) {
+    pub(super) fn evacuate(&mut self, segments: &BTreeSet<u64>) {
         if let Err(error) = self.begin_segment() {
-            self.health = Health::Failed(format!("after a failed sync: {error}"));
+            self.health = Health::Failed(format!("moving records after a failed sync: {error}"));
             return;
         }
-        let here = |places: &Vec<Place>| places.iter().any(|p| segments.contains(&p.segment));
+        let is_affected =
+            |locations: &Vec<RecordLocation>| locations.iter().any(|p| segments.contains(&p.segment));
         let numbers: Vec<u64> =
-            self.live.iter().filter(|(_, places)| here(places)).map(|(n, _)| *n).collect();
+            self.locations.iter().filter(|(_, locations)| is_affected(locations)).map(|(n, _)| *n).collect();
         for number in numbers {
-            if let Err(error) = self.carry(number) {
-                self.health = Health::Failed(format!("after a failed sync: {error}"));
+            if let Err(error) = self.rewrite(number) {
+                self.health = Health::Failed(format!("moving records after a failed sync: {error}"));
                 return;
             }
         }
--- a/crates/journal/src/journal/writing.rs
+++ b/crates/journal/src/journal/writing.rs
@@ -1,22 +1,24 @@
-//! Appending records to the last segment. The records that the owner stages in one round are written with one `write`. If
-//! that fails, each is written separately, so that it is known of every record whether it is in the file.
+//! Appending records to the last segment. The records that the owner stages in one round are written with one
+//! `write`. If that fails, each is written separately, so that it is known of every record whether it is in
+//! the file.
 
-use super::{Health, Journal, RETRY};
+use super::{Health, Journal, RETRY_DELAY};
+use crate::compaction_policy::{BLOCK_BYTES, MAX_MESSAGE_FRAME_BYTES};
 use crate::disk::Disk;
 use crate::format::Record;
 use crate::frame;
-use crate::pacing::{BLOCK, LONGEST_MESSAGE};
-use crate::recovery::{seed, Place};
+use crate::recovery::{checksum_seed, RecordLocation};
 use std::io;
 use std::ops::Range;
 use std::time::Instant;
 
 /// Maximum number of final records that wait for the next write.
-const WAITING: usize = 128;
+const MAX_PENDING_FINISHED: usize = 128;
 /// Upper bound of the size of a final record, in bytes.
-const OVER_BYTES: usize = 24;
-/// Staged bytes at which they are written without waiting for a commit. Bounds the memory and the time of one write.
-const GATHERED: usize = 1 << 20;
+const FINISHED_RECORD_BYTES: usize = 24;
+/// Staged bytes at which they are written without waiting for a commit. Bounds the memory and the time of one
+/// write.
+const MAX_BATCH_BYTES: usize = 1 << 20;
 
 /// Identifies a staged record until [`Journal::commit`] has reported whether it was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,18 +37,18 @@
 
 /// Effect of a record on the index once it is in the file.
 #[derive(Clone, Copy, Debug)]
-enum Change {
+enum IndexUpdate {
     /// Replaces all earlier records of the message.
-    Begins,
-    Adds,
-    Ends,
+    Replace,
+    Append,
+    Remove,
 }
 
 #[derive(Debug)]
 struct Staged {
     ticket: Ticket,
     number: u64,
-    change: Change,
+    update: IndexUpdate,
     frame: Range<usize>,
 }
 
@@ -56,7 +58,7 @@
     bytes: Vec<u8>,
     staged: Vec<Staged>,
     unwritten: Vec<FailedWrite>,
-    tickets: u64,
+    last_ticket: u64,
 }
 
 impl Batch {
@@ -79,29 +81,34 @@
         }
     }
 
-    /// Stages a record, to be written by the next [`Journal::commit`]. Until then it does not survive a crash.
+    /// Stages a record, to be written by the next [`Journal::commit`]. Until then it does not survive a
+    /// crash.
     ///
     /// # Errors
     /// The record is not staged: no space is left, or it exceeds the maximum length of a record.
     pub fn stage(&mut self, number: u64, record: &Record) -> io::Result<Ticket> {
-        let bytes = bound(record);
-        let together = self.waiting_bytes() + self.batch.len() + bytes;
-        let sealed = self.segments.back().is_none_or(|s| s.length + self.batch.len() >= self.pacing.segment);
-        if sealed || self.batch.bytes.len() >= GATHERED || !self.pacing.may_append(together, self.disk_bytes()) {
+        let bytes = max_frame_bytes(record);
+        let total_bytes = self.pending_finished_bytes() + self.batch.len() + bytes;
+        let is_full =
+            self.segments.back().is_none_or(|s| s.length + self.batch.len() >= self.policy.segment_bytes);
+        if is_full
+            || self.batch.bytes.len() >= MAX_BATCH_BYTES
+            || !self.policy.may_append(total_bytes, self.disk_bytes())
+        {
             // Staged records were encoded with the seed of the current segment and must be written to it.
             self.write_staged();
-            self.make_room(self.waiting_bytes() + bytes)?;
+            self.make_space(self.pending_finished_bytes() + bytes)?;
         }
         let seed = self.tail_seed();
-        let frame = frame::encode_onto(seed, &(number, record), &mut self.batch.bytes)?;
-        let change = match record {
-            Record::Finished => Change::Ends,
-            Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Carried(_) => Change::Begins,
-            _ => Change::Adds,
+        let frame = frame::encode_into(seed, &(number, record), &mut self.batch.bytes)?;
+        let update = match record {
+            Record::Finished => IndexUpdate::Remove,
+            Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Snapshot(_) => IndexUpdate::Replace,
+            _ => IndexUpdate::Append,
         };
-        self.batch.tickets += 1;
-        let ticket = Ticket(self.batch.tickets);
-        self.batch.staged.push(Staged { ticket, number, change, frame });
+        self.batch.last_ticket += 1;
+        let ticket = Ticket(self.batch.last_ticket);
+        self.batch.staged.push(Staged { ticket, number, update, frame });
         Ok(ticket)
     }
 
@@ -120,15 +127,15 @@
         let mut bytes = std::mem::take(&mut self.batch.bytes);
         let mut written = 0;
         match self.write_frames(&bytes) {
-            Ok(whole) => {
-                written = u64::from(whole.length);
-                for one in &staged {
-                    let place = Place {
-                        at: whole.at + one.frame.start as u64,
-                        length: one.frame.len() as u32,
-                        ..whole
+            Ok(batch) => {
+                written = u64::from(batch.length);
+                for staged_record in &staged {
+                    let location = RecordLocation {
+                        at: batch.at + staged_record.frame.start as u64,
+                        length: staged_record.frame.len() as u32,
+                        ..batch
                     };
-                    self.apply(one, place);
+                    self.apply(staged_record, location);
                 }
             }
             Err(error) if staged.len() == 1 => {
@@ -136,51 +143,56 @@
                 self.batch.unwritten.push(FailedWrite { ticket, number, error });
             }
             Err(_) => {
-                // A nearly full disk still takes the short records: attempts and results of messages in flight.
-                for one in &staged {
-                    match self.write_frames(&bytes[one.frame.clone()]) {
-                        Ok(place) => {
-                            written += u64::from(place.length);
-                            self.apply(one, place);
+                // A nearly full disk still takes the short records: attempts and results of messages in
+                // flight.
+                for staged_record in &staged {
+                    match self.write_frames(&bytes[staged_record.frame.clone()]) {
+                        Ok(location) => {
+                            written += u64::from(location.length);
+                            self.apply(staged_record, location);
                         }
                         Err(error) => {
-                            let (ticket, number) = (one.ticket, one.number);
+                            let (ticket, number) = (staged_record.ticket, staged_record.number);
                             self.batch.unwritten.push(FailedWrite { ticket, number, error });
                         }
                     }
                 }
             }
         }
-        self.appended += written;
-        self.owe(written);
+        self.appended_bytes += written;
+        self.schedule_compaction(written);
         bytes.clear();
         self.batch.bytes = bytes;
     }
 
     /// Updates the index for a record that is in the file.
-    fn apply(&mut self, one: &Staged, place: Place) {
-        let number = one.number;
+    fn apply(&mut self, staged_record: &Staged, location: RecordLocation) {
+        let number = staged_record.number;
         self.highest_number = self.highest_number.max(number);
-        match one.change {
-            Change::Ends => self.forget(number),
-            Change::Begins => {
-                self.forget(number);
-                self.add(number, place);
+        match staged_record.update {
+            IndexUpdate::Remove => self.remove_message(number),
+            IndexUpdate::Replace => {
+                self.remove_message(number);
+                self.add_location(number, location);
             }
-            Change::Adds if self.live.contains_key(&number) => self.add(number, place),
-            Change::Adds => {}
+            IndexUpdate::Append if self.locations.contains_key(&number) => {
+                self.add_location(number, location)
+            }
+            IndexUpdate::Append => {}
         }
     }
 
     /// Finishes a message without a write of its own: its final record is written with the next write, or by
-    /// [`Journal::flush`]. For messages whose outcome is stored elsewhere, which tells a restart that they are finished.
+    /// [`Journal::flush`]. For messages whose outcome is stored elsewhere, which tells a restart that they
+    /// are finished.
     ///
     /// # Errors
-    /// Same as [`Journal::flush`], if too many final records wait. The message is removed from the index in any case.
+    /// Same as [`Journal::flush`], if too many final records wait. The message is removed from the index in
+    /// any case.
     pub fn finish_deferred(&mut self, number: u64) -> io::Result<()> {
-        self.forget(number);
-        self.waiting.push(number);
-        if self.waiting.len() > WAITING {
+        self.remove_message(number);
+        self.pending_finished.push(number);
+        if self.pending_finished.len() > MAX_PENDING_FINISHED {
             return self.flush();
         }
         Ok(())
@@ -192,46 +204,49 @@
     /// The final records could not be written, and still wait.
     pub fn flush(&mut self) -> io::Result<()> {
         self.write_staged();
-        if self.waiting.is_empty() {
+        if self.pending_finished.is_empty() {
             return Ok(());
         }
-        self.make_room(self.waiting_bytes())?;
+        self.make_space(self.pending_finished_bytes())?;
         self.write_frames(&[]).map(drop)
     }
 
-    /// Makes space for `bytes`: begins a new segment if needed, and removes as many of the oldest as it takes. Requires that
-    /// nothing is staged.
-    pub(super) fn make_room(&mut self, bytes: u64) -> io::Result<()> {
-        let mut left = self.segments.len();
-        while !self.pacing.may_append(bytes, self.disk_bytes()) && left > 1 {
+    /// Makes space for `bytes`: begins a new segment if needed, and removes as many of the oldest as it
+    /// takes. Requires that nothing is staged.
+    pub(super) fn make_space(&mut self, bytes: u64) -> io::Result<()> {
+        let mut remaining = self.segments.len();
+        while !self.policy.may_append(bytes, self.disk_bytes()) && remaining > 1 {
             // The incremental steps have not kept up, so this call compacts a whole segment.
-            left -= 1;
+            remaining -= 1;
             if self.awaits_sync() {
                 self.sync()?;
             }
             let front = self.segments.front().map(|s| s.number);
             while self.segments.front().map(|s| s.number) == front {
-                if self.pass_some()? == u64::MAX && self.awaits_sync() {
+                if self.compact_some()? == u64::MAX && self.awaits_sync() {
                     self.sync()?;
                 }
             }
         }
-        if !self.pacing.may_append(bytes, self.disk_bytes()) && self.disk_bytes() + bytes + BLOCK > self.pacing.room {
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal's room is used up"));
+        if !self.policy.may_append(bytes, self.disk_bytes())
+            && self.disk_bytes() + bytes + BLOCK_BYTES > self.policy.capacity
+        {
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal has reached its capacity"));
         }
         self.rotate()
     }
 
     /// Begins a new segment if the last one is full.
     pub(super) fn rotate(&mut self) -> io::Result<()> {
-        let full = self.segments.back().is_none_or(|s| s.length >= self.pacing.segment);
-        if !full {
+        let is_full = self.segments.back().is_none_or(|s| s.length >= self.policy.segment_bytes);
+        if !is_full {
             return Ok(());
         }
         let sealed = self.segments.back().map(|s| (s.number, s.length));
         match self.begin_segment() {
             Ok(()) => {
-                // Frees the preallocated space that was not used. If this fails, it is freed when the segment is removed.
+                // Frees the preallocated space that was not used. If this fails, it is freed when the segment
+                // is removed.
                 let _ = sealed.map(|(number, length)| self.disk.truncate(number, length));
                 if matches!(self.health, Health::Full(_)) {
                     self.health = Health::Healthy;
@@ -240,7 +255,10 @@
             }
             // The space preallocated for the last segment exceeds its usual size.
             Err(error)
-                if self.segments.back().is_some_and(|s| s.length < self.pacing.segment + LONGEST_MESSAGE) =>
+                if self
+                    .segments
+                    .back()
+                    .is_some_and(|s| s.length < self.policy.segment_bytes + MAX_MESSAGE_FRAME_BYTES) =>
             {
                 self.health = Health::Full(error.to_string());
                 Ok(())
@@ -253,30 +271,32 @@
     }
 
     pub(super) fn tail_seed(&self) -> u32 {
-        seed(self.identity, self.segments.back().map_or(0, |s| s.number))
+        checksum_seed(self.identity, self.segments.back().map_or(0, |s| s.number))
     }
 
-    fn waiting_bytes(&self) -> u64 {
-        (self.waiting.len() * OVER_BYTES) as u64
+    fn pending_finished_bytes(&self) -> u64 {
+        (self.pending_finished.len() * FINISHED_RECORD_BYTES) as u64
     }
 
-    /// Appends the waiting final records and then `frames` to the last segment. Returns the location of `frames`.
-    pub(super) fn write_frames(&mut self, frames: &[u8]) -> io::Result<Place> {
-        if self.waiting.is_empty() {
+    /// Appends the waiting final records and then `frames` to the last segment. Returns the location of
+    /// `frames`.
+    pub(super) fn write_frames(&mut self, frames: &[u8]) -> io::Result<RecordLocation> {
+        if self.pending_finished.is_empty() {
             self.write_bytes(frames)?;
         } else {
             // Encoded only now, since the checksum seed is that of the segment they are written to.
-            let mut bytes = Vec::with_capacity(self.waiting.len() * OVER_BYTES + frames.len());
-            for number in &self.waiting {
-                frame::encode_onto(self.tail_seed(), &(number, &Record::Finished), &mut bytes)?;
+            let mut bytes =
+                Vec::with_capacity(self.pending_finished.len() * FINISHED_RECORD_BYTES + frames.len());
+            for number in &self.pending_finished {
+                frame::encode_into(self.tail_seed(), &(number, &Record::Finished), &mut bytes)?;
             }
             bytes.extend_from_slice(frames);
             self.write_bytes(&bytes)?;
-            self.waiting.clear();
+            self.pending_finished.clear();
         }
-        let Some(tail) = self.segments.back() else { return Err(io::Error::other("no segment")) };
+        let Some(tail) = self.segments.back() else { return Err(io::Error::other("no open segment")) };
         let length = frames.len() as u32;
-        Ok(Place { segment: tail.number, at: tail.length - u64::from(length), length })
+        Ok(RecordLocation { segment: tail.number, at: tail.length - u64::from(length), length })
     }
 
     /// Appends all bytes, or leaves the segment as it was.
@@ -284,11 +304,11 @@
         if let Health::Failed(problem) = &self.health {
             return Err(io::Error::other(problem.clone()));
         }
-        let Some(tail) = self.segments.back_mut() else { return Err(io::Error::other("no segment")) };
-        if tail.file > tail.length {
+        let Some(tail) = self.segments.back_mut() else { return Err(io::Error::other("no open segment")) };
+        if tail.file_length > tail.length {
             // A partial record that could not be truncated before.
             self.disk.truncate(tail.number, tail.length)?;
-            tail.file = tail.length;
+            tail.file_length = tail.length;
         }
         let mut done = 0;
         while done < bytes.len() {
@@ -302,32 +322,36 @@
                 Err(e) => e,
             };
             // A part may be in the file. It must be truncated before anything else is appended.
-            tail.file = tail.length + bytes.len() as u64;
+            tail.file_length = tail.length + bytes.len() as u64;
             if self.disk.truncate(tail.number, tail.length).is_ok() {
-                tail.file = tail.length;
+                tail.file_length = tail.length;
             }
             self.health = Health::Full(problem.to_string());
-            self.retry_from = Some(Instant::now() + RETRY);
+            self.retry_at = Some(Instant::now() + RETRY_DELAY);
             return Err(problem);
         }
         tail.length += done as u64;
-        tail.file = tail.length;
-        self.dirty.insert(tail.number);
-        self.position += done as u64;
+        tail.file_length = tail.length;
+        self.unsynced.insert(tail.number);
+        self.bytes_written += done as u64;
         Ok(())
     }
 }
 
 /// Approximate upper bound of the size of a record's frame, in bytes, for reserving space.
-fn bound(record: &Record) -> u64 {
-    let of = |a: &crate::format::Accepted| {
+fn max_frame_bytes(record: &Record) -> u64 {
+    let accepted_bytes = |a: &crate::format::Accepted| {
         let names = a.id.len() + a.class.len() + a.key.len() + a.retry.as_ref().map_or(0, String::len);
         (128 + a.body.len() + names + a.idempotency_key.as_ref().map_or(0, String::len)) as u64
     };
     match record {
-        Record::Accepted(accepted) | Record::AcceptedAt { accepted, .. } => of(accepted),
-        Record::Carried(restored) => of(&restored.accepted) + 160 * (restored.attempts.len() as u64 + 1),
-        Record::AttemptStarted { endpoint, .. } | Record::BegunAt { endpoint, .. } => 64 + endpoint.len() as u64,
+        Record::Accepted(accepted) | Record::AcceptedAt { accepted, .. } => accepted_bytes(accepted),
+        Record::Snapshot(message) => {
+            accepted_bytes(&message.accepted) + 160 * (message.attempts.len() as u64 + 1)
+        }
+        Record::AttemptStarted { endpoint, .. } | Record::BegunAt { endpoint, .. } => {
+            64 + endpoint.len() as u64
+        }
         _ => 64,
     }
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,28 +1,30 @@
-//! Write-ahead journal of messages. Records are framed with a marker, a length and a CRC, appended to segment files, and
-//! read back after a restart. The crate has no sockets and no async runtime, and knows nothing of HTTP.
+//! Write-ahead journal of messages. Records are framed with a marker, a length and a CRC, appended to segment
+//! files, and read back after a restart. The crate has no sockets and no async runtime, and knows nothing of
+//! HTTP.
 //!
 //! - [`format`](mod@format): the contents of a segment.
 //! - [`frame`]: the encoding of a record, also used by the other logs in the state folder.
 //! - [`disk`]: the storage operations that the journal needs.
 //! - [`budget`]: a simulated limit of the disk space.
 //! - [`recovery`]: reads a journal back.
-//! - [`pacing`]: how fast to compact, and what fits.
+//! - [`compaction_policy`]: how fast to compact, and what fits.
 //! - [`journal`]: appends records, and compacts in small steps.
 //!
-//! `docs/journal-format.md` specifies the format for other readers; `docs/design/journal.md` compares the design options.
+//! `docs/journal-format.md` specifies the format for other readers; `docs/design/journal.md` compares the
+//! design options.
 #![warn(missing_docs)]
 
 pub mod budget;
+pub mod compaction_policy;
 pub mod disk;
 pub mod format;
 pub mod frame;
 pub mod journal;
-#[cfg(test)]
-mod model;
-pub mod pacing;
 pub mod recovery;
+#[cfg(test)]
+mod simulated_disk;
 
 pub use budget::Budget;
 pub use disk::JournalDir;
-pub use format::{Accepted, AttemptEffect, FailureNotice, Record, RecoveredMessage, AttemptRecord};
-pub use journal::{Health, Journal, JournalOptions, Ticket, FailedWrite};
+pub use format::{Accepted, AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
+pub use journal::{FailedWrite, Health, Journal, JournalOptions, Ticket};
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -1,15 +1,15 @@
-//! Reads a journal back: segments and their records in order, skipping and reporting damage. Nothing is modified, so
-//! reading again, or while the owner is running, gives the same result.
+//! Reads a journal back: segments and their records in order, skipping and reporting damage. Nothing is
+//! modified, so reading again, or while the owner is running, gives the same result.
 
 use crate::disk::Disk;
-use crate::format::{read_header, Header, Record, RecoveredMessage, HEADER, VERSION};
+use crate::format::{read_header, Header, Record, RecoveredMessage, HEADER_BYTES, VERSION};
 use crate::frame;
 use std::collections::BTreeMap;
 use std::io;
 
 /// Location of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct RecordLocation {
     /// Number of the segment.
     pub segment: u64,
     /// Offset in the segment.
@@ -41,9 +41,9 @@
     /// Length of the file in bytes.
     pub length: u64,
     /// Length in bytes up to the end of the last complete record.
-    pub whole: u64,
+    pub valid_length: u64,
     /// The header is valid.
-    pub is_sound: bool,
+    pub has_valid_header: bool,
 }
 
 /// Contents of a journal.
@@ -53,8 +53,9 @@
     pub identity: Option<u64>,
     /// The segments, oldest first.
     pub segments: Vec<Segment>,
-    /// Unfinished messages with the locations of their records, by message number, in the order of acceptance.
-    pub messages: BTreeMap<u64, (RecoveredMessage, Vec<Place>)>,
+    /// Unfinished messages with the locations of their records, by message number, in the order of
+    /// acceptance.
+    pub messages: BTreeMap<u64, (RecoveredMessage, Vec<RecordLocation>)>,
     /// The highest message number in any record.
     pub highest_number: u64,
     /// Number of records read.
@@ -64,26 +65,27 @@
 }
 
 /// Seed of the checksums in a segment.
-pub fn seed(identity: u64, segment: u64) -> u32 {
+pub fn checksum_seed(identity: u64, segment: u64) -> u32 {
     crc32fast::hash(&[identity.to_le_bytes(), segment.to_le_bytes()].concat())
 }
 
 /// Reads all segments of a journal.
 ///
 /// # Errors
-/// A segment can't be read from the disk, or has a later format version. It is not modified, so that the program that
-/// wrote it can still read it.
+/// A segment can't be read from the disk, or has a later format version. It is not modified, so that the
+/// program that wrote it can still read it.
 pub fn read(disk: &mut impl Disk) -> io::Result<RecoveredJournal> {
     let mut read = RecoveredJournal::default();
     let numbers = disk.segments()?;
-    // Any valid header provides the identity, which is all that the checksum seed of a segment with a lost header needs.
+    // Any valid header provides the identity, which is all that the checksum seed of a segment with a lost
+    // header needs.
     for number in &numbers {
-        let mut head = [0; HEADER];
+        let mut header = [0; HEADER_BYTES];
         if read.identity.is_some() {
             break;
         }
-        if disk.length(*number)? >= HEADER as u64 && disk.read(*number, 0, &mut head).is_ok() {
-            if let Header::Known { identity, segment } = read_header(&head) {
+        if disk.length(*number)? >= HEADER_BYTES as u64 && disk.read(*number, 0, &mut header).is_ok() {
+            if let Header::Known { identity, segment } = read_header(&header) {
                 read.identity = Some(identity).filter(|_| segment == *number);
             }
         }
@@ -94,25 +96,25 @@
             read.identity = Some(identity);
         }
     }
-    let mut before: Option<u64> = None;
+    let mut previous: Option<u64> = None;
     for (n, number) in numbers.iter().copied().enumerate() {
         let length = disk.length(number)?;
         let mut bytes = vec![0; usize::try_from(length).map_err(io::Error::other)?];
         disk.read(number, 0, &mut bytes)?;
-        if before.is_some_and(|b| b + 1 != number) {
+        if previous.is_some_and(|p| p + 1 != number) {
             let problem = "segments before this one are missing".into();
             read.damage.push(DamagedRange { segment: number, at: 0, bytes: 0, is_tail: false, problem });
         }
-        before = Some(number);
-        read.segment(number, &bytes, n + 1 == numbers.len())?;
+        previous = Some(number);
+        read.read_segment(number, &bytes, n + 1 == numbers.len())?;
     }
     Ok(read)
 }
 
 impl RecoveredJournal {
-    fn segment(&mut self, number: u64, bytes: &[u8], is_last: bool) -> io::Result<()> {
+    fn read_segment(&mut self, number: u64, bytes: &[u8], is_last: bool) -> io::Result<()> {
         let length = bytes.len() as u64;
-        let mut segment = Segment { number, length, whole: 0, is_sound: false };
+        let mut segment = Segment { number, length, valid_length: 0, has_valid_header: false };
         let damage = |at: u64, to: u64, is_tail: bool, problem: &str| DamagedRange {
             segment: number,
             at,
@@ -129,15 +131,15 @@
             Header::Known { identity, segment } if segment == number => Some(identity),
             _ => None,
         };
-        segment.is_sound = identity.is_some() && identity == self.identity;
-        if !segment.is_sound {
-            let other = identity.is_some();
-            let problem = if other { "of another journal" } else { "no header that can be read" };
+        segment.has_valid_header = identity.is_some() && identity == self.identity;
+        if !segment.has_valid_header {
+            let foreign = identity.is_some();
+            let problem = if foreign { "segment of another journal" } else { "no valid header" };
             // A last segment without records may be one that the process was still creating.
-            let begun = is_last && length <= HEADER as u64;
-            let to = if other { length } else { length.min(HEADER as u64) };
-            self.damage.push(damage(0, to, begun, problem));
-            if other || length <= HEADER as u64 {
+            let incomplete = is_last && length <= HEADER_BYTES as u64;
+            let to = if foreign { length } else { length.min(HEADER_BYTES as u64) };
+            self.damage.push(damage(0, to, incomplete, problem));
+            if foreign || length <= HEADER_BYTES as u64 {
                 self.segments.push(segment);
                 return Ok(());
             }
@@ -146,24 +148,23 @@
             self.segments.push(segment);
             return Ok(());
         };
-        let seed = seed(identity, number);
-        let mut at = HEADER;
-        segment.whole = HEADER as u64;
+        let seed = checksum_seed(identity, number);
+        let mut at = HEADER_BYTES;
+        segment.valid_length = HEADER_BYTES as u64;
         while at < bytes.len() {
             if let Some((frame, (message, record))) = frame::decode_with::<(u64, Record)>(seed, &bytes[at..])
             {
-                let place = Place { segment: number, at: at as u64, length: frame.len() as u32 };
-                self.record(message, record, place);
+                let location = RecordLocation { segment: number, at: at as u64, length: frame.len() as u32 };
+                self.apply_record(message, record, location);
                 at += frame.len();
-                segment.whole = at as u64;
+                segment.valid_length = at as u64;
                 continue;
             }
             let next = (at + 1..bytes.len())
                 .find(|next| frame::decode_with::<(u64, Record)>(seed, &bytes[*next..]).is_some());
             let to = next.unwrap_or(bytes.len());
             let is_tail = is_last && next.is_none();
-            let problem =
-                if is_tail { "a record that was not finished" } else { "no record that can be read" };
+            let problem = if is_tail { "an incomplete record" } else { "no valid record" };
             self.damage.push(damage(at as u64, to as u64, is_tail, problem));
             at = to;
         }
@@ -171,26 +172,27 @@
         Ok(())
     }
 
-    fn record(&mut self, number: u64, record: Record, place: Place) {
+    fn apply_record(&mut self, number: u64, record: Record, location: RecordLocation) {
         self.records += 1;
         self.highest_number = self.highest_number.max(number);
         if record == Record::Finished {
             self.messages.remove(&number);
             return;
         }
-        let begins = matches!(record, Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Carried(_));
+        let is_first =
+            matches!(record, Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Snapshot(_));
         match self.messages.get_mut(&number) {
-            Some((restored, places)) => {
-                if begins {
-                    places.clear();
+            Some((message, locations)) => {
+                if is_first {
+                    locations.clear();
                 }
-                places.push(place);
-                restored.follow(record);
+                locations.push(location);
+                message.apply(record);
             }
             // Records of a finished message, or of one whose first record is lost, are ignored.
             None => {
-                if let Some(restored) = RecoveredMessage::begin(record) {
-                    self.messages.insert(number, (restored, vec![place]));
+                if let Some(message) = RecoveredMessage::from_first_record(record) {
+                    self.messages.insert(number, (message, vec![location]));
                 }
             }
         }
@@ -198,13 +200,17 @@
 }
 
 /// Reads the single file of version 1. Returns its unfinished messages and the damaged byte ranges.
-pub fn read_old(bytes: &[u8]) -> (BTreeMap<u64, RecoveredMessage>, Vec<(usize, usize)>) {
+pub fn read_v1(bytes: &[u8]) -> (BTreeMap<u64, RecoveredMessage>, Vec<(usize, usize)>) {
     let mut read = RecoveredJournal::default();
     let mut damage = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
         if let Some((frame, (number, record))) = frame::decode::<(u64, Record)>(&bytes[at..]) {
-            read.record(number, record, Place { segment: 0, at: at as u64, length: frame.len() as u32 });
+            read.apply_record(
+                number,
+                record,
+                RecordLocation { segment: 0, at: at as u64, length: frame.len() as u32 },
+            );
             at += frame.len();
             continue;
         }
@@ -214,5 +220,5 @@
         damage.push((at, to));
         at = to;
     }
-    (read.messages.into_iter().map(|(number, (restored, _))| (number, restored)).collect(), damage)
+    (read.messages.into_iter().map(|(number, (message, _))| (number, message)).collect(), damage)
 }
--- a/crates/journal/src/model.rs
+++ b/crates/journal/src/simulated_disk.rs
@@ -9,77 +9,78 @@
 /// Fault injected at a disk operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed. If the flag is true, the operation takes effect first; otherwise a write stores a part of its
-    /// bytes, and any other operation does nothing.
+    /// The process is killed. If the flag is true, the operation takes effect first; otherwise a write stores
+    /// a part of its bytes, and any other operation does nothing.
     Kill(bool),
     /// The operation fails. A write stores a part of its bytes.
     Fail,
-    /// From this operation on, operations that need space fail, until [`Model::give_room`].
+    /// From this operation on, operations that need space fail, until [`SimulatedDisk::free_space`].
     Full,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Inner {
     segments: BTreeMap<u64, Vec<u8>>,
-    old: Option<Vec<u8>>,
+    v1_file: Option<Vec<u8>>,
     identity: Option<Vec<u8>>,
     /// Number of bytes of each segment that a sync has confirmed.
     synced: BTreeMap<u64, usize>,
-/// Contents and synced length of removed segments whose removal no sync has confirmed.
-    removed: BTreeMap<u64, (Vec<u8>, usize)>,
+    /// Contents and synced length of removed segments whose removal no sync has confirmed.
+    unsynced_removals: BTreeMap<u64, (Vec<u8>, usize)>,
     /// Segments whose directory entry a sync has confirmed.
-    entries: BTreeSet<u64>,
+    synced_entries: BTreeSet<u64>,
     operations: u64,
     fault: Option<(u64, Fault)>,
     full: bool,
-    dead: bool,
+    killed: bool,
     /// The largest total size that the files have ever had, in whole blocks.
-    most: u64,
+    peak_bytes: u64,
 }
 
 /// The simulated disk. Clones share the same contents.
 #[derive(Clone, Debug, Default)]
-pub struct Model(Rc<RefCell<Inner>>);
+pub struct SimulatedDisk(Rc<RefCell<Inner>>);
 
-enum Turn {
-/// How an operation proceeds.
-    Do,
+enum Progress {
+    /// How an operation proceeds.
+    Succeed,
     /// The operation takes effect, but the process is killed before it returns.
-    Last,
+    KilledAfter,
     Fail(io::Error),
     /// The operation fails; a write stores a part of its bytes.
-    Part(io::Error),
+    FailPartially(io::Error),
 }
 
-fn killed() -> io::Error {
+fn killed_error() -> io::Error {
     io::Error::other("killed")
 }
 
-impl Model {
-    pub fn with_old(bytes: Vec<u8>) -> Model {
-        let model = Model::default();
-        model.0.borrow_mut().old = Some(bytes);
-        model
+impl SimulatedDisk {
+    pub fn with_v1(bytes: Vec<u8>) -> SimulatedDisk {
+        let disk = SimulatedDisk::default();
+        disk.0.borrow_mut().v1_file = Some(bytes);
+        disk
     }
 
     /// Injects a fault at the `after`-th operation from now.
-    pub fn plan(&self, after: u64, fault: Fault) {
+    pub fn inject(&self, after: u64, fault: Fault) {
         let mut inner = self.0.borrow_mut();
         inner.fault = Some((inner.operations + after, fault));
     }
 
     /// The disk as a new process finds it after the last one ended.
-    pub fn again(&self) -> Model {
+    pub fn restart(&self) -> SimulatedDisk {
         let inner = self.0.borrow();
-        let fresh = Inner { fault: None, full: false, dead: false, operations: 0, ..inner.clone() };
-        Model(Rc::new(RefCell::new(fresh)))
+        let fresh = Inner { fault: None, full: false, killed: false, operations: 0, ..inner.clone() };
+        SimulatedDisk(Rc::new(RefCell::new(fresh)))
     }
 
-    /// The disk as a new process finds it after a power failure. Unsynced data is there or zeroed, sector by sector, depending
-    /// on the seed; unsynced new files may be missing, and unsynced removals may not have happened.
-    pub fn after_power_cut(&self, seed: u64) -> Model {
+    /// The disk as a new process finds it after a power failure. Unsynced data is there or zeroed, sector by
+    /// sector, depending on the seed; unsynced new files may be missing, and unsynced removals may not have
+    /// happened.
+    pub fn after_power_failure(&self, seed: u64) -> SimulatedDisk {
         const SECTOR: usize = 512;
-        let model = self.again();
+        let disk = self.restart();
         let mut random = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
         let mut draw = move || {
             random ^= random << 13;
@@ -88,18 +89,18 @@
             random % 3
         };
         {
-            let mut inner = model.0.borrow_mut();
-            let removed = std::mem::take(&mut inner.removed);
-            for (segment, (bytes, synced)) in removed {
+            let mut inner = disk.0.borrow_mut();
+            let unsynced_removals = std::mem::take(&mut inner.unsynced_removals);
+            for (segment, (bytes, synced)) in unsynced_removals {
                 if draw() == 0 {
                     inner.segments.insert(segment, bytes);
                     inner.synced.insert(segment, synced);
                 }
             }
-            let (synced, entries) = (inner.synced.clone(), inner.entries.clone());
+            let (synced, synced_entries) = (inner.synced.clone(), inner.synced_entries.clone());
             let mut gone = Vec::new();
             for (segment, bytes) in &mut inner.segments {
-                if !entries.contains(segment) && draw() == 0 {
+                if !synced_entries.contains(segment) && draw() == 0 {
                     gone.push(*segment);
                 }
                 let Some(kept) = synced.get(segment).copied() else {
@@ -123,10 +124,10 @@
                 inner.segments.remove(&segment);
             }
         }
-        model
+        disk
     }
 
-    pub fn give_room(&self) {
+    pub fn free_space(&self) {
         self.0.borrow_mut().full = false;
     }
 
@@ -134,26 +135,26 @@
         self.0.borrow().operations
     }
 
-    pub fn is_dead(&self) -> bool {
-        self.0.borrow().dead
+    pub fn is_killed(&self) -> bool {
+        self.0.borrow().killed
     }
 
-    pub fn most(&self) -> u64 {
-        self.0.borrow().most
+    pub fn peak_bytes(&self) -> u64 {
+        self.0.borrow().peak_bytes
     }
 
-    pub fn has_old(&self) -> bool {
-        self.0.borrow().old.is_some()
+    pub fn has_v1(&self) -> bool {
+        self.0.borrow().v1_file.is_some()
     }
 
     /// Modifies the bytes of a segment without the journal's knowledge.
-    pub fn change(&self, segment: u64, change: impl FnOnce(&mut Vec<u8>)) {
+    pub fn modify(&self, segment: u64, change: impl FnOnce(&mut Vec<u8>)) {
         if let Some(bytes) = self.0.borrow_mut().segments.get_mut(&segment) {
             change(bytes);
         }
     }
 
-    pub fn forget_identity(&self) {
+    pub fn remove_identity(&self) {
         self.0.borrow_mut().identity = None;
     }
 
@@ -165,64 +166,66 @@
         self.0.borrow().segments[&segment].clone()
     }
 
-    fn turn(&self, takes_room: bool) -> Turn {
+    fn begin_operation(&self, needs_space: bool) -> Progress {
         let mut inner = self.0.borrow_mut();
-        if inner.dead {
-            return Turn::Fail(killed());
+        if inner.killed {
+            return Progress::Fail(killed_error());
         }
         inner.operations += 1;
         let fault = inner.fault.filter(|(at, _)| *at == inner.operations).map(|(_, fault)| fault);
         match fault {
             Some(Fault::Kill(done)) => {
-                inner.dead = true;
+                inner.killed = true;
                 if done {
-                    Turn::Last
+                    Progress::KilledAfter
                 } else {
-                    Turn::Part(killed())
+                    Progress::FailPartially(killed_error())
                 }
             }
-            Some(Fault::Fail) => Turn::Part(io::Error::other("injected disk error")),
+            Some(Fault::Fail) => Progress::FailPartially(io::Error::other("injected disk error")),
             Some(Fault::Full) => {
                 inner.full = true;
-                if takes_room {
-                    Turn::Part(io::ErrorKind::StorageFull.into())
+                if needs_space {
+                    Progress::FailPartially(io::ErrorKind::StorageFull.into())
                 } else {
-                    Turn::Do
+                    Progress::Succeed
                 }
             }
-            None if inner.full && takes_room => Turn::Fail(io::ErrorKind::StorageFull.into()),
-            None => Turn::Do,
+            None if inner.full && needs_space => Progress::Fail(io::ErrorKind::StorageFull.into()),
+            None => Progress::Succeed,
         }
     }
 
-    fn act(&self, takes_room: bool, act: impl FnOnce(&mut Inner) -> io::Result<()>) -> io::Result<()> {
-        match self.turn(takes_room) {
-            Turn::Do => act(&mut self.0.borrow_mut()),
-            Turn::Last => act(&mut self.0.borrow_mut()).and(Err(killed())),
-            Turn::Fail(e) | Turn::Part(e) => Err(e),
+    fn perform(
+        &self, needs_space: bool, operation: impl FnOnce(&mut Inner) -> io::Result<()>,
+    ) -> io::Result<()> {
+        match self.begin_operation(needs_space) {
+            Progress::Succeed => operation(&mut self.0.borrow_mut()),
+            Progress::KilledAfter => operation(&mut self.0.borrow_mut()).and(Err(killed_error())),
+            Progress::Fail(e) | Progress::FailPartially(e) => Err(e),
         }
     }
 
-    fn measure(&self) {
+    fn update_peak(&self) {
         let mut inner = self.0.borrow_mut();
-        let taken = inner.segments.values().map(|s| (s.len() as u64).next_multiple_of(512)).sum::<u64>();
-        let old = inner.old.as_ref().map_or(0, |o| (o.len() as u64).next_multiple_of(512));
+        let segments = inner.segments.values().map(|s| (s.len() as u64).next_multiple_of(512)).sum::<u64>();
+        let v1_file = inner.v1_file.as_ref().map_or(0, |f| (f.len() as u64).next_multiple_of(512));
         let identity = inner.identity.as_ref().map_or(0, |_| 512);
-        inner.most = inner.most.max(taken + old + identity);
+        inner.peak_bytes = inner.peak_bytes.max(segments + v1_file + identity);
     }
 }
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::ErrorKind::NotFound.into()
 }
 
-impl Disk for Model {
+impl Disk for SimulatedDisk {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         Ok(self.numbers())
     }
 
     fn create(&mut self, segment: u64, _: u64) -> io::Result<()> {
-        self.act(true, |inner| match inner.segments.insert(segment, Vec::new()) {
+        self.perform(true, |inner| match inner.segments.insert(segment, Vec::new()) {
             None => Ok(()),
             Some(_) => Err(io::ErrorKind::AlreadyExists.into()),
         })
@@ -231,24 +234,24 @@
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<usize> {
         // Short writes are common on this disk.
         let count = if bytes.len() > 100 { bytes.len() - bytes.len() / 3 } else { bytes.len() };
-        let write = |model: &Model, count: usize| {
-            let mut inner = model.0.borrow_mut();
-            inner.segments.get_mut(&segment).ok_or_else(missing)?.extend_from_slice(&bytes[..count]);
+        let write = |disk: &SimulatedDisk, count: usize| {
+            let mut inner = disk.0.borrow_mut();
+            inner.segments.get_mut(&segment).ok_or_else(not_found)?.extend_from_slice(&bytes[..count]);
             Ok(count)
         };
-        let written = match self.turn(true) {
-            Turn::Do => write(self, count),
-            Turn::Last => write(self, count).and(Err(killed())),
-            Turn::Part(e) => write(self, count / 2).and(Err(e)),
-            Turn::Fail(e) => Err(e),
+        let written = match self.begin_operation(true) {
+            Progress::Succeed => write(self, count),
+            Progress::KilledAfter => write(self, count).and(Err(killed_error())),
+            Progress::FailPartially(e) => write(self, count / 2).and(Err(e)),
+            Progress::Fail(e) => Err(e),
         };
-        self.measure();
+        self.update_peak();
         written
     }
 
     fn read(&mut self, segment: u64, at: u64, buffer: &mut [u8]) -> io::Result<()> {
-        self.act(false, |inner| {
-            let bytes = inner.segments.get(&segment).ok_or_else(missing)?;
+        self.perform(false, |inner| {
+            let bytes = inner.segments.get(&segment).ok_or_else(not_found)?;
             let found =
                 bytes.get(at as usize..at as usize + buffer.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
             buffer.copy_from_slice(found);
@@ -256,40 +259,40 @@
         })
     }
 
-    fn will_read(&mut self, _: u64, _: u64, _: std::num::NonZeroU64) {}
+    fn prefetch(&mut self, _: u64, _: u64, _: std::num::NonZeroU64) {}
 
     fn length(&mut self, segment: u64) -> io::Result<u64> {
-        self.0.borrow().segments.get(&segment).map(|s| s.len() as u64).ok_or_else(missing)
+        self.0.borrow().segments.get(&segment).map(|s| s.len() as u64).ok_or_else(not_found)
     }
 
     fn truncate(&mut self, segment: u64, length: u64) -> io::Result<()> {
-        self.act(false, |inner| {
-            inner.segments.get_mut(&segment).ok_or_else(missing)?.truncate(length as usize);
+        self.perform(false, |inner| {
+            inner.segments.get_mut(&segment).ok_or_else(not_found)?.truncate(length as usize);
             Ok(())
         })
     }
 
     fn sync(&mut self, segment: u64) -> io::Result<()> {
-        self.act(false, |inner| {
-            let length = inner.segments.get(&segment).ok_or_else(missing)?.len();
+        self.perform(false, |inner| {
+            let length = inner.segments.get(&segment).ok_or_else(not_found)?.len();
             inner.synced.insert(segment, length);
             Ok(())
         })
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.act(false, |inner| {
-            inner.removed.clear();
-            inner.entries = inner.segments.keys().copied().collect();
+        self.perform(false, |inner| {
+            inner.unsynced_removals.clear();
+            inner.synced_entries = inner.segments.keys().copied().collect();
             Ok(())
         })
     }
 
     fn remove(&mut self, segment: u64) -> io::Result<()> {
-        self.act(false, |inner| {
-            let bytes = inner.segments.remove(&segment).ok_or_else(missing)?;
+        self.perform(false, |inner| {
+            let bytes = inner.segments.remove(&segment).ok_or_else(not_found)?;
             let synced = inner.synced.remove(&segment).unwrap_or_default();
-            inner.removed.insert(segment, (bytes, synced));
+            inner.unsynced_removals.insert(segment, (bytes, synced));
             Ok(())
         })
     }
@@ -298,26 +301,26 @@
         Ok(self.0.borrow().identity.clone())
     }
 
-    fn keep_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let keep = |model: &Model, count: usize| {
-            model.0.borrow_mut().identity = Some(bytes[..count].to_vec());
+    fn store_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let store = |disk: &SimulatedDisk, count: usize| {
+            disk.0.borrow_mut().identity = Some(bytes[..count].to_vec());
             Ok(())
         };
-        match self.turn(true) {
-            Turn::Do => keep(self, bytes.len()),
-            Turn::Last => keep(self, bytes.len()).and(Err(killed())),
-            Turn::Part(e) => keep(self, bytes.len() / 2).and(Err(e)),
-            Turn::Fail(e) => Err(e),
+        match self.begin_operation(true) {
+            Progress::Succeed => store(self, bytes.len()),
+            Progress::KilledAfter => store(self, bytes.len()).and(Err(killed_error())),
+            Progress::FailPartially(e) => store(self, bytes.len() / 2).and(Err(e)),
+            Progress::Fail(e) => Err(e),
         }
     }
 
-    fn old(&mut self) -> io::Result<Option<Vec<u8>>> {
-        Ok(self.0.borrow().old.clone())
+    fn v1_file(&mut self) -> io::Result<Option<Vec<u8>>> {
+        Ok(self.0.borrow().v1_file.clone())
     }
 
-    fn remove_old(&mut self) -> io::Result<()> {
-        self.act(false, |inner| {
-            inner.old = None;
+    fn remove_v1(&mut self) -> io::Result<()> {
+        self.perform(false, |inner| {
+            inner.v1_file = None;
             Ok(())
         })
     }
--- a/crates/membership/src/log.rs
+++ b/crates/membership/src/log.rs
@@ -1,6 +1,6 @@
 //! The log of statements, a file in the state folder.
 
-use crate::state::{Change, Order, Rejection, SiteFile, MembershipState};
+use crate::state::{Change, MembershipState, Order, Rejection, SiteFile};
 use foldtrack_journal::frame;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
@@ -45,14 +45,14 @@
 }
 
 impl MembershipLog {
-    /// Opens the log of a state folder, or creates it. Orders can add endpoints while there are fewer than `max_entries`
-    /// partners and endpoints together.
+    /// Opens the log of a state folder, or creates it. Orders can add endpoints while there are fewer than
+    /// `max_entries` partners and endpoints together.
     ///
     /// An incomplete record at the end is truncated: its order was not acknowledged.
     ///
     /// # Errors
-    /// The file can't be read or written, was written by a later version, or is damaged before its last record. A
-    /// damaged file is not modified: the lost record may have been a drain.
+    /// The file can't be read or written, was written by a later version, or is damaged before its last
+    /// record. A damaged file is not modified: the lost record may have been a drain.
     pub fn open(folder: &Path, max_entries: usize) -> io::Result<MembershipLog> {
         let path = folder.join("membership");
         let _ = fs::remove_file(path.with_extension("new"));
@@ -61,12 +61,21 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(e) => return Err(with_path(&path, e)),
         };
-        let (state, valid_length) = replay(&bytes).map_err(|problem| with_path(&path, io::Error::other(problem)))?;
+        let (state, valid_length) =
+            replay(&bytes).map_err(|problem| with_path(&path, io::Error::other(problem)))?;
         let Some(state) = state else {
             // No complete record: a first start, or a crash while the first record was written.
             let state = MembershipState::default();
             let (file, length) = rewrite(&path, &state)?;
-            return Ok(MembershipLog { path, file, length, compacted_length: length, max_entries, has_partial_record: false, state });
+            return Ok(MembershipLog {
+                path,
+                file,
+                length,
+                compacted_length: length,
+                max_entries,
+                has_partial_record: false,
+                state,
+            });
         };
         let file = OpenOptions::new().append(true).open(&path).map_err(|e| with_path(&path, e))?;
         if valid_length < bytes.len() {
@@ -78,7 +87,15 @@
             file.set_len(valid_length as u64).map_err(|e| with_path(&path, e))?;
         }
         let length = valid_length as u64;
-        Ok(MembershipLog { path, file, length, compacted_length: 0, max_entries, has_partial_record: false, state })
+        Ok(MembershipLog {
+            path,
+            file,
+            length,
+            compacted_length: 0,
+            max_entries,
+            has_partial_record: false,
+            state,
+        })
     }
 
     /// The state after all records of the log.
@@ -107,8 +124,9 @@
         self.state.validate(order, self.max_entries)
     }
 
-    /// Applies an order: writes it to the file first, then changes the state. Once it returns, the order survives a crash
-    /// of the process; it survives a power failure once the handle of [`MembershipLog::sync_handle`] has been synced.
+    /// Applies an order: writes it to the file first, then changes the state. Once it returns, the order
+    /// survives a crash of the process; it survives a power failure once the handle of
+    /// [`MembershipLog::sync_handle`] has been synced.
     ///
     /// # Errors
     /// The order is rejected, or could not be written; nothing has changed.
@@ -184,8 +202,8 @@
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
 
-/// Replays the records at the start of `bytes`. Returns the resulting state, if there is a first record, and the length
-/// of the complete records.
+/// Replays the records at the start of `bytes`. Returns the resulting state, if there is a first record, and
+/// the length of the complete records.
 fn replay(bytes: &[u8]) -> Result<(Option<MembershipState>, usize), String> {
     let mut state: Option<MembershipState> = None;
     let mut at = 0;
@@ -201,8 +219,8 @@
         }
         at += frame.len();
     }
-    // Only the last record can be incomplete. A complete record behind unreadable bytes means damage, and it may be a
-    // drain, which must not be skipped.
+    // Only the last record can be incomplete. A complete record behind unreadable bytes means damage, and it
+    // may be a drain, which must not be skipped.
     if (at + 1..bytes.len()).any(|next| frame::decode::<Record>(&bytes[next..]).is_some()) {
         return Err(format!("damaged at byte {at}, with complete records after it"));
     }
@@ -247,8 +265,8 @@
         MembershipLog::open(folder, 100).unwrap()
     }
 
-    /// The last order is truncated at each of its bytes: after a restart it is complete or absent, and the earlier ones
-    /// are there.
+    /// The last order is truncated at each of its bytes: after a restart it is complete or absent, and the
+    /// earlier ones are there.
     #[test]
     fn a_truncated_order_is_either_complete_or_absent_after_a_restart() {
         let folder = tempfile::tempdir().unwrap();
@@ -262,7 +280,11 @@
         for cut in before..=after {
             fs::write(&log.path, &bytes[..cut]).unwrap();
             let mut reopened = open(folder.path());
-            assert_eq!(reopened.state, if cut == after { latest.clone() } else { earlier.clone() }, "cut at {cut}");
+            assert_eq!(
+                reopened.state,
+                if cut == after { latest.clone() } else { earlier.clone() },
+                "cut at {cut}"
+            );
             // The next order is appended after the complete records.
             reopened.apply_order(4, &toggle(1)).unwrap();
             let next = reopened.state.clone();
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -28,8 +28,8 @@
 /// A partner of the site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Partner {
-    /// Its destination number, derived from its name alone: the message journal refers to partners by this number,
-    /// which must stay valid even if this log is lost.
+    /// Its destination number, derived from its name alone: the message journal refers to partners by this
+    /// number, which must stay valid even if this log is lost.
     pub number: u32,
     /// While it is set, none of its endpoints gets new calls.
     pub paused: bool,
@@ -124,7 +124,9 @@
             Rejection::NameTaken(name, partner, address) => {
                 write!(f, "{name:?} is already an endpoint of {partner:?} at {address}; remove it first")
             }
-            Rejection::AddressTaken(address, name) => write!(f, "{address} is already the address of {name:?}"),
+            Rejection::AddressTaken(address, name) => {
+                write!(f, "{address} is already the address of {name:?}")
+            }
             Rejection::TooMany(count) => {
                 write!(f, "the site already has {count} partners and endpoints, which is the maximum")
             }
@@ -138,7 +140,8 @@
     version: u64,
     partners: BTreeMap<String, Partner>,
     endpoints: BTreeMap<String, Endpoint>,
-    /// Contents of the site file when it was last applied. Only entries that differ from it are new statements.
+    /// Contents of the site file when it was last applied. Only entries that differ from it are new
+    /// statements.
     site: SiteFile,
 }
 
@@ -169,8 +172,8 @@
         endpoint.state == EndpointState::Active && !paused
     }
 
-    /// Checks an order without applying it, and returns what it would change. `max_entries` is the highest total number of
-    /// partners and endpoints.
+    /// Checks an order without applying it, and returns what it would change. `max_entries` is the highest
+    /// total number of partners and endpoints.
     ///
     /// # Errors
     /// The order contradicts the state.
@@ -241,9 +244,10 @@
         self.endpoints.insert(name.to_string(), Endpoint { partner, address, state });
     }
 
-    /// Applies the contents of the site file. Unchanged entries have no effect. A new or changed entry sets its endpoint,
-    /// and an entry that is gone removes it. If an entry has an address that belongs to an endpoint added by an order,
-    /// that endpoint is removed. Returns one message for the operator for each conflict or change.
+    /// Applies the contents of the site file. Unchanged entries have no effect. A new or changed entry sets
+    /// its endpoint, and an entry that is gone removes it. If an entry has an address that belongs to an
+    /// endpoint added by an order, that endpoint is removed. Returns one message for the operator for each
+    /// conflict or change.
     pub fn apply_site_file(&mut self, site: &SiteFile) -> Vec<String> {
         let mut messages = Vec::new();
         self.version += 1;
@@ -315,8 +319,9 @@
     }
 
     fn site_file(lines: &[(&str, &str, u16)]) -> SiteFile {
-        let endpoint =
-            |l: &(&str, &str, u16)| (l.1.to_string(), ListedEndpoint { partner: l.0.into(), address: address(l.2) });
+        let endpoint = |l: &(&str, &str, u16)| {
+            (l.1.to_string(), ListedEndpoint { partner: l.0.into(), address: address(l.2) })
+        };
         SiteFile {
             partners: lines.iter().map(|l| (l.0.to_string(), u32::from(l.0.as_bytes()[0]))).collect(),
             endpoints: lines.iter().filter(|l| l.2 > 0).map(endpoint).collect(),
@@ -340,14 +345,18 @@
         state.apply_order(&Order::Remove { endpoint: "b".into() });
         state.apply_order(&add("q", "d", 4));
         let messages = state.apply_site_file(&file);
-        assert!(messages.len() == 1 && messages[0].starts_with("b differs from the site file"), "{messages:?}");
+        assert!(
+            messages.len() == 1 && messages[0].starts_with("b differs from the site file"),
+            "{messages:?}"
+        );
         assert_eq!(state.endpoints["a"].state, EndpointState::Draining);
         assert!(!state.endpoints.contains_key("b") && state.endpoints.contains_key("d"));
         // The entry of `a` changes, which is a later statement than the drain.
         state.apply_site_file(&site_file(&[("p", "a", 9), ("p", "b", 2), ("q", "c", 3)]));
         let a = &state.endpoints["a"];
         assert!(a.state == EndpointState::Active && a.address == address(9));
-        // The entry of `c` is gone, and so is partner `q` with all its endpoints, including the one added by an order.
+        // The entry of `c` is gone, and so is partner `q` with all its endpoints, including the one added by
+        // an order.
         let messages = state.apply_site_file(&site_file(&[("p", "a", 9), ("p", "b", 2)]));
         assert!(messages.iter().any(|m| m.starts_with("d is removed with its partner q")), "{messages:?}");
         assert_eq!(state.endpoints.keys().collect::<Vec<_>>(), ["a"]);
@@ -395,8 +404,8 @@
     }
 
     proptest! {
-        /// An accepted order changes the state, has no effect when it is repeated, and no two endpoints ever share an
-        /// address.
+        /// An accepted order changes the state, has no effect when it is repeated, and no two endpoints ever
+        /// share an address.
         #[test]
         fn orders_are_idempotent(orders in prop::collection::vec(any_order(), 0..40)) {
             let mut state = MembershipState::default();
