--- a/crates/journal/src/journal_tests.rs
+++ b/crates/journal/src/journal_tests.rs
@@ -694,7 +694,7 @@
     let job = journal.sync_job().unwrap();
     assert!(journal.unsynced.is_empty() && !journal.syncing.is_empty());
     journal.sync().unwrap();
-    assert_eq!((journal.removals, journal.synced), (journal.removals_synced, journal.position));
+    assert_eq!((journal.removals, journal.bytes_synced), (journal.removals_synced, journal.bytes_written));
     let done = job.run();
     journal.sync_finished(&job, done).unwrap();
     assert!(journal.syncing.is_empty());
