--- a/src/bin/foldtrack/cli/journal.rs
+++ b/src/bin/foldtrack/cli/journal.rs
@@ -4,7 +4,7 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use clap::{Args, Subcommand};
 use foldtrack_journal::recovery::{read, DamagedRange, RecoveredJournal};
-use foldtrack_journal::{AttemptEffect, JournalDir, FailureNotice, RecoveredMessage};
+use foldtrack_journal::{AttemptEffect, FailureNotice, JournalDir, RecoveredMessage};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
 use std::path::PathBuf;
--- a/src/bin/foldtrack/membership.rs
+++ b/src/bin/foldtrack/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::door::Inputs;
 use crate::list::{ServerLine, ServerList, ServerState};
-use foldtrack_membership::{Change, MembershipLog, Order, MembershipState, OrderError};
+use foldtrack_membership::{Change, MembershipLog, MembershipState, Order, OrderError};
 use foldtrack_site::Site;
 use std::fs::File;
 use std::io;
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -121,7 +121,11 @@
     /// Room that a message's end may take.
     fn room(&self, message: &crate::message::Message) -> u64 {
         // Class and partner have names of 64 bytes at most.
-        MessageOutcome::max_encoded_len(message.id.len() + message.key.len() + 2 * LONGEST_NAME, self.attempts, LONGEST_NAME)
+        MessageOutcome::max_encoded_len(
+            message.id.len() + message.key.len() + 2 * LONGEST_NAME,
+            self.attempts,
+            LONGEST_NAME,
+        )
     }
 
     /// Refuses a message that there is no room for, with a wait where that helps.
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -239,7 +239,11 @@
         } else if held {
             // There is never more than one out.
             let attempt = tries.unwrap_or(0).saturating_sub(1);
-            let effect = if kept(end.outcome).never_ran() { AttemptEffect::NeverRan } else { AttemptEffect::MayHaveRun };
+            let effect = if kept(end.outcome).never_ran() {
+                AttemptEffect::NeverRan
+            } else {
+                AttemptEffect::MayHaveRun
+            };
             self.record(end.number, &Record::AttemptEnded { attempt, effect });
         }
         let now = self.clock.now();
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -7,7 +7,7 @@
 use crate::targets::{self, Call};
 use foldtrack_ends::FinalStatus;
 use foldtrack_journal::journal::SyncJob;
-use foldtrack_journal::{Record, Ticket, FailedWrite};
+use foldtrack_journal::{FailedWrite, Record, Ticket};
 use hatchline::Outcome;
 use std::collections::HashMap;
 use std::fs::File;
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -5,7 +5,7 @@
 use crate::notices::Ending;
 use crate::platform;
 use crate::table::Known;
-use foldtrack_ends::{MessageOutcomeRef, FinalStatus};
+use foldtrack_ends::{FinalStatus, MessageOutcomeRef};
 use foldtrack_journal::{FailureNotice, Record};
 use hatchline::{Effect, Micros};
 use hyper::StatusCode;
@@ -34,7 +34,8 @@
         if let Taken::Fresh(reply) = held.taken {
             self.ids.remove(&held.message.id);
             self.let_go_of_id(&held.message.id);
-            let retry_in_ms = if let FailureNotice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
+            let retry_in_ms =
+                if let FailureNotice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
             let answer = match &mut self.site {
                 Some(site) => {
                     site.let_go(&held.message);
@@ -65,7 +66,9 @@
                 let told = self.site.as_ref().map_or(retry_in_ms, |s| s.wait(retry_in_ms));
                 self.handed_back(&held, told)
             }
-            FailureNotice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => FinalStatus::InDoubt,
+            FailureNotice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => {
+                FinalStatus::InDoubt
+            }
             // An attempt of an earlier hand-in may have run.
             FailureNotice::GivenUp if self.harmless_until(&held.message.id).is_some() => FinalStatus::InDoubt,
             FailureNotice::GivenUp => FinalStatus::GivenUp,
@@ -154,7 +157,9 @@
         site.let_go(message);
         match result {
             // It may be handed in again under its id.
-            FinalStatus::HandedBack { .. } | FinalStatus::HandedBackUntil { .. } => self.ids.remove(&message.id),
+            FinalStatus::HandedBack { .. } | FinalStatus::HandedBackUntil { .. } => {
+                self.ids.remove(&message.id)
+            }
             FinalStatus::Delivered => self.ids.set(&message.id, Known::Taken),
             _ => self.ids.set(&message.id, Known::Ended),
         }
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -29,7 +29,7 @@
 use appliance::{Appliance, LONGEST_NAME};
 use foldtrack_admission::Party;
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{JournalDir, Journal, JournalOptions};
+use foldtrack_journal::{Journal, JournalDir, JournalOptions};
 use hatchline::settings::Parsed;
 use hatchline::{Action, Brain, Endpoint, EndpointState, Event, ListKind, Micros, TargetId};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -401,7 +401,10 @@
     fn wake_at(&self) -> Instant {
         // What was told to the module after it had decided is carried out at once, not with whatever happens next.
         let undone = !self.actions.is_empty();
-        if undone || self.scan.is_running() || self.journal.has_compaction_work() && !self.journal.awaits_sync() {
+        if undone
+            || self.scan.is_running()
+            || self.journal.has_compaction_work() && !self.journal.awaits_sync()
+        {
             return Instant::now();
         }
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -7,7 +7,7 @@
 use crate::message::Message;
 use crate::peers::Hands;
 use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
-use foldtrack_ends::{MessageOutcome, FinalStatus};
+use foldtrack_ends::{FinalStatus, MessageOutcome};
 use foldtrack_membership::{Change, EndpointState, Order, OrderError};
 use foldtrack_peers::claims::{key, Effect, Key, Verdict, Word as EndWord, REMEMBERED};
 use foldtrack_peers::fact::{Aspect, Fact, Subject, Word};
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -243,7 +243,8 @@
         }
         let endpoint = |(name, endpoint): (&String, &foldtrack_membership::Endpoint)| {
             let lane = by_name.get(name.as_str());
-            let (open, calls) = (state.accepts_calls(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
+            let (open, calls) =
+                (state.accepts_calls(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
             let draining = endpoint.state == foldtrack_membership::EndpointState::Draining;
             let closed =
                 self.site.as_ref().and_then(|s| s.closed.get(name)).map_or(Duration::ZERO, Instant::elapsed);
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -6,7 +6,7 @@
 use crate::notices::Ending;
 use crate::table::Known;
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{AttemptEffect, FailureNotice, Record, RecoveredMessage, AttemptRecord};
+use foldtrack_journal::{AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
 use hatchline::{Effect, Event, Outcome};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
--- a/src/bin/foldtrack/notices.rs
+++ b/src/bin/foldtrack/notices.rs
@@ -120,7 +120,10 @@
         let mut notices = Notices::default();
         for number in (1..=100).rev() {
             let order_key = if number <= 2 { 7 } else { 0 };
-            notices.insert(number, Ending { id: format!("m{number}"), order_key, notice: FailureNotice::GivenUp });
+            notices.insert(
+                number,
+                Ending { id: format!("m{number}"), order_key, notice: FailureNotice::GivenUp },
+            );
         }
         assert!(notices.hold(7) && !notices.hold(0));
         let (numbers, lines) = notices.next(0).unwrap();
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -6,7 +6,7 @@
 use crate::list::ServerList;
 use crate::membership::Membership;
 use bytes::Bytes;
-use foldtrack_membership::{Change, Order, MembershipState, OrderError};
+use foldtrack_membership::{Change, MembershipState, Order, OrderError};
 use hatchline::Micros;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -45,13 +45,15 @@
     for told in log.apply_site_file(unix, &site_list(&site)).map_err(|e| e.to_string())? {
         eprintln!("membership: {told}");
     }
-    let bounds = RetentionLimits { max_count: site.ends.count, max_bytes: site.ends.size, max_age_us: site.ends.age };
+    let bounds =
+        RetentionLimits { max_count: site.ends.count, max_bytes: site.ends.size, max_age_us: site.ends.age };
     let budget = disk_budget.map(|limit| Budget::new(&site.state, limit));
     if let Some(budget) = &budget {
         budget.limit().map_err(|e| e.to_string())?;
     }
-    let ends =
-        OutcomeStore::open(&site.state.join("ends"), bounds).map_err(|e| e.to_string())?.with_budget(budget.clone());
+    let ends = OutcomeStore::open(&site.state.join("ends"), bounds)
+        .map_err(|e| e.to_string())?
+        .with_budget(budget.clone());
     let kept = Kept { calls: site.limits.calls as usize, house: OTHER_SOCKETS };
     let configured = site.limits.descriptors;
     let most = move || {
--- a/src/bin/foldtrack/told.rs
+++ b/src/bin/foldtrack/told.rs
@@ -1,7 +1,7 @@
 //! Ends and attempts in the words of the control protocol, which the listener speaks too.
 
 use foldtrack_control::{Attempt, Message};
-use foldtrack_ends::{MessageOutcome, FinalStatus};
+use foldtrack_ends::{FinalStatus, MessageOutcome};
 
 /// An attempt as it is told.
 pub(crate) fn told_attempt(attempt: &foldtrack_ends::Attempt) -> Attempt {
