--- a/crates/ends/src/retention.rs
+++ b/crates/ends/src/retention.rs
@@ -9,7 +9,7 @@
     pub max_count: u64,
     /// Bytes of all segments at most.
     pub max_bytes: u64,
-    /// How long an acknowledged outcome is kept, in microseconds.
+    /// How long an acknowledged outcome is stored, in microseconds.
     pub max_age_us: u64,
 }
 
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn unacknowledged_outcomes_are_kept_and_limit_what_is_accepted() {
+    fn unacknowledged_outcomes_are_never_deleted_and_limit_what_is_accepted() {
         let mut retention = retention();
         assert!(!retention.must_delete_oldest(u64::MAX, 1 << 30), "nothing is acknowledged");
         assert!(
--- a/crates/ends/src/store.rs
+++ b/crates/ends/src/store.rs
@@ -84,7 +84,7 @@
     committed: u64,
     /// Outcomes before this sequence number are visible to clients: those of the last commit, or of the last
     /// sync.
-    released: u64,
+    published: u64,
     /// First sequence numbers of the segments with data that no sync has confirmed.
     unsynced: BTreeSet<u64>,
     /// A failed write may have left bytes behind `valid_length`.
@@ -126,7 +126,7 @@
             valid_length: 0,
             staged: Vec::new(),
             committed: 0,
-            released: 0,
+            published: 0,
             unsynced: BTreeSet::new(),
             needs_truncation: false,
             budget: None,
@@ -142,9 +142,9 @@
         }
         // Deleted segments were acknowledged, even if the record of the acknowledgement was lost with the
         // process.
-        store.retention.acknowledged = store.retention.acknowledged.max(store.first_kept() - 1);
+        store.retention.acknowledged = store.retention.acknowledged.max(store.first_stored() - 1);
         store.committed = store.retention.next_sequence();
-        store.released = store.committed;
+        store.published = store.committed;
         Ok(store)
     }
 
@@ -341,7 +341,7 @@
 
     /// Makes the committed outcomes up to this sequence number visible to clients.
     pub fn publish(&mut self, up_to: u64) {
-        self.released = self.released.max(up_to + 1).min(self.committed);
+        self.published = self.published.max(up_to + 1).min(self.committed);
     }
 
     /// The files to sync so that everything committed so far is on stable storage.
@@ -373,7 +373,7 @@
     /// # Errors
     /// `cursor` is beyond the last outcome that a client can have fetched.
     pub fn acknowledge(&mut self, cursor: u64, now: u64) -> io::Result<()> {
-        if cursor >= self.released {
+        if cursor >= self.published {
             let last = self.last_published();
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
@@ -414,13 +414,13 @@
     /// # Errors
     /// A file can't be read.
     pub fn fetch(&self, cursor: u64, most: usize) -> io::Result<Fetched> {
-        let first_kept = self.first_kept();
-        let from = (cursor + 1).max(first_kept);
+        let first_stored = self.first_stored();
+        let from = (cursor + 1).max(first_stored);
         let mut fetched = Fetched { ends: Vec::new(), cursor: cursor.min(self.last_published()) };
         let mut bytes = 0;
-        for sequence in (from..self.released).take(most) {
+        for sequence in (from..self.published).take(most) {
             let Some(end) = self.read_outcome(sequence)? else { break };
-            bytes += u64::from(self.locations[(sequence - first_kept) as usize].length);
+            bytes += u64::from(self.locations[(sequence - first_stored) as usize].length);
             fetched.ends.push((sequence, end));
             fetched.cursor = sequence;
             if bytes > MAX_FETCH_BYTES {
@@ -430,13 +430,13 @@
         Ok(fetched)
     }
 
-    fn first_kept(&self) -> u64 {
+    fn first_stored(&self) -> u64 {
         self.retention.segments.front().map_or(1, |s| s.first)
     }
 
     fn read_outcome(&self, sequence: u64) -> io::Result<Option<MessageOutcome>> {
         let Some(location) =
-            sequence.checked_sub(self.first_kept()).and_then(|n| self.locations.get(n as usize))
+            sequence.checked_sub(self.first_stored()).and_then(|n| self.locations.get(n as usize))
         else {
             return Ok(None);
         };
@@ -457,7 +457,7 @@
         }
     }
 
-    /// The latest outcome of a message with its sequence number, if it is still kept.
+    /// The latest outcome of a message with its sequence number, if it is still stored.
     ///
     /// # Errors
     /// A file can't be read.
@@ -469,7 +469,7 @@
 
     /// Sequence number of the last outcome visible to clients, 0 if there is none.
     pub fn last_published(&self) -> u64 {
-        self.released - 1
+        self.published - 1
     }
 
     /// All outcomes up to this sequence number have been acknowledged.
@@ -482,12 +482,12 @@
         self.highest_number
     }
 
-    /// The message numbers of all outcomes kept.
+    /// The message numbers of all stored outcomes.
     pub fn message_numbers(&self) -> impl Iterator<Item = u64> + '_ {
         self.locations.iter().map(|location| location.message_number)
     }
 
-    /// Number of outcomes kept, number of those not acknowledged, and bytes of the files.
+    /// Number of stored outcomes, number of those not acknowledged, and bytes of the files.
     pub fn usage(&self) -> (u64, u64, u64) {
         (self.locations.len() as u64, self.retention.unacknowledged(), self.retention.bytes())
     }
--- a/crates/ends/src/store_tests.rs
+++ b/crates/ends/src/store_tests.rs
@@ -23,7 +23,7 @@
     OutcomeStore::open(folder, LIMITS).unwrap()
 }
 
-fn append_and_release(store: &mut OutcomeStore, end: MessageOutcome) -> u64 {
+fn append_and_publish(store: &mut OutcomeStore, end: MessageOutcome) -> u64 {
     let sequence = store.append(end.by_ref()).unwrap();
     store.commit().unwrap();
     store.publish(store.last_committed());
@@ -43,7 +43,7 @@
 fn outcomes_are_delivered_in_order_and_at_least_once_across_restarts() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    (1..=10).for_each(|n| assert_eq!(append_and_release(&mut store, outcome(n)), n));
+    (1..=10).for_each(|n| assert_eq!(append_and_publish(&mut store, outcome(n)), n));
     let first = store.fetch(0, 4).unwrap();
     assert_eq!((ids(&first), first.cursor), (vec![1, 2, 3, 4], 4));
     // Killed between the fetch and its acknowledgement: the same outcomes are fetched reopened.
@@ -65,10 +65,10 @@
 fn a_truncated_record_is_either_complete_or_absent_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    (1..=3).for_each(|n| assert_eq!(append_and_release(&mut store, outcome(n)), n));
+    (1..=3).for_each(|n| assert_eq!(append_and_publish(&mut store, outcome(n)), n));
     let path = folder.path().join(format!("{:020}.ends", 1));
     let before = store.valid_length as usize;
-    append_and_release(&mut store, outcome(4));
+    append_and_publish(&mut store, outcome(4));
     let bytes = fs::read(&path).unwrap();
     for cut in 0..=bytes.len() {
         fs::write(&path, &bytes[..cut]).unwrap();
@@ -76,7 +76,7 @@
         if cut >= before {
             assert_eq!(reopened.last_published(), if cut == bytes.len() { 4 } else { 3 }, "cut at {cut}");
         }
-        let next = append_and_release(&mut reopened, outcome(9));
+        let next = append_and_publish(&mut reopened, outcome(9));
         let next_open = open(folder.path());
         assert_eq!(
             (next_open.last_published(), next_open.read_outcome(next).unwrap()),
@@ -95,11 +95,11 @@
     // No client fetches: messages are accepted up to the limit, with 10 in flight throughout.
     while store.has_capacity(10, 10 * room) {
         number += 1;
-        append_and_release(&mut store, outcome(number));
+        append_and_publish(&mut store, outcome(number));
     }
     assert!((100..=991).contains(&number), "{number} outcomes");
     // The messages in flight end within the limits, and nothing is deleted.
-    (1..=9).for_each(|n| assert_eq!(append_and_release(&mut store, outcome(number + n)), number + n));
+    (1..=9).for_each(|n| assert_eq!(append_and_publish(&mut store, outcome(number + n)), number + n));
     let on_disk =
         || fs::read_dir(folder.path()).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum::<u64>();
     assert!(on_disk() <= LIMITS.max_bytes);
@@ -110,13 +110,13 @@
     assert!(store.has_capacity(10, 10 * room));
     for n in 0..3000 {
         number += 1;
-        let sequence = append_and_release(&mut store, outcome(number));
+        let sequence = append_and_publish(&mut store, outcome(number));
         if n % 50 == 0 {
             acknowledge(&mut store, sequence);
         }
         assert!(on_disk() <= LIMITS.max_bytes && store.usage().0 <= LIMITS.max_count + 200);
     }
-    assert!(store.first_kept() > 1 && store.by_id.len() == store.locations.len());
+    assert!(store.first_stored() > 1 && store.by_id.len() == store.locations.len());
     assert_eq!(store.find("m1").unwrap(), None);
     let reopened = open(folder.path());
     assert_eq!(
@@ -130,7 +130,7 @@
 fn damage_before_the_last_record_is_reported_with_the_file_name() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    (1..=3).for_each(|n| assert_eq!(append_and_release(&mut store, outcome(n)), n));
+    (1..=3).for_each(|n| assert_eq!(append_and_publish(&mut store, outcome(n)), n));
     let path = folder.path().join(format!("{:020}.ends", 1));
     let mut bytes = fs::read(&path).unwrap();
     bytes[60] ^= 1;
@@ -142,10 +142,10 @@
 /// A staged outcome can be looked up by its id, is not visible to fetches, and is lost if the process ends
 /// before the commit.
 #[test]
-fn an_outcome_is_visible_only_after_commit_and_release() {
+fn an_outcome_is_visible_only_after_commit_and_publish() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    append_and_release(&mut store, outcome(1));
+    append_and_publish(&mut store, outcome(1));
     store.append(outcome(2).by_ref()).unwrap();
     store.append(outcome(3).by_ref()).unwrap();
     assert_eq!((store.last_published(), ids(&store.fetch(0, 9).unwrap())), (1, vec![1]));
@@ -153,19 +153,19 @@
     assert!(store.acknowledge(2, 0).is_err() && store.has_uncommitted());
     assert_eq!(open(folder.path()).last_published(), 1);
     store.commit().unwrap();
-    assert_eq!((store.last_published(), store.last_committed()), (1, 3), "written, but not yet released");
+    assert_eq!((store.last_published(), store.last_committed()), (1, 3), "written, but not yet published");
     assert!(!store.sync_job().unwrap().is_empty() && store.sync_job().unwrap().is_empty());
     store.publish(3);
     assert_eq!(ids(&store.fetch(0, 9).unwrap()), [1, 2, 3]);
     assert_eq!(open(folder.path()).last_published(), 3);
 }
 
-/// When the disk takes no writes, staged records are kept, can be looked up, and are written once it does.
+/// When the disk takes no writes, staged records stay in memory, can be looked up, and are written once it does.
 #[test]
 fn a_failed_write_loses_no_staged_record() {
     let folder = tempfile::tempdir().unwrap();
     let mut store = open(folder.path());
-    append_and_release(&mut store, outcome(1));
+    append_and_publish(&mut store, outcome(1));
     let path = folder.path().join(format!("{:020}.ends", 1));
     let good = std::mem::replace(store.files.back_mut().unwrap(), File::open(&path).unwrap());
     for n in 2..=2_000 {
@@ -176,7 +176,7 @@
     *store.files.back_mut().unwrap() = good;
     store.commit().unwrap();
     store.publish(store.last_committed());
-    append_and_release(&mut store, outcome(2_001));
+    append_and_publish(&mut store, outcome(2_001));
     let reopened = open(folder.path());
     assert_eq!((reopened.last_published(), reopened.find("m1999").unwrap().unwrap().0), (2_001, 1999));
 }
--- a/crates/journal/benches/journal/main.rs
+++ b/crates/journal/benches/journal/main.rs
@@ -53,8 +53,14 @@
     }
 }
 
-fn options(room: u64, durable: bool) -> JournalOptions {
-    JournalOptions { capacity_bytes: room, max_attempts: 8, max_endpoint_name_len: 0, durable, identity: 7 }
+fn options(capacity: u64, durable: bool) -> JournalOptions {
+    JournalOptions {
+        capacity_bytes: capacity,
+        max_attempts: 8,
+        max_endpoint_name_len: 0,
+        durable,
+        identity: 7,
+    }
 }
 
 /// A store under test: accepts and finishes messages, and makes a group of changes durable.
@@ -325,10 +331,10 @@
             journal.compact_step(Instant::now() + Duration::from_micros(300)).unwrap();
             longest = longest.max(journal.disk_bytes());
         }
-        let (appended, carried) = (journal.write_stats().0 - before.0, journal.write_stats().1 - before.1);
+        let (appended, rewritten) = (journal.write_stats().0 - before.0, journal.write_stats().1 - before.1);
         println!(
             "  {percent}% of the maximum of live bytes: {:.2}; files at most {longest} bytes",
-            (appended + carried) as f64 / appended as f64
+            (appended + rewritten) as f64 / appended as f64
         );
     }
 }
--- a/crates/journal/benches/journal/v1.rs
+++ b/crates/journal/benches/journal/v1.rs
@@ -113,15 +113,14 @@
     /// The frames of each unfinished message, by message number, in the order of arrival.
     live: BTreeMap<u64, Vec<u8>>,
     live_bytes: u64,
-    room: u64,
+    capacity: u64,
     reserve: u64,
 }
 
 impl Journal {
-    /// Opens the journal of a folder with a capacity of `room` bytes, and returns the unfinished messages by
-    /// number.
+    /// Opens the journal of a folder that may hold `capacity` bytes, and returns the unfinished messages by number.
     pub fn open(
-        folder: &Path, room: u64, max_attempts: u32,
+        folder: &Path, capacity: u64, max_attempts: u32,
     ) -> io::Result<(Journal, BTreeMap<u64, RecoveredMessage>)> {
         let path = folder.join("journal");
         // Left over from a compaction that did not finish.
@@ -130,7 +129,7 @@
         let bytes = fs::read(&path)?;
         let reserve = ATTEMPT_BYTES * u64::from(max_attempts) + NOTICE_BYTES;
         let (live, live_bytes) = (BTreeMap::new(), 0);
-        let mut journal = Journal { path, file, length: 0, live, live_bytes, room, reserve };
+        let mut journal = Journal { path, file, length: 0, live, live_bytes, capacity, reserve };
         let mut restored = BTreeMap::new();
         let mut at = 0;
         while at < bytes.len() {
@@ -167,7 +166,7 @@
     /// the live frames must fit twice, in the old and in the new file of a compaction.
     pub fn has_capacity(&self, size: usize) -> bool {
         let messages = self.live.len() as u64 + 1;
-        2 * (self.live_bytes + size as u64 + messages * self.reserve) + SLACK_BYTES <= self.room
+        2 * (self.live_bytes + size as u64 + messages * self.reserve) + SLACK_BYTES <= self.capacity
     }
 
     /// Appends a record to the file and to the frames in memory.
@@ -177,7 +176,7 @@
     pub fn append(&mut self, number: u64, record: &Record) -> io::Result<()> {
         let frame = frame::encode(&(number, record))?;
         let length = self.length + frame.len() as u64;
-        let full = length + self.live_bytes + frame.len() as u64 + SLACK_BYTES / 2 > self.room;
+        let full = length + self.live_bytes + frame.len() as u64 + SLACK_BYTES / 2 > self.capacity;
         if full || length > 2 * self.live_bytes + MAX_STALE_BYTES {
             self.compact()?;
         }
--- a/crates/journal/src/compaction_policy.rs
+++ b/crates/journal/src/compaction_policy.rs
@@ -33,7 +33,7 @@
 }
 
 impl CompactionPolicy {
-    /// The sizes for a capacity of `capacity` bytes.
+    /// The sizes for a journal whose files may occupy `capacity` bytes.
     pub fn new(capacity: u64) -> CompactionPolicy {
         CompactionPolicy {
             capacity,
