--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -1,8 +1,8 @@
 //! Blocks of clients by order, kept over restarts in a file of their own, and what the control line is told of clients. All
 //! of it runs on the control line's thread: the loop is not asked.
 
-use crate::lock::locked;
-use crate::places::Places;
+use crate::client_connections::ClientConnections;
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::Event;
 use foldtrack_control::{self as control, ClientLine, Clients, Holding, KernelSockets};
 use ipnet::IpNet;
@@ -22,7 +22,7 @@
 /// How long what the kernel tells of sockets is shown: with many thousands of them it takes milliseconds to read.
 const KERNEL_FRESH: Duration = Duration::from_secs(2);
 /// A block lasts so long at most, in milliseconds: 30 days.
-pub(crate) const LONGEST_MS: u64 = 30 * 86_400_000;
+pub(crate) const MAX_BLOCK_MS: u64 = 30 * 86_400_000;
 
 /// One block as it is kept.
 #[derive(Debug, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 /// The blocks of a site.
 pub(crate) struct Blocks {
     path: PathBuf,
-    places: Arc<Places>,
+    places: Arc<ClientConnections>,
     /// Floods, the latest first, as lines.
     floods: Mutex<Vec<String>>,
     /// What happens, for those who have subscribed.
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The file can't be read, or holds something else. It is left as it is.
-    pub fn open(state: &Path, places: Arc<Places>, port: u16) -> Result<Arc<Blocks>, String> {
+    pub fn open(state: &Path, places: Arc<ClientConnections>, port: u16) -> Result<Arc<Blocks>, String> {
         let path = state.join(FILE);
         let told = |e: &dyn std::fmt::Display| {
             format!("{}: {e}; move it away to start without blocks", path.display())
@@ -82,9 +82,9 @@
             Err(e) => return Err(told(&e)),
         };
         let clock = places.clock();
-        let now = clock.unix(clock.now());
+        let now = clock.unix_time(clock.now());
         for Kept { network, until } in kept.iter().filter(|kept| kept.until > now) {
-            places.block(*network, clock.since_unix(*until)).map_err(|e| told(&e))?;
+            places.block(*network, clock.time_at_unix(*until)).map_err(|e| told(&e))?;
         }
         let events = broadcast::Sender::new(EVENTS);
         Ok(Arc::new(Blocks {
@@ -103,34 +103,34 @@
     /// # Errors
     /// There are too many, or it could not be kept: then it holds, but may not outlive the process.
     pub fn block(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
-        self.hold(network, for_ms)?;
+        self.apply(network, for_ms)?;
         self.keep().map_err(|e| {
             format!("the block holds, but may not outlive the process: {}: {e}", self.path.display())
         })
     }
 
-    /// What another forwarder was told: it holds at once, and is kept by [`Blocks::keep_later`].
+    /// What another forwarder was told: it holds at once, and is kept by [`Blocks::save_in_background`].
     ///
     /// # Errors
     /// There are too many.
-    pub fn hold(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
-        self.places.block(network, self.places.clock().now() + for_ms.min(LONGEST_MS) * 1000)
+    pub fn apply(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
+        self.places.block(network, self.places.clock().now() + for_ms.min(MAX_BLOCK_MS) * 1000)
     }
 
     /// Lets a network in again that another forwarder was told to; false if it was not blocked.
-    pub fn lift(&self, network: &IpNet) -> bool {
+    pub fn remove(&self, network: &IpNet) -> bool {
         self.places.unblock(network)
     }
 
     /// What stands, and for how many milliseconds yet.
-    pub fn standing(&self) -> Vec<(IpNet, u64)> {
+    pub fn active(&self) -> Vec<(IpNet, u64)> {
         let now = self.places.clock().now();
         let standing = self.places.blocks().into_iter().filter(|(_, until)| *until > now);
         standing.map(|(network, until)| (network, (until - now) / 1000)).collect()
     }
 
     /// Writes all that stands, off the loop.
-    pub fn keep_later(self: &Arc<Blocks>) {
+    pub fn save_in_background(self: &Arc<Blocks>) {
         let blocks = self.clone();
         tokio::task::spawn_blocking(move || {
             if let Err(e) = blocks.keep() {
@@ -147,7 +147,7 @@
     /// # Errors
     /// It could not be kept.
     pub fn unblock(&self, network: &IpNet) -> Result<bool, String> {
-        let was = self.lift(network);
+        let was = self.remove(network);
         let kept = self.keep();
         kept.map(|()| was).map_err(|e| {
             format!("it holds no more, but may come back with a restart: {}: {e}", self.path.display())
@@ -157,12 +157,12 @@
     /// Writes all that stands into a new file and puts it in the old one's place: whole or not at all, also when the power
     /// goes.
     fn keep(&self) -> io::Result<()> {
-        let _one = locked(&self.keeping);
+        let _one = lock_ignoring_poison(&self.keeping);
         let clock = self.places.clock();
         let now = clock.now();
         let standing = self.places.blocks().into_iter().filter(|(_, until)| *until > now);
         let kept: Vec<Kept> =
-            standing.map(|(network, until)| Kept { network, until: clock.unix(until) }).collect();
+            standing.map(|(network, until)| Kept { network, until: clock.unix_time(until) }).collect();
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let mut file = tempfile::NamedTempFile::new_in(folder)?;
         file.write_all(&serde_json::to_vec(&kept)?)?;
@@ -172,7 +172,7 @@
     }
 
     /// Takes in what the gate has noticed; each is told once, in one line.
-    pub fn notice(&self) {
+    pub fn report_floods(&self) {
         for event in self.places.events() {
             let name = |a: Option<IpAddr>| a.map_or("many addresses".to_string(), |a| a.to_string());
             let (kind, address, line) = match event {
@@ -191,23 +191,23 @@
             let clock = self.places.clock();
             // Nobody need have subscribed.
             let _ = self.events.send(control::Event {
-                at: clock.unix(clock.now()),
+                at: clock.unix_time(clock.now()),
                 kind: kind.into(),
                 address: address.map_or(String::new(), |a| a.to_string()),
                 text: line.clone(),
             });
-            let mut floods = locked(&self.floods);
+            let mut floods = lock_ignoring_poison(&self.floods);
             floods.insert(0, line);
             floods.truncate(FLOODS);
         }
     }
 
     /// Something that has happened elsewhere in the process, for those who have subscribed.
-    pub fn tell(&self, kind: &str, text: &str) {
+    pub fn publish(&self, kind: &str, text: &str) {
         let clock = self.places.clock();
         // Nobody may be listening.
         let _ = self.events.send(control::Event {
-            at: clock.unix(clock.now()),
+            at: clock.unix_time(clock.now()),
             kind: kind.into(),
             text: text.into(),
             ..control::Event::default()
@@ -221,7 +221,7 @@
 
     /// What the kernel tells of the listener's sockets, now or a moment ago.
     fn kernel(&self) -> Option<KernelSockets> {
-        let mut last = locked(&self.kernel);
+        let mut last = lock_ignoring_poison(&self.kernel);
         match &*last {
             Some((at, told)) if at.elapsed() < KERNEL_FRESH => told.clone(),
             _ => {
@@ -233,7 +233,7 @@
     }
 
     /// Takes in how many descriptors there are now, and how many places by them.
-    pub fn review(&self, (limit, most): (usize, Result<usize, String>)) {
+    pub fn update_limits(&self, (limit, most): (usize, Result<usize, String>)) {
         let (places, told) = match most {
             Ok(places) => (places, format!("clients: {places} connections at once from now on")),
             Err(error) => (0, format!("clients: nobody is let in: {error}")),
@@ -271,11 +271,11 @@
                 most: most as u32,
             })
             .collect();
-        let blocks = self.standing().into_iter();
+        let blocks = self.active().into_iter();
         Clients {
             clients: self.places.seen(most).into_iter().map(client).collect(),
             blocks: blocks.map(|(network, left)| (network.to_string(), left)).collect(),
-            floods: locked(&self.floods).clone(),
+            floods: lock_ignoring_poison(&self.floods).clone(),
             descriptors,
             lingering: self.places.lingering() as u32,
             kernel: self.kernel(),
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -2,15 +2,15 @@
 
 use super::appliance::kept;
 use super::{Node, Taken, Waiting};
-use crate::descriptors::Drawn;
-use crate::door::CallEnd;
-use crate::targets::{self, Call};
-use foldtrack_admission::Party;
-use foldtrack_clearance::Overtaken;
+use crate::call::{self, Call};
+use crate::descriptors::DescriptorPermit;
+use crate::events::CallEnd;
+use foldtrack_admission::DescriptorUser;
 use foldtrack_control::Failure;
+use foldtrack_delivery::{Action, Event, Micros, Outcome, TargetId};
 use foldtrack_ends::{self as ends, Attempt};
 use foldtrack_journal::{AttemptEffect, FailureNotice, Record};
-use hatchline::{Action, Event, Micros, Outcome, TargetId};
+use foldtrack_preflight::PreflightError;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
@@ -44,11 +44,14 @@
             Action::Fail { id } => self.end(id, FailureNotice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all that was decided on before, and no later than what is decided on next.
-            Action::FoundOut { target } => self.targets.found_out(target, self.clock.now()),
-            Action::CloseIdle { target } => self.idle.close(target),
+            Action::OutageDetected { target } => self.targets.record_outage(target, self.clock.now()),
+            Action::CloseIdle { target } => self.pool.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is watched all the time; probes and talk are not for this kind of deployment.
-            Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::Subscribe { .. }
+            | Action::FetchList
+            | Action::Probe { .. }
+            | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -58,7 +61,7 @@
         let Some(held) = self.messages.get_mut(&number).filter(|h| matches!(h.taken, Taken::On)) else {
             return;
         };
-        if self.notices.hold(held.message.order_key()) {
+        if self.notices.holds_key(held.message.order_key()) {
             return;
         }
         self.waiting.remove(&number);
@@ -90,15 +93,15 @@
         let Waiting { attempt, target, until, decided } = decided;
         let Some(held) = self.messages.get(&number) else { return };
         let (message, tries) = (held.message.clone(), held.tries);
-        let Some((address, zone, clearance)) = self.targets.begin_call(target, decided) else {
+        let Some((address, zone, preflight)) = self.targets.begin_call(target, decided) else {
             return self.outcome(number, attempt, target, Outcome::NotSent, false);
         };
         // The same is asked again once its connection is up: what is known already needs no record.
-        if let Err(why) = clearance.check(self.clock.now()) {
+        if let Err(why) = preflight.check(self.clock.now()) {
             self.targets.end_call(target);
             return self.held_back(number, attempt, target, why);
         }
-        let at = self.clock.unix(self.clock.now());
+        let at = self.clock.unix_time(self.clock.now());
         let endpoint =
             if self.site.is_some() { self.targets.name(target).to_string() } else { String::new() };
         let begun = Record::AttemptStarted { attempt: tries, at, zone, endpoint };
@@ -116,9 +119,9 @@
         self.attempt_begun(number, at, target);
         let (cancel, cancelled) = oneshot::channel();
         self.calls.insert((number, attempt), cancel);
-        let connection = self.idle.take(target);
+        let connection = self.pool.take(target);
         let descriptor = if connection.is_none() { self.draw_for_a_call() } else { None };
-        let speech = self.speeches.of(message.destination);
+        let protocol = self.partner_protocols.for_destination(message.destination);
         let call = Call {
             number,
             attempt,
@@ -126,14 +129,14 @@
             address,
             message,
             dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
-            until: self.clock.instant(until),
+            deadline: self.clock.instant(until),
             connection,
             descriptor,
-            clearance,
+            preflight,
             clock: self.clock,
-            speech,
+            protocol,
             settings: self.settings.clone(),
-            reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
+            limit_reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
         };
         self.durable.gathering.calls.push((ticket, call, cancelled));
         self.open_ahead(target);
@@ -141,10 +144,10 @@
 
     /// A descriptor for a new connection. Where calls hold all that they may, the connection that has stood idle longest
     /// makes room: it is one of theirs.
-    fn draw_for_a_call(&mut self) -> Option<Drawn> {
+    fn draw_for_a_call(&mut self) -> Option<DescriptorPermit> {
         loop {
-            let drawn = self.descriptors.draw(Party::Calls);
-            if drawn.is_some() || !self.idle.drop_oldest() {
+            let drawn = self.descriptors.acquire(DescriptorUser::Calls);
+            if drawn.is_some() || !self.pool.drop_oldest() {
                 return drawn;
             }
         }
@@ -152,21 +155,21 @@
 
     /// Opens connections to a target before calls ask for them, at a site that does.
     pub(super) fn open_ahead(&mut self, target: TargetId) {
-        let dials = self.idle.dials(target);
+        let dials = self.pool.preconnects_due(target);
         if dials == 0 {
             return;
         }
         let Some((address, destination)) = self.targets.open_at(target) else { return };
         for _ in 0..dials {
             // What calls need comes first: none of their idle connections gives way for one ahead.
-            let Some(descriptor) = self.descriptors.draw(Party::Calls) else { return };
+            let Some(descriptor) = self.descriptors.acquire(DescriptorUser::Calls) else { return };
             self.next_dial += 1;
-            let (number, speech) = (self.next_dial, self.speeches.of(destination));
+            let (number, protocol) = (self.next_dial, self.partner_protocols.for_destination(destination));
             let timeout = Duration::from_micros(self.settings.settings.connect_timeout);
             let dial =
-                targets::dial(target, number, address, speech, descriptor, timeout, self.inputs.clone());
+                call::dial(target, number, address, protocol, descriptor, timeout, self.events.clone());
             let dial = tokio::spawn(dial).abort_handle();
-            self.idle.dials_ahead(target, number, dial);
+            self.pool.preconnect_started(target, number, dial);
         }
     }
 
@@ -176,12 +179,12 @@
 
     /// A call that was not begun, since news has overtaken the decision. The module decides anew; it is told the wait with it,
     /// which it may not have heard of yet.
-    fn held_back(&mut self, id: u64, attempt: u32, target: TargetId, why: Overtaken) {
+    fn held_back(&mut self, id: u64, attempt: u32, target: TargetId, why: PreflightError) {
         let wait = match why {
-            Overtaken::Waits { until } => until.saturating_sub(self.clock.now()),
-            Overtaken::FoundOut | Overtaken::Closed => 0,
+            PreflightError::RetryAfter { until } => until.saturating_sub(self.clock.now()),
+            PreflightError::OutageDetected | PreflightError::Closed => 0,
         };
-        let outcome = self.nothing_tried(id, Outcome::HeldBack);
+        let outcome = self.nothing_tried(id, Outcome::Withheld);
         self.handle(Event::Outcome {
             id,
             attempt,
@@ -199,23 +202,23 @@
     fn nothing_tried(&mut self, number: u64, outcome: Outcome) -> Outcome {
         let most = self.settings.settings.max_attempts;
         match self.messages.get_mut(&number) {
-            Some(held) if outcome == Outcome::HeldBack && held.held_back < most => {
+            Some(held) if outcome == Outcome::Withheld && held.held_back < most => {
                 held.held_back += 1;
                 held.attempts -= 1;
                 outcome
             }
-            _ if outcome == Outcome::HeldBack => Outcome::NotSent,
+            _ if outcome == Outcome::Withheld => Outcome::NotSent,
             _ => outcome,
         }
     }
 
     pub(super) fn call_ended(&mut self, end: CallEnd) {
         self.calls.remove(&(end.number, end.attempt));
-        self.idle.ended(end.target, end.idle, end.dialled, end.outcome);
+        self.pool.call_ended(end.target, end.idle_for, end.connect_time, end.outcome);
         self.attempt_ended(&end);
         let listed = self.targets.end_call(end.target);
-        if let Some(connection) = end.connection.filter(|_| listed) {
-            self.idle.put(end.target, connection);
+        if let Some(connection) = end.reusable_connection.filter(|_| listed) {
+            self.pool.put(end.target, connection);
         }
         self.open_ahead(end.target);
         // The others of a site hear of it whatever has become of the message.
@@ -230,11 +233,11 @@
             Some(_) => end.outcome != Outcome::Ok,
             // Its partner may have written the answer after the time was over, and the platform then waits for the message's end
             // for ever: it is told one. For a message that is over a notice does no harm (PROTOCOL).
-            None => end.late,
+            None => end.past_deadline,
         };
-        if end.over && given_up {
+        if end.settled && given_up {
             self.end(end.number, FailureNotice::GivenUp);
-        } else if end.over {
+        } else if end.settled {
             self.delivered(end.number);
         } else if held {
             // There is never more than one out.
@@ -252,8 +255,8 @@
             attempt: end.attempt,
             target: end.target,
             outcome,
-            took: now.saturating_sub(self.clock.micros(end.begun)),
-            ended: end.over || !held,
+            took: now.saturating_sub(self.clock.micros(end.started_at)),
+            ended: end.settled || !held,
             // A wait runs from the answer's arrival, not from now.
             wait: end.wait_until.map_or(0, |until| until.saturating_sub(now)),
             report: end.report,
@@ -272,14 +275,14 @@
 
     fn attempt_ended(&mut self, end: &CallEnd) {
         let (Some(site), Some(held)) = (&mut self.site, self.messages.get_mut(&end.number)) else { return };
-        if end.outcome == Outcome::HeldBack {
+        if end.outcome == Outcome::Withheld {
             // Nothing was tried, and it speaks against nobody.
             held.history.pop();
             return;
         }
         let attempt = held.history.len() as u32;
         let Some(tried) = held.history.last_mut() else { return };
-        tried.until = self.clock.unix(self.clock.now());
+        tried.until = self.clock.unix_time(self.clock.now());
         tried.outcome = if end.refused { ends::AttemptOutcome::Refused } else { kept(end.outcome) };
         if end.outcome == Outcome::Ok {
             return;
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -1,13 +1,13 @@
 //! Messages end undelivered, and the platform is told.
 
 use super::{Held, Node, Taken};
-use crate::door::Answer;
-use crate::notices::Ending;
+use crate::events::SubmitReply;
+use crate::notice_queue::PendingNotice;
 use crate::platform;
-use crate::table::Known;
+use crate::registry::Known;
+use foldtrack_delivery::{Effect, Micros};
 use foldtrack_ends::{FinalStatus, MessageOutcomeRef};
 use foldtrack_journal::{FailureNotice, Record};
-use hatchline::{Effect, Micros};
 use hyper::StatusCode;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
                     site.let_go(&held.message);
                     site.full(retry_in_ms)
                 }
-                None => Answer::Refused { retry_in_ms },
+                None => SubmitReply::Refused { retry_in_ms },
             };
             let _ = reply.send(answer);
             return;
@@ -55,7 +55,8 @@
         }
         self.ids.set(&held.message.id, Known::Ended);
         self.record(number, &Record::FailureNoticed(notice));
-        let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
+        let ending =
+            PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
         self.notices.insert(number, ending);
     }
 
@@ -81,7 +82,7 @@
     fn handed_back(&self, held: &Held, retry_in_ms: u64) -> FinalStatus {
         let message = &held.message;
         let class = self.settings.settings.classes.get(message.class);
-        let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window);
+        let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window);
         // The partner may have known it since the first attempt that can have reached it, of whichever hand-in.
         let first = held.history.iter().find(|a| !a.outcome.never_ran()).map(|a| a.at);
         let own =
@@ -89,7 +90,7 @@
         let Some(until) = self.harmless_until(&message.id).into_iter().chain(own).min() else {
             return FinalStatus::HandedBack { retry_in_ms };
         };
-        let back = self.clock.unix(self.clock.now()) + 1_000 * retry_in_ms + MEMORY_MARGIN;
+        let back = self.clock.unix_time(self.clock.now()) + 1_000 * retry_in_ms + MEMORY_MARGIN;
         if back >= until {
             return FinalStatus::InDoubt;
         }
@@ -135,7 +136,7 @@
         if held.attempts > 1 || result != FinalStatus::Delivered {
             site.then(number, word);
         }
-        let ended = self.clock.unix(self.clock.now());
+        let ended = self.clock.unix_time(self.clock.now());
         // An end that goes must not leave a message behind that the journal believes to be open.
         if site.ends.drops(ended) {
             if let Err(error) = self.journal.flush() {
@@ -213,27 +214,27 @@
     pub(super) fn sweep_ends(&mut self) {
         let Some(site) = &mut self.site else { return };
         match self.journal.flush() {
-            Ok(()) => site.ends.drop_expired(self.clock.unix(self.clock.now()), 0),
+            Ok(()) => site.ends.drop_expired(self.clock.unix_time(self.clock.now()), 0),
             Err(error) => eprintln!("journal: {error}"),
         }
     }
 
     pub(super) fn report_notices(&mut self) {
         let Some(discovery) = &self.discovery else { return };
-        while let Some((numbers, lines)) = self.notices.next(self.clock.now()) {
-            tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.inputs.clone()));
+        while let Some((numbers, lines)) = self.notices.next_report(self.clock.now()) {
+            tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.events.clone()));
         }
     }
 
     pub(super) fn reported(&mut self, numbers: Vec<u64>, status: Option<StatusCode>, to: SocketAddr) {
-        self.notices.came_back();
+        self.notices.report_finished();
         if status != Some(StatusCode::NO_CONTENT) {
             // Where discovery has moved meanwhile, they go to the new address at once.
             let stays = self.discovery.as_ref().is_some_and(|d| to == *d.borrow());
             if stays {
                 eprintln!("notices were not taken: {status:?}");
             }
-            return self.notices.again(numbers, self.clock.now(), stays);
+            return self.notices.requeue(numbers, self.clock.now(), stays);
         }
         let mut keys = HashSet::new();
         for number in numbers {
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -3,11 +3,11 @@
 use super::endings::MEMORY_MARGIN;
 use super::{Held, Node, Taken};
 use crate::message::{order_key, Message};
-use crate::notices::Ending;
-use crate::table::Known;
+use crate::notice_queue::PendingNotice;
+use crate::registry::Known;
+use foldtrack_delivery::{Effect, Event, Outcome};
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
-use hatchline::{Effect, Event, Outcome};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
         if let Some(notice) = notice.filter(|_| self.site.is_none()) {
             let order_key = order_key(&accepted.key);
             self.ids.set(&accepted.id, Known::Ended);
-            self.notices.insert(number, Ending { id: accepted.id, order_key, notice });
+            self.notices.insert(number, PendingNotice { id: accepted.id, order_key, notice });
             return;
         }
         let class = self.settings.class_names.iter().position(|n| *n == accepted.class);
@@ -46,7 +46,7 @@
             key: accepted.key,
             idempotency_key: accepted.idempotency_key,
             retry: accepted.retry,
-            expires: self.clock.since_unix(accepted.expires).min(latest),
+            expires: self.clock.time_at_unix(accepted.expires).min(latest),
             body: accepted.body.into(),
         };
         let message = self.after_old_state(message, since);
@@ -74,7 +74,7 @@
         if doubtful
             && notice.is_none()
             && !delivered
-            && (effect == Some(Effect::Unsafe) || expires <= self.clock.now())
+            && (effect == Some(Effect::Once) || expires <= self.clock.now())
         {
             return self.end(number, FailureNotice::GivenUp);
         }
@@ -89,7 +89,7 @@
             return self.end(number, FailureNotice::GivenUp);
         };
         let first = attempts.iter().find(|t| t.effect != Some(AttemptEffect::NeverRan));
-        let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
+        let first_run = first.map(|t| (self.clock.time_at_unix(t.at), t.zone));
         let outcome = |effect| match effect {
             Some(AttemptEffect::NeverRan) => Outcome::NotSent,
             Some(AttemptEffect::MayHaveRun) | None => Outcome::Reset,
@@ -112,13 +112,13 @@
     /// A keyed message of an older copy of the folder goes out only while its partner remembers it from when it came.
     fn after_old_state(&self, message: Message, since: u64) -> Message {
         let class = self.settings.settings.classes.get(message.class);
-        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window) else {
+        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window) else {
             return message;
         };
         if !self.has_old_state() {
             return message;
         }
-        let until = self.clock.since_unix(since.saturating_add(window).saturating_sub(MEMORY_MARGIN));
+        let until = self.clock.time_at_unix(since.saturating_add(window).saturating_sub(MEMORY_MARGIN));
         Message { expires: message.expires.min(until), ..message }
     }
 }
