--- a/tests/site/connections.rs
+++ b/tests/site/connections.rs
@@ -1,7 +1,7 @@
 //! Connections to partners: used again only while that is safe, opened before they are needed, and none for an endpoint that
 //! is drained.
 
-use super::world::*;
+use super::site_process::*;
 use foldtrack_control::ControlCommand;
 use foldtrack_standin::http::{Closing, Reply, Server, OK};
 use foldtrack_standin::tls::{Authority, Front};
@@ -21,7 +21,7 @@
 
 /// Hands payments in, with gaps around a partner's idle time, the worst there can be: 0.5 to 1.25 of it, and now and then a
 /// tenth. Gives how many were written to a connection that it had dropped.
-fn around(site: &Site, server: &Server, name: &str, idle: u64, closing: Closing) -> usize {
+fn around(site: &SiteProcess, server: &Server, name: &str, idle: u64, closing: Closing) -> usize {
     server.drop_idle(Some((MS(idle), closing)));
     let before = server.behind.load(Ordering::SeqCst);
     for call in 0..calls() {
@@ -37,9 +37,9 @@
 #[test]
 fn connections_that_the_partner_drops_are_not_written_to() {
     let server = Server::start(|_| OK);
-    let mut plan = Plan::of(&[("p", "a", server.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
     plan.calls = "open-ahead = false";
-    let site = Site::start(&plan);
+    let site = SiteProcess::start(&plan);
     let told = around(&site, &server, "told", 60, Closing::Told);
     let sooner = around(&site, &server, "sooner", 30, Closing::Told);
     // Nobody sees these but by a message: a few are lost to learn it.
@@ -82,11 +82,11 @@
     Far { server, front, _folder: folder, lines }
 }
 
-fn site_of(far: &Far, calls: &'static str) -> Site {
-    let mut plan = Plan::of(&[("p", "a", far.front.address)]);
+fn site_of(far: &Far, calls: &'static str) -> SiteProcess {
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", far.front.address)]);
     plan.partner = far.lines.clone();
     plan.calls = calls;
-    Site::start(&plan)
+    SiteProcess::start(&plan)
 }
 
 /// Told to drain while connections are being made, for calls and ahead of them: nothing new is written, however long they
