--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -1,7 +1,7 @@
-//! The main job on an embedded default: partners that fail in the usual ways, a forwarder on a fresh site, several
-//! thousand messages of all classes, and each rule checked from the partners' own books.
+//! `foldtrack demo`: a forwarder on a new site, partners with common failures and several thousand messages of all
+//! classes; each delivery rule is checked against the partners' own call records.
 
-use super::{fleet, say, show, Ended, Failure, FAILED};
+use super::{fleet, print, show, CommandError, CommandResult, EXIT_FAILED};
 use crate::lock::lock_ignoring_poison;
 use clap::Args;
 use foldtrack_control::{Client, ControlCommand, ControlResponse, Partner as PartnerStats, Status};
@@ -21,24 +21,25 @@
 
 #[derive(Args)]
 pub(super) struct Demo {
-    /// Messages
+    /// Number of messages
     #[arg(long, default_value_t = 4000, value_parser = clap::value_parser!(u64).range(10..=1_000_000))]
     messages: u64,
-    /// Sets the faults
+    /// Seed of the random faults
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Messages a second
+    /// Messages per second
     #[arg(long, default_value_t = 400, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     rate: u64,
-    /// So many forwarders that know of each other, with a cut between them, in place of one among failing partners
+    /// Run this many forwarders as peers, with a network partition between them, instead of one with failing partners
     #[arg(long, value_parser = clap::value_parser!(u64).range(3..=9))]
     forwarders: Option<u64>,
 }
 
-/// Two sides of a fleet that can't reach each other for a while, and an order on either.
-fn among_forwarders(forwarders: usize, seed: u64) -> Ended {
-    let mut story = Story::told("cut").ok_or_else(|| Failure(FAILED, "there is no story".into()))?;
-    // The story tells of five; of fewer the second side is the smaller one.
+/// Runs a fleet that is partitioned in two for a while, with an operator order on each side.
+fn partitioned_fleet(forwarders: usize, seed: u64) -> CommandResult {
+    let mut story = Story::told("cut")
+        .ok_or_else(|| CommandError(EXIT_FAILED, "the built-in scenario `cut` is missing".into()))?;
+    // The scenario is written for five forwarders; with fewer, the second side is the smaller one.
     story.forwarders = 3;
     for step in &mut story.steps {
         if let What::Order(who, ..) = &mut step.what {
@@ -47,31 +48,35 @@
             }
         }
     }
-    say(&format!(
-        "{forwarders} forwarders that know of each other, and their partners and clients.\n{}.\n\n",
+    print(&format!(
+        "{forwarders} forwarders as peers, with their partners and clients.\n{}.\n\n",
         story.about
     ))?;
-    let report = fleet::watched(&Play::of("demo", story, forwarders, seed), false)?;
-    say(&fleet::table(&report))?;
+    let report = fleet::run_with_progress(&Play::of("demo", story, forwarders, seed), false)?;
+    print(&fleet::table(&report))?;
     if report.is_clean() {
         return Ok(());
     }
-    Err(Failure(FAILED, "a rule is broken".into()))
+    Err(CommandError(EXIT_FAILED, "a delivery rule was violated".into()))
 }
 
-/// Partners: name, share of the messages, what is odd about it.
+/// Partners: name, share of the messages in percent, and behaviour.
 const PARTNERS: [(&str, u64, &str); 4] = [
     ("healthy", 50, "answers in 2 to 10 ms"),
     ("slow", 15, "answers in 150 to 400 ms"),
-    ("limited", 20, "takes 60 a second, and tells a wait above that"),
-    ("shaky", 15, "goes silent for a while, and comes back cold"),
+    ("limited", 20, "accepts 60 calls a second, and requests a wait above that"),
+    ("shaky", 15, "stops responding for a while, and returns with low capacity"),
 ];
+/// Number of concurrent clients.
 const CLIENTS: usize = 16;
-/// When the shaky one goes silent and comes back, in parts of the whole sending.
-const SILENT: (f64, f64) = (0.3, 0.6);
-const PATIENCE: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(500);
+/// When the partner `shaky` stops responding and when it returns, as fractions of the sending time.
+const OUTAGE: (f64, f64) = (0.3, 0.6);
+/// Timeout of a client's request.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between the updates of the progress table.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
+/// How each partner behaves.
 fn conduct(name: &str) -> Conduct {
     let ms = Duration::from_millis;
     match name {
@@ -82,31 +87,32 @@
     }
 }
 
-/// Classes of the demo's site.
+/// The classes of the demo's site file.
 const CLASSES: &str = "[class.update]\neffect = \"keyed\"\nremembered = \"20s\"\nordered = true\naim = \"3s\"\ndeadline = \"24s\"\n\
     [class.payment]\neffect = \"once\"\naim = \"3s\"\ndeadline = \"24s\"\nworth = 3\n\
     [class.notice]\neffect = \"repeatable\"\naim = \"3s\"\ndeadline = \"24s\"\n";
 
+/// What the clients have sent so far.
 #[derive(Default)]
 struct Sent {
-    /// Ids that were taken on, with their class.
-    taken: Mutex<BTreeMap<String, &'static str>>,
+    /// Ids of the accepted messages, with their classes.
+    accepted: Mutex<BTreeMap<String, &'static str>>,
     refused: AtomicU64,
     failed: AtomicU64,
     done: AtomicBool,
 }
 
-pub(super) fn demo(demo: &Demo) -> Ended {
+pub(super) fn demo(demo: &Demo) -> CommandResult {
     if let Some(forwarders) = demo.forwarders {
-        return among_forwarders(forwarders as usize, demo.seed);
+        return partitioned_fleet(forwarders as usize, demo.seed);
     }
-    let told = |what: &str, e: &dyn std::fmt::Display| Failure(FAILED, format!("{what}: {e}"));
+    let failed = |what: &str, e: &dyn std::fmt::Display| CommandError(EXIT_FAILED, format!("{what}: {e}"));
     let partners: Vec<(&str, Partner)> = PARTNERS
         .iter()
         .enumerate()
         .map(|(n, (name, ..))| (*name, Partner::start(demo.seed + n as u64, conduct(name))))
         .collect();
-    let listed: Vec<Listed> = partners
+    let site_partners: Vec<Listed> = partners
         .iter()
         .map(|(name, p)| Listed {
             name: name.to_string(),
@@ -114,55 +120,56 @@
             rate: (*name == "limited").then_some(60.0),
         })
         .collect();
-    let program = std::env::current_exe().map_err(|e| told("this program", &e))?;
-    let forwarder = Forwarder::start(&program, "demo", &listed, CLASSES).map_err(|e| Failure(FAILED, e))?;
+    let program = std::env::current_exe().map_err(|e| failed("this program", &e))?;
+    let forwarder = Forwarder::start(&program, "demo", &site_partners, CLASSES)
+        .map_err(|e| CommandError(EXIT_FAILED, e))?;
     let listen = forwarder.listen;
-    let mut client = forwarder.control().map_err(|e| Failure(FAILED, e))?;
+    let mut client = forwarder.control().map_err(|e| CommandError(EXIT_FAILED, e))?;
 
-    say(&format!(
-        "{} messages at {} a second to four partners, through a forwarder at {listen}:\n",
+    print(&format!(
+        "{} messages at {} per second to four partners, through a forwarder at {listen}:\n",
         demo.messages, demo.rate
     ))?;
     let rows: Vec<Vec<String>> = PARTNERS
         .iter()
-        .map(|(name, share, odd)| vec![name.to_string(), format!("{share}%"), odd.to_string()])
+        .map(|(name, share, behaviour)| vec![name.to_string(), format!("{share}%"), behaviour.to_string()])
         .collect();
-    say(&show::table(&["partner", "messages", "what it does"], &rows, ""))?;
-    say("\n")?;
+    print(&show::table(&["partner", "messages", "what it does"], &rows, ""))?;
+    print("\n")?;
 
     let sent = Sent::default();
     let start = Instant::now();
     let span = Duration::from_secs_f64(demo.messages as f64 / demo.rate as f64);
-    let shown = scope(|scope| {
+    let progress = scope(|scope| {
         for worker in 0..CLIENTS {
             let sent = &sent;
-            scope.spawn(move || hand_in(worker as u64, demo, listen, start, sent));
+            scope.spawn(move || submit(worker as u64, demo, listen, start, sent));
         }
         let shaky = partners.iter().find(|(name, _)| *name == "shaky").map(|(_, p)| p);
         let faults = scope.spawn(move || {
             let Some(shaky) = shaky else { return };
-            sleep(span.mul_f64(SILENT.0));
+            sleep(span.mul_f64(OUTAGE.0));
             shaky.conduct(|c| c.silent = true);
-            sleep(span.mul_f64(SILENT.1 - SILENT.0));
+            sleep(span.mul_f64(OUTAGE.1 - OUTAGE.0));
             shaky.come_back_cold();
         });
-        let shown = watch(&mut client, &sent, demo.messages);
+        let progress = watch(&mut client, &sent, demo.messages);
         sent.done.store(true, Ordering::SeqCst);
         let _ = faults.join();
-        shown
+        progress
     });
-    let (status, lines) = shown?;
-    let ends = foldtrack_rig::run::ends(listen).map_err(|e| told("the ends", &e))?;
-    let books: Vec<(&str, Books)> = partners.iter().map(|(name, p)| (*name, p.books())).collect();
-    conclude(&status, &lines, &ends, &books, &sent, start.elapsed())
+    let (status, partner_stats) = progress?;
+    let outcomes = foldtrack_rig::run::ends(listen).map_err(|e| failed("reading the outcomes", &e))?;
+    let call_records: Vec<(&str, Books)> = partners.iter().map(|(name, p)| (*name, p.books())).collect();
+    conclude(&status, &partner_stats, &outcomes, &call_records, &sent, start.elapsed())
 }
 
-/// One client: a connection that is kept, one message at a time. Messages of a key come from one client, in their
-/// order, and each goes to one partner.
-fn hand_in(worker: u64, demo: &Demo, listen: SocketAddr, start: Instant, sent: &Sent) {
+/// One client: it sends one message at a time on a persistent connection. All messages of a key come from the same
+/// client, in order, and go to the same partner.
+fn submit(worker: u64, demo: &Demo, listen: SocketAddr, start: Instant, sent: &Sent) {
     let mut random = fastrand::Rng::with_seed(demo.seed.wrapping_add(1000 + worker));
-    let mut kept = Exchange::new(listen, PATIENCE);
-    let mut turns: BTreeMap<String, u64> = BTreeMap::new();
+    let mut connection = Exchange::new(listen, CLIENT_TIMEOUT);
+    let mut sequence: BTreeMap<String, u64> = BTreeMap::new();
     for n in (worker..demo.messages).step_by(CLIENTS) {
         let due = start + Duration::from_secs_f64(n as f64 / demo.rate as f64);
         sleep(due.saturating_duration_since(Instant::now()));
@@ -176,94 +183,98 @@
         let class = ["update", "payment", "notice"][random.usize(0..3)];
         let (path, body) = if class == "update" {
             let key = format!("{partner}-w{worker}-{}", random.u64(0..3));
-            let turn = turns.entry(key.clone()).or_default();
-            *turn += 1;
-            (format!("/update/{key}"), format!("key={key};seq={turn};class=update;"))
+            let next = sequence.entry(key.clone()).or_default();
+            *next += 1;
+            (format!("/update/{key}"), format!("key={key};seq={next};class=update;"))
         } else {
             (format!("/{class}"), format!("class={class};"))
         };
         let id = format!("demo-{n}");
         let request = post(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
-        match kept.ask(&request, true).map(|answer| answer.status) {
-            Some(202) => drop(lock_ignoring_poison(&sent.taken).insert(id, class)),
+        match connection.ask(&request, true).map(|answer| answer.status) {
+            Some(202) => drop(lock_ignoring_poison(&sent.accepted).insert(id, class)),
             Some(503) => drop(sent.refused.fetch_add(1, Ordering::SeqCst)),
             _ => drop(sent.failed.fetch_add(1, Ordering::SeqCst)),
         }
     }
 }
 
-/// Shows what happens until everything has ended.
-fn watch(client: &mut Client, sent: &Sent, messages: u64) -> Result<(Status, Vec<PartnerStats>), Failure> {
+/// Shows the progress until every message is settled.
+fn watch(
+    client: &mut Client, sent: &Sent, messages: u64,
+) -> Result<(Status, Vec<PartnerStats>), CommandError> {
     let live = std::io::stdout().is_terminal();
     let mut first = true;
     loop {
         let (ControlResponse::Status(status), ControlResponse::Partners(partners)) =
             (client.request(ControlCommand::Status)?, client.request(ControlCommand::Partners)?)
         else {
-            return Err(Failure(FAILED, "the forwarder answers something else than it was asked".into()));
+            return Err(CommandError(EXIT_FAILED, "unexpected response from the forwarder".into()));
         };
-        let given = lock_ignoring_poison(&sent.taken).len() as u64
+        let submitted = lock_ignoring_poison(&sent.accepted).len() as u64
             + sent.refused.load(Ordering::SeqCst)
             + sent.failed.load(Ordering::SeqCst);
-        let over = given >= messages && status.held == 0;
-        if live || over {
+        let finished = submitted >= messages && status.held == 0;
+        if live || finished {
             let rows: Vec<Vec<String>> = partners
                 .iter()
                 .map(|p| {
                     let counts = [u64::from(p.held), u64::from(p.calls), p.delivered, p.failures];
-                    let mut row = vec![p.name.clone(), p.health.clone(), show::span(p.wait_ms)];
+                    let mut row = vec![p.name.clone(), p.health.clone(), show::format_duration(p.wait_ms)];
                     row.extend(counts.map(|n| n.to_string()));
                     row
                 })
                 .collect();
             let head = ["partner", "health", "wait", "held", "calls", "delivered", "failed attempts"];
             let text = format!(
-                "{given} of {messages} handed in, {} held, {} ended\n{}",
+                "{submitted} of {messages} submitted, {} held, {} ended\n{}",
                 status.held,
                 status.delivered + status.given_up + status.in_doubt + status.handed_back,
                 show::table(&head, &rows, "")
             );
-            // Drawn over the last one.
+            // Overwrites the previous table.
             let up = text.lines().count();
-            say(&if live && !first { format!("\x1b[{up}A\x1b[J{text}") } else { text })?;
+            print(&if live && !first { format!("\x1b[{up}A\x1b[J{text}") } else { text })?;
             first = false;
         }
-        if over {
+        if finished {
             return Ok((*status, partners));
         }
-        sleep(LOOK);
+        sleep(REFRESH_INTERVAL);
     }
 }
 
-/// The table at the end: what the forwarder says, and what the partners' books say of it.
+/// Prints the final report: the outcomes reported by the forwarder, checked against the partners' call records.
 fn conclude(
-    status: &Status, partners: &[PartnerStats], ends: &BTreeMap<String, Vec<String>>,
-    books: &[(&str, Books)], sent: &Sent, took: Duration,
-) -> Ended {
-    let taken = lock_ignoring_poison(&sent.taken);
-    let verdict = judge(books.iter().map(|(_, b)| b));
+    status: &Status, partners: &[PartnerStats], outcomes: &BTreeMap<String, Vec<String>>,
+    call_records: &[(&str, Books)], sent: &Sent, elapsed: Duration,
+) -> CommandResult {
+    let accepted = lock_ignoring_poison(&sent.accepted);
+    let verdict = judge(call_records.iter().map(|(_, b)| b));
     let effect = |call: &&foldtrack_standin::books::Call| matches!(call.fate, Fate::Took | Fate::Swallowed);
     let effects: BTreeSet<&str> =
-        books.iter().flat_map(|(_, b)| b.calls.iter().filter(effect).map(|c| c.id.as_str())).collect();
-    let mut by_end: BTreeMap<(&str, &str), u64> = BTreeMap::new();
-    let (mut lost, mut doubled, mut false_ends) = (0, 0, 0);
-    for (id, class) in taken.iter() {
-        match ends.get(id).map(Vec::as_slice) {
+        call_records.iter().flat_map(|(_, b)| b.calls.iter().filter(effect).map(|c| c.id.as_str())).collect();
+    let mut by_outcome: BTreeMap<(&str, &str), u64> = BTreeMap::new();
+    let (mut lost, mut duplicated, mut contradicted) = (0, 0, 0);
+    for (id, class) in accepted.iter() {
+        match outcomes.get(id).map(Vec::as_slice) {
             None | Some([]) => lost += 1,
-            Some([end]) => {
-                *by_end.entry((class, end)).or_default() += 1;
+            Some([outcome]) => {
+                *by_outcome.entry((class, outcome)).or_default() += 1;
                 let ran = effects.contains(id.as_str());
-                false_ends += u64::from(end == "delivered" && !ran || end == "given_up" && ran);
+                contradicted += u64::from(outcome == "delivered" && !ran || outcome == "given_up" && ran);
             }
-            Some(_) => doubled += 1,
+            Some(_) => duplicated += 1,
         }
     }
-    let rows: Vec<Vec<String>> = by_end
+    let rows: Vec<Vec<String>> = by_outcome
         .iter()
-        .map(|((class, end), count)| vec![class.to_string(), end.replace('_', " "), count.to_string()])
+        .map(|((class, outcome), count)| {
+            vec![class.to_string(), outcome.replace('_', " "), count.to_string()]
+        })
         .collect();
-    say(&format!("\nAll over after {:.1} s.\n\n", took.as_secs_f64()))?;
-    say(&show::table(&["class", "ended as", "messages"], &rows, "nothing"))?;
+    print(&format!("\nFinished after {:.1} s.\n\n", elapsed.as_secs_f64()))?;
+    print(&show::table(&["class", "ended as", "messages"], &rows, "nothing"))?;
     let refused = sent.refused.load(Ordering::SeqCst);
     let failed = sent.failed.load(Ordering::SeqCst);
     let delivered: u64 = partners.iter().map(|p| p.delivered).sum();
@@ -271,25 +282,25 @@
         vec![name.to_string(), value.to_string(), if good { "kept" } else { "BROKEN" }.to_string()]
     };
     let rules = [
-        line("taken on without an end", lost, lost == 0),
-        line("taken on with two ends", doubled, doubled == 0),
-        line("ends that the books contradict", false_ends, false_ends == 0),
+        line("accepted without an outcome", lost, lost == 0),
+        line("accepted with more than one outcome", duplicated, duplicated == 0),
+        line("outcomes that the call records contradict", contradicted, contradicted == 0),
         line("took effect twice", verdict.twice.len() as u64, verdict.twice.is_empty()),
         line("out of order in their key", verdict.out_of_order.len() as u64, verdict.out_of_order.is_empty()),
-        line("calls during a wait that was told", verdict.in_waits, verdict.in_waits == 0),
-        line("partners pushed over on their return", verdict.fell_over, verdict.fell_over == 0),
+        line("calls during a wait that the partner requested", verdict.in_waits, verdict.in_waits == 0),
+        line("partners overloaded on their return", verdict.fell_over, verdict.fell_over == 0),
     ];
-    let kept = rules.iter().all(|rule| rule[2] == "kept");
-    say(&format!(
-        "\n{} taken on, {refused} refused, {failed} not answered; {} calls, {delivered} delivered, {} attempts failed.\n\
-         The rules, by the partners' own books:\n\n",
-        taken.len(),
+    let all_kept = rules.iter().all(|rule| rule[2] == "kept");
+    print(&format!(
+        "\n{} accepted, {refused} refused, {failed} unanswered; {} calls, {delivered} delivered, {} attempts failed.\n\
+         Delivery rules, checked against the partners' call records:\n\n",
+        accepted.len(),
         verdict.calls,
         status.failures
     ))?;
-    say(&show::table(&["rule", "count", ""], &rules, ""))?;
-    if kept && failed == 0 {
+    print(&show::table(&["rule", "count", ""], &rules, ""))?;
+    if all_kept && failed == 0 {
         return Ok(());
     }
-    Err(Failure(FAILED, "a rule is broken, or a client had no answer".into()))
+    Err(CommandError(EXIT_FAILED, "a delivery rule was violated, or a client got no response".into()))
 }
--- a/src/bin/foldtrack/cli/emulate.rs
+++ b/src/bin/foldtrack/cli/emulate.rs
@@ -1,7 +1,7 @@
-//! Fleets in simulated time: policies side by side on the same seeds.
+//! `foldtrack emulate`: runs fleets in simulated time and compares policies on the same seeds.
 
 use super::show::table;
-use super::{say, Ended, Failure, FAILED, WRONG};
+use super::{print, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use clap::Args;
 use foldtrack_delivery::emulator_policy::SchedulerFactory;
 use foldtrack_emulator::baselines::Baseline;
@@ -10,112 +10,111 @@
 use foldtrack_emulator::world::World;
 use std::path::PathBuf;
 
-/// The world that comes with the program.
-const CALM: &str = include_str!("../../../../crates/emulator/worlds/calm.toml");
+/// The built-in scenario.
+const DEFAULT_SCENARIO: &str = include_str!("../../../../crates/emulator/worlds/calm.toml");
 
 #[derive(Args)]
 pub(super) struct Emulate {
-    /// A world in TOML; without one, three hundred forwarders on a calm day
+    /// The scenario (TOML); by default 300 forwarders without faults
     world: Option<PathBuf>,
-    /// Plays of each policy, on seeds from `--first-seed` on
+    /// Number of runs of each policy, on consecutive seeds from `--first-seed`
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     seeds: u64,
-    /// See `--seeds`
+    /// The first seed
     #[arg(long, default_value_t = 1)]
     first_seed: u64,
-    /// How many forwarders, in place of what the world says
+    /// Number of forwarders, instead of the scenario's
     #[arg(long)]
     forwarders: Option<u32>,
-    /// Policies to play, the first of which the others are compared with; `module` is the program's own
+    /// A policy to run; may be repeated. The others are compared with the first; `module` is the program's own
     #[arg(long = "policy", default_values = ["module", "one-try", "back-off", "aimd", "even-part"])]
     policies: Vec<String>,
-    /// A line of JSON for each play
+    /// Print one JSON object per run
     #[arg(long)]
     json: bool,
-    /// Writes the world that comes with the program, to begin another with
+    /// Print the built-in scenario, as a starting point for another
     #[arg(long)]
     template: bool,
 }
 
-fn policy(name: &str) -> Result<&'static dyn Maker, Failure> {
+/// The policy of a name.
+fn policy(name: &str) -> Result<&'static dyn Maker, CommandError> {
     let all: Vec<&'static dyn Maker> = std::iter::once(&SchedulerFactory as &dyn Maker)
         .chain(Baseline::ALL.iter().map(|b| b as &dyn Maker))
         .collect();
     let names: Vec<&str> = all.iter().map(|p| p.name()).collect();
-    let told = || Failure(WRONG, format!("there is no policy {name:?}; there are {}", names.join(", ")));
-    all.iter().copied().find(|p| p.name() == name).ok_or_else(told)
+    let unknown =
+        || CommandError(EXIT_USAGE, format!("unknown policy {name:?}; available: {}", names.join(", ")));
+    all.iter().copied().find(|p| p.name() == name).ok_or_else(unknown)
 }
 
-pub(super) fn emulate(words: &Emulate) -> Ended {
-    if words.template {
-        return say(CALM);
+pub(super) fn emulate(args: &Emulate) -> CommandResult {
+    if args.template {
+        return print(DEFAULT_SCENARIO);
     }
-    let text = match &words.world {
-        Some(path) => {
-            std::fs::read_to_string(path).map_err(|e| Failure(WRONG, format!("{}: {e}", path.display())))?
-        }
-        None => CALM.to_string(),
+    let text = match &args.world {
+        Some(path) => std::fs::read_to_string(path)
+            .map_err(|e| CommandError(EXIT_USAGE, format!("{}: {e}", path.display())))?,
+        None => DEFAULT_SCENARIO.to_string(),
     };
-    let shown = words
-        .world
-        .as_ref()
-        .map_or("the world that comes with the program".into(), |p| p.display().to_string());
-    let wrong = |e: String| Failure(WRONG, format!("{shown}: {e}"));
-    let mut world = World::read(&text).map_err(wrong)?;
-    if let Some(forwarders) = words.forwarders {
+    let name = args.world.as_ref().map_or("the built-in scenario".into(), |p| p.display().to_string());
+    let invalid = |e: String| CommandError(EXIT_USAGE, format!("{name}: {e}"));
+    let mut world = World::read(&text).map_err(invalid)?;
+    if let Some(forwarders) = args.forwarders {
         world.fleet.forwarders = forwarders;
-        world.check().map_err(wrong)?;
+        world.check().map_err(invalid)?;
     }
-    let policies = words.policies.iter().map(|name| policy(name)).collect::<Result<Vec<_>, _>>()?;
-    let seeds: Vec<u64> = (words.first_seed..words.first_seed.saturating_add(words.seeds)).collect();
-    let began = std::time::Instant::now();
+    let policies = args.policies.iter().map(|name| policy(name)).collect::<Result<Vec<_>, _>>()?;
+    let seeds: Vec<u64> = (args.first_seed..args.first_seed.saturating_add(args.seeds)).collect();
+    let started = std::time::Instant::now();
     let all = rows(&world, &policies, &seeds);
-    if words.json {
+    if args.json {
         let line = |r: &Row| {
             serde_json::json!({
                 "policy": r.policy, "seed": r.seed, "served": r.served, "goal": r.goal, "in_time": r.in_time, "late": r.late,
                 "refused": r.refused, "attempts": r.attempts, "full": r.full, "first_s": r.first, "broken": r.broken,
             })
         };
-        return say(&all.iter().map(|r| format!("{}\n", line(r))).collect::<String>());
+        return print(&all.iter().map(|r| format!("{}\n", line(r))).collect::<String>());
     }
-    let plays = all.len() as f64;
-    let simulated = f64::from(world.fleet.forwarders) * world.fleet.lasts as f64 / 1e6 * plays;
+    let runs = all.len() as f64;
+    let simulated = f64::from(world.fleet.forwarders) * world.fleet.lasts as f64 / 1e6 * runs;
     let text = format!(
-        "{}: {} forwarders, {} plays in {:.1} s, {:.0} forwarder-seconds in each\n{}",
+        "{}: {} forwarders, {} runs in {:.1} s, {:.0} forwarder-seconds simulated per second\n{}",
         world.about,
         world.fleet.forwarders,
         all.len(),
-        began.elapsed().as_secs_f64(),
-        simulated / began.elapsed().as_secs_f64().max(1e-9),
-        report(&all, &words.policies)
+        started.elapsed().as_secs_f64(),
+        simulated / started.elapsed().as_secs_f64().max(1e-9),
+        report(&all, &args.policies)
     );
-    say(&text)?;
+    print(&text)?;
     match all.iter().find(|r| r.policy == "module" && r.broken > 0) {
-        Some(row) => {
-            Err(Failure(FAILED, format!("the module broke a rule {} times on seed {}", row.broken, row.seed)))
-        }
+        Some(row) => Err(CommandError(
+            EXIT_FAILED,
+            format!("policy `module` violated a rule {} times on seed {}", row.broken, row.seed),
+        )),
         None => Ok(()),
     }
 }
 
-/// Means with their 95% intervals, and the differences to the first policy seed by seed.
+/// A table of means with their 95% confidence intervals, and of the paired differences to the first policy by seed.
 fn report(all: &[Row], policies: &[String]) -> String {
     let of = |policy: &String| all.iter().filter(|r| r.policy == *policy).collect::<Vec<_>>();
     let first = policies.first().map(of).unwrap_or_default();
-    let shown = |values: &[f64]| {
+    let formatted = |values: &[f64]| {
         let (mean, half) = mean(values);
         format!("{mean:.3} +-{half:.3}")
     };
     let line = |policy: &String| {
         let rows = of(policy);
-        let column = |value: fn(&Row) -> f64| shown(&rows.iter().map(|r| value(r)).collect::<Vec<_>>());
+        let column = |value: fn(&Row) -> f64| formatted(&rows.iter().map(|r| value(r)).collect::<Vec<_>>());
         let differences: Vec<f64> =
             rows.iter().zip(&first).map(|(row, first)| row.served - first.served).collect();
         vec![
             policy.clone(),
             column(|r| r.served),
-            if policies.first() == Some(policy) { "-".into() } else { shown(&differences) },
+            if policies.first() == Some(policy) { "-".into() } else { formatted(&differences) },
             column(|r| r.goal),
             column(|r| r.in_time),
             column(|r| r.late),
@@ -139,5 +138,5 @@
         "first call s",
         "broken",
     ];
-    table(&head, &policies.iter().map(line).collect::<Vec<_>>(), "nothing was played")
+    table(&head, &policies.iter().map(line).collect::<Vec<_>>(), "no runs")
 }
--- a/src/bin/foldtrack/cli/fleet.rs
+++ b/src/bin/foldtrack/cli/fleet.rs
@@ -1,6 +1,6 @@
-//! Several forwarders as processes, with faults between them that a story tells.
+//! `foldtrack fleet`: runs several forwarders as processes, with the faults that a scenario describes.
 
-use super::{say, Ended, Failure, FAILED, WRONG};
+use super::{print, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use clap::Subcommand;
 use foldtrack_rig::run::{play, Play, Progress};
 use foldtrack_rig::shrink::shortest;
@@ -13,80 +13,89 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-/// Plays that the search for the shortest story may take.
-const SHRINKING: usize = 12;
+/// Maximum number of runs in the search for the shortest failing scenario.
+const MAX_SHRINK_RUNS: usize = 12;
 
 #[derive(Subcommand)]
 pub(super) enum Fleet {
-    /// Plays a story on real processes, and judges it from the books of partners and clients. Exit code 0 only where no rule
-    /// is broken and work was done; the last line is one JSON object
+    /// Runs a scenario on real processes and checks the delivery rules against the records of partners and clients. The
+    /// exit code is 0 only if no rule was violated and enough messages were accepted; the last line is one JSON object
     Run {
-        /// How many forwarders
+        /// Number of forwarders
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=16))]
         forwarders: u64,
-        /// A story that comes with the program (`fleet list`), or a file
+        /// A built-in scenario (see `fleet list`) or a file
         #[arg(long, default_value = "calm")]
         scenario: String,
-        /// Sets all that is drawn
+        /// Seed of all random choices
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Only the line of JSON
+        /// Print only the JSON object
         #[arg(long)]
         json: bool,
-        /// They do not know of each other, for comparisons
+        /// Run the forwarders without peers, for comparison
         #[arg(long)]
         alone: bool,
-        /// Where it fails, the shortest story that still does is not looked for
+        /// On failure, do not search for the shortest scenario that still fails
         #[arg(long)]
         no_shrink: bool,
     },
-    /// The stories that come with the program
+    /// Lists the built-in scenarios
     List,
-    /// Writes a story that comes with the program, to begin another with
+    /// Prints a built-in scenario, as a starting point for another
     Story {
-        /// Its name
+        /// Name of the scenario
         name: String,
     },
 }
 
-pub(super) fn fleet(words: &Fleet) -> Ended {
-    match words {
+pub(super) fn fleet(args: &Fleet) -> CommandResult {
+    match args {
         Fleet::List => {
             let line = |(name, text): &(&str, &str)| {
                 let about = Story::read(text).map(|s| s.about).unwrap_or_default();
                 format!("{name:<16}{about}\n")
             };
-            say(&TOLD.iter().map(line).collect::<String>())
+            print(&TOLD.iter().map(line).collect::<String>())
         }
         Fleet::Story { name } => match TOLD.iter().find(|(known, _)| known == name) {
-            Some((_, text)) => say(text),
+            Some((_, text)) => print(text),
             None => Err(unknown(name)),
         },
         Fleet::Run { forwarders, scenario, seed, json, alone, no_shrink } => {
-            let mut told = Play::of(scenario, story(scenario)?, *forwarders as usize, *seed);
-            told.peers = !alone;
-            run(&told, *json, !no_shrink)
+            let mut plan = Play::of(scenario, load_scenario(scenario)?, *forwarders as usize, *seed);
+            plan.peers = !alone;
+            run(&plan, *json, !no_shrink)
         }
     }
 }
 
-fn unknown(name: &str) -> Failure {
+/// The error for a scenario that is neither built in nor a file.
+fn unknown(name: &str) -> CommandError {
     let names: Vec<&str> = TOLD.iter().map(|(name, _)| *name).collect();
-    Failure(WRONG, format!("there is no story {name:?}, and no file; there are {}", names.join(", ")))
+    CommandError(
+        EXIT_USAGE,
+        format!(
+            "{name:?} is neither a built-in scenario nor a readable file; built in: {}",
+            names.join(", ")
+        ),
+    )
 }
 
-fn story(name: &str) -> Result<Story, Failure> {
+/// Reads a built-in scenario or a file.
+fn load_scenario(name: &str) -> Result<Story, CommandError> {
     if let Some(story) = Story::told(name) {
         return Ok(story);
     }
     let text = std::fs::read_to_string(PathBuf::from(name)).map_err(|_| unknown(name))?;
-    Story::read(&text).map_err(|e| Failure(WRONG, format!("{name}: {e}")))
+    Story::read(&text).map_err(|e| CommandError(EXIT_USAGE, format!("{name}: {e}")))
 }
 
-/// Plays it, with a bar for whoever looks on.
-pub(super) fn watched(told: &Play, quiet: bool) -> Result<Report, Failure> {
-    let program = std::env::current_exe().map_err(|e| Failure(FAILED, format!("this program: {e}")))?;
-    let (progress, over) = (Progress::default(), AtomicBool::new(false));
+/// Runs a scenario, with a progress bar unless `quiet`.
+pub(super) fn run_with_progress(plan: &Play, quiet: bool) -> Result<Report, CommandError> {
+    let program =
+        std::env::current_exe().map_err(|e| CommandError(EXIT_FAILED, format!("this program: {e}")))?;
+    let (progress, finished) = (Progress::default(), AtomicBool::new(false));
     let bar = match quiet || !std::io::stderr().is_terminal() {
         true => ProgressBar::hidden(),
         false => ProgressBar::new(1000),
@@ -96,64 +105,65 @@
     }
     let report = std::thread::scope(|scope| {
         scope.spawn(|| {
-            while !over.load(Ordering::Relaxed) {
+            while !finished.load(Ordering::Relaxed) {
                 bar.set_position(progress.part.load(Ordering::Relaxed));
                 bar.set_message(progress.doing.lock().unwrap_or_else(PoisonError::into_inner).clone());
                 std::thread::sleep(Duration::from_millis(100));
             }
         });
-        let report = play(&program, told, &progress);
-        over.store(true, Ordering::Relaxed);
+        let report = play(&program, plan, &progress);
+        finished.store(true, Ordering::Relaxed);
         report
     });
     bar.finish_and_clear();
-    report.map_err(|e| Failure(FAILED, e))
+    report.map_err(|e| CommandError(EXIT_FAILED, e))
 }
 
-fn run(told: &Play, json: bool, shrink: bool) -> Ended {
+/// Runs a scenario, prints the report and, on failure, searches for the shortest scenario that fails.
+fn run(plan: &Play, json: bool, shrink: bool) -> CommandResult {
     if !json {
-        say(&format!("{}: {}\n", told.name, told.story.about))?;
+        print(&format!("{}: {}\n", plan.name, plan.story.about))?;
     }
-    let report = watched(told, json)?;
+    let report = run_with_progress(plan, json)?;
     if !json {
-        say(&table(&report))?;
+        print(&table(&report))?;
     }
     let clean = report.is_clean();
     if !clean && shrink && !json {
-        say(&format!(
-            "a rule is broken with seed {}; looking for the shortest story that breaks one\n",
-            told.seed
+        print(&format!(
+            "a rule was violated with seed {}; searching for the shortest scenario that violates one\n",
+            plan.seed
         ))?;
         let fails = |story: &Story| {
-            let shorter = Play { story: story.clone(), ..told.clone() };
-            watched(&shorter, false).is_ok_and(|r| r.breaches.sum() > 0)
+            let shorter = Play { story: story.clone(), ..plan.clone() };
+            run_with_progress(&shorter, false).is_ok_and(|r| r.breaches.sum() > 0)
         };
-        let (short, plays) = shortest(&told.story, SHRINKING, fails);
-        say(&format!("after {plays} plays, for --seed {}:\n\n{}\n", told.seed, short.text()))?;
+        let (short, runs) = shortest(&plan.story, MAX_SHRINK_RUNS, fails);
+        print(&format!("after {runs} runs, for --seed {}:\n\n{}\n", plan.seed, short.text()))?;
     }
-    let line = serde_json::to_string(&report).map_err(|e| Failure(FAILED, e.to_string()))?;
-    say(&format!("{line}\n"))?;
+    let line = serde_json::to_string(&report).map_err(|e| CommandError(EXIT_FAILED, e.to_string()))?;
+    print(&format!("{line}\n"))?;
     match clean {
         true => Ok(()),
-        false if report.breaches.sum() > 0 => Err(Failure(FAILED, String::new())),
-        false => Err(Failure(
-            FAILED,
-            format!("only {} messages were taken on; {} are needed", report.taken, report.least),
+        false if report.breaches.sum() > 0 => Err(CommandError(EXIT_FAILED, String::new())),
+        false => Err(CommandError(
+            EXIT_FAILED,
+            format!("only {} messages were accepted; at least {} are required", report.taken, report.least),
         )),
     }
 }
 
-/// What a play has shown, for people.
+/// The report of a run as text.
 pub(super) fn table(report: &Report) -> String {
     let b = &report.breaches;
     let rows: Vec<Vec<String>> = [
-        ("taken on and without one end", b.lost),
+        ("accepted without exactly one outcome", b.lost),
         ("took effect twice", b.twice),
         ("out of order in their key", b.out_of_order),
-        ("calls more than 2 s after the forwarder was told of a drain", b.after_drain),
-        ("calls in a wait that the forwarder had been told", b.waits_broken),
-        ("partners pushed over on their return", b.pushed_over),
-        ("forwarders with another picture in the end", b.diverged),
+        ("calls more than 2 s after the forwarder received a drain", b.after_drain),
+        ("calls during a wait that the partner had requested", b.waits_broken),
+        ("partners overloaded on their return", b.pushed_over),
+        ("forwarders with a different state at the end", b.diverged),
     ]
     .iter()
     .map(|(rule, count)| {
@@ -161,8 +171,8 @@
     })
     .collect();
     let mut text = format!(
-        "{} forwarders: {} messages taken on, {} ended, {} refused, {} unanswered, {} lost with their machine; {} calls, \
-         {} of them turned away with a wait\n",
+        "{} forwarders: {} messages accepted, {} ended, {} refused, {} unanswered, {} lost with their machine; {} calls, \
+         {} of them rejected with a wait\n",
         report.forwarders,
         report.taken,
         report.ended,
@@ -173,7 +183,7 @@
         report.refused_by_partner
     );
     text += &format!(
-        "orders reached all within {} ms; {} ms after the last fault all had the same picture\n\n",
+        "orders reached all forwarders within {} ms; {} ms after the last fault all had the same state\n\n",
         report.told_ms, report.converged_ms
     );
     text + &super::show::table(&["rule", "count", ""], &rows, "")
--- a/src/bin/foldtrack/cli/journal.rs
+++ b/src/bin/foldtrack/cli/journal.rs
@@ -1,6 +1,7 @@
-//! Looking into a journal, beside its owner or without one: read-only, and nothing that the owner could wait for.
+//! `foldtrack journal`: inspects a journal, while a forwarder uses it or afterwards. It only reads, and takes no lock
+//! that a running forwarder could wait for.
 
-use super::{load, say, show, Ended, Failure, FAILED, REFUSED};
+use super::{load, print, show, CommandError, CommandResult, EXIT_FAILED, EXIT_REFUSED};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use clap::{Args, Subcommand};
 use foldtrack_journal::recovery::{read, DamagedRange, RecoveredJournal};
@@ -9,99 +10,102 @@
 use std::io::ErrorKind;
 use std::path::PathBuf;
 
-/// A running forwarder may remove a segment between two looks: then it is looked at anew, so often at most.
-const LOOKS: u32 = 20;
+/// Maximum number of attempts to read the journal. A running forwarder may remove a segment during an attempt.
+const MAX_READ_ATTEMPTS: u32 = 20;
 
 #[derive(Args)]
 pub(super) struct Journal {
     #[command(subcommand)]
-    what: What,
+    command: JournalCommand,
     /// The site file of the forwarder
     #[arg(long, default_value = "site.toml", env = "FOLDTRACK_SITE", global = true)]
     site: PathBuf,
-    /// Its state folder, instead of the one that the site file names
+    /// The forwarder's state folder, instead of the one named in the site file
     #[arg(long, env = "FOLDTRACK_STATE", global = true)]
     state: Option<PathBuf>,
-    /// JSON, for programs
+    /// Print JSON
     #[arg(long, global = true)]
     json: bool,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Segments, bytes, messages, records
+enum JournalCommand {
+    /// Shows the numbers of segments, bytes, messages and records
     Stat,
-    /// Every message that is not over, the oldest first
+    /// Lists the open messages, oldest first
     List,
-    /// One message with its attempts
+    /// Shows one message with its attempts
     Show {
-        /// Its X-Request-Id
+        /// The message's X-Request-Id
         id: String,
     },
-    /// Reads every byte, and tells what is damaged and what a restart makes of it
+    /// Reads the whole journal, and reports damage and what a restart does about it
     Verify,
-    /// Every message that is not over as a JSON line, with its body
+    /// Writes the open messages as JSON lines, with their bodies
     Export,
 }
 
-pub(super) fn journal(words: &Journal) -> Ended {
-    let state = match &words.state {
+pub(super) fn journal(args: &Journal) -> CommandResult {
+    let state = match &args.state {
         Some(state) => state.clone(),
-        None => load(&words.site)?.state,
+        None => load(&args.site)?.state,
     };
-    let failed = |e: std::io::Error| Failure(FAILED, format!("{}: {e}", state.display()));
+    let failed = |e: std::io::Error| CommandError(EXIT_FAILED, format!("{}: {e}", state.display()));
     if !state.is_dir() {
-        return Err(Failure(FAILED, format!("{}: no such folder", state.display())));
+        return Err(CommandError(EXIT_FAILED, format!("{}: no such folder", state.display())));
     }
-    let mut looks = 0;
-    let found = loop {
-        looks += 1;
+    let mut attempts = 0;
+    let journal_data = loop {
+        attempts += 1;
         match read(&mut JournalDir::read_only(&state)) {
-            Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::UnexpectedEof) && looks < LOOKS => {
-            }
+            Err(e)
+                if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::UnexpectedEof)
+                    && attempts < MAX_READ_ATTEMPTS => {}
             other => break other.map_err(failed)?,
         }
     };
     if state.join("journal").is_file() || state.join("journal.v1").is_file() {
-        eprintln!("a journal of version 1 stands here too: it is carried over at the next start");
+        eprintln!("there is also a journal of format version 1: it will be migrated at the next start");
     }
-    match &words.what {
-        What::Stat => stat(&found, words.json),
-        What::List => list(&found, words.json),
-        What::Show { id } => show_one(&found, id, words.json),
-        What::Verify => verify(&found, words.json),
-        What::Export => export(&found),
+    match &args.command {
+        JournalCommand::Stat => stat(&journal_data, args.json),
+        JournalCommand::List => list(&journal_data, args.json),
+        JournalCommand::Show { id } => show_one(&journal_data, id, args.json),
+        JournalCommand::Verify => verify(&journal_data, args.json),
+        JournalCommand::Export => export(&journal_data),
     }
 }
 
-fn stat(found: &RecoveredJournal, as_json: bool) -> Ended {
-    let bytes: u64 = found.segments.iter().map(|s| s.length).sum();
-    let places = found.messages.values().flat_map(|(_, places)| places);
+/// Prints the size of the journal.
+fn stat(journal_data: &RecoveredJournal, as_json: bool) -> CommandResult {
+    let bytes: u64 = journal_data.segments.iter().map(|s| s.length).sum();
+    let places = journal_data.messages.values().flat_map(|(_, places)| places);
     let live: u64 = places.map(|p| u64::from(p.length)).sum();
-    let bodies: usize = found.messages.values().map(|(m, _)| m.accepted.body.len()).sum();
-    let (first, last) = (found.segments.first(), found.segments.last());
+    let bodies: usize = journal_data.messages.values().map(|(m, _)| m.accepted.body.len()).sum();
+    let (first, last) = (journal_data.segments.first(), journal_data.segments.last());
     if as_json {
-        return say(&format!(
+        return print(&format!(
             "{}\n",
-            json!({"version": 2, "segments": found.segments.len(), "bytes": bytes, "live_bytes": live,
-                "messages": found.messages.len(), "body_bytes": bodies, "records": found.records,
-                "highest_number": found.highest_number, "damaged_places": found.damage.len()})
+            json!({"version": 2, "segments": journal_data.segments.len(), "bytes": bytes, "live_bytes": live,
+                "messages": journal_data.messages.len(), "body_bytes": bodies, "records": journal_data.records,
+                "highest_number": journal_data.highest_number, "damaged_places": journal_data.damage.len()})
         ));
     }
     let range = first.zip(last).map_or("none".into(), |(f, l)| format!("{} to {}", f.number, l.number));
-    say(&format!(
-        "format    2\nsegments  {} ({range}), {bytes} bytes\nlive      {live} bytes ({}%)\nmessages  {} not over, {bodies} bytes \
+    print(&format!(
+        "format    2\nsegments  {} ({range}), {bytes} bytes\nlive      {live} bytes ({}%)\nmessages  {} open, {bodies} bytes \
          of bodies\nrecords   {}, the highest message number is {}\ndamage    {} places\n",
-        found.segments.len(),
+        journal_data.segments.len(),
         (live * 100).checked_div(bytes).unwrap_or(0),
-        found.messages.len(),
-        found.records,
-        found.highest_number,
-        found.damage.len()
+        journal_data.messages.len(),
+        journal_data.records,
+        journal_data.highest_number,
+        journal_data.damage.len()
     ))
 }
 
-fn state_of(message: &RecoveredMessage) -> &'static str {
+/// The state of an open message as text. It is also printed as JSON, where programs may depend on the wording.
+fn message_state(message: &RecoveredMessage) -> &'static str {
     match (message.delivered, message.notice, message.attempts.last()) {
         (true, ..) => "delivered, to be told",
         (_, Some(FailureNotice::GivenUp), _) => "given up, to be told",
@@ -112,14 +116,15 @@
     }
 }
 
-fn list(found: &RecoveredJournal, as_json: bool) -> Ended {
+/// Prints the open messages.
+fn list(journal_data: &RecoveredJournal, as_json: bool) -> CommandResult {
     if as_json {
-        let lines = found.messages.iter().map(|(number, (m, _))| {
+        let lines = journal_data.messages.iter().map(|(number, (m, _))| {
             json!({"number": number, "id": m.accepted.id, "class": m.accepted.class, "key": m.accepted.key,
                 "destination": m.accepted.destination, "expires": m.accepted.expires, "attempts": m.attempts.len(),
-                "body_bytes": m.accepted.body.len(), "state": state_of(m)})
+                "body_bytes": m.accepted.body.len(), "state": message_state(m)})
         });
-        return say(&lines.map(|line| format!("{line}\n")).collect::<String>());
+        return print(&lines.map(|line| format!("{line}\n")).collect::<String>());
     }
     let row = |(number, (m, _)): (&u64, &(RecoveredMessage, Vec<_>))| {
         vec![
@@ -128,17 +133,18 @@
             m.accepted.class.clone(),
             m.accepted.destination.to_string(),
             m.accepted.key.clone(),
-            show::time(m.accepted.expires),
+            show::format_time(m.accepted.expires),
             m.attempts.len().to_string(),
             m.accepted.body.len().to_string(),
-            state_of(m).to_string(),
+            message_state(m).to_string(),
         ]
     };
     let head = ["number", "message", "class", "destination", "key", "at", "attempts", "bytes", "state"];
-    let rows: Vec<Vec<String>> = found.messages.iter().map(row).collect();
-    say(&show::table(&head, &rows, "every message is over"))
+    let rows: Vec<Vec<String>> = journal_data.messages.iter().map(row).collect();
+    print(&show::table(&head, &rows, "there are no open messages"))
 }
 
+/// A message with its attempts and body as JSON.
 fn detail(number: u64, message: &RecoveredMessage) -> Value {
     let attempts: Vec<Value> = message
         .attempts
@@ -154,13 +160,15 @@
         .collect();
     let a = &message.accepted;
     json!({"number": number, "id": a.id, "class": a.class, "destination": a.destination, "key": a.key,
-        "idempotency_key": a.idempotency_key, "taken": message.taken, "expires": a.expires, "state": state_of(message),
+        "idempotency_key": a.idempotency_key, "taken": message.taken, "expires": a.expires, "state": message_state(message),
         "attempts": attempts, "body": BASE64_STANDARD.encode(&a.body)})
 }
 
-fn show_one(found: &RecoveredJournal, id: &str, as_json: bool) -> Ended {
+/// Prints the messages with an id.
+fn show_one(journal_data: &RecoveredJournal, id: &str, as_json: bool) -> CommandResult {
     let mut shown = 0;
-    for (number, (message, places)) in found.messages.iter().filter(|(_, (m, _))| m.accepted.id == id) {
+    for (number, (message, places)) in journal_data.messages.iter().filter(|(_, (m, _))| m.accepted.id == id)
+    {
         shown += 1;
         let mut value = detail(*number, message);
         value["places"] =
@@ -170,46 +178,48 @@
         } else {
             serde_json::to_string_pretty(&value).unwrap_or_default()
         };
-        say(&format!("{text}\n"))?;
+        print(&format!("{text}\n"))?;
     }
     match shown {
-        0 => Err(Failure(
-            REFUSED,
-            format!("the journal holds no message {id:?}: it is over, or was never taken on"),
+        0 => Err(CommandError(
+            EXIT_REFUSED,
+            format!("the journal holds no open message {id:?}: it is settled, or was never accepted"),
         )),
         _ => Ok(()),
     }
 }
 
-fn export(found: &RecoveredJournal) -> Ended {
-    for (number, (message, _)) in &found.messages {
-        say(&format!("{}\n", detail(*number, message)))?;
+/// Prints the open messages with their bodies as JSON lines.
+fn export(journal_data: &RecoveredJournal) -> CommandResult {
+    for (number, (message, _)) in &journal_data.messages {
+        print(&format!("{}\n", detail(*number, message)))?;
     }
     Ok(())
 }
 
-/// What a restart makes of damage.
+/// What a restart does about a damaged range.
 fn consequence(damage: &DamagedRange) -> &'static str {
     match (damage.is_tail, damage.bytes) {
-        (true, _) => "a restart cuts it off; it was never acknowledged (a running forwarder may be writing it now)",
-        (false, 0) => "what stood there is lost; a restart goes on with the rest",
+        (true, _) => "a restart truncates it; it was never acknowledged (a running forwarder may be writing it now)",
+        (false, 0) => "its content is lost; a restart continues with the rest",
         (false, _) => {
-            "a restart passes it over: a message that began there is lost, an attempt there counts as perhaps run, and a \
-             message that ended there comes back, with its attempts"
+            "a restart skips it: a message that began there is lost, an attempt there counts as may have run, and a \
+             message that ended there is open again, with its attempts"
         }
     }
 }
 
-fn verify(found: &RecoveredJournal, as_json: bool) -> Ended {
-    let real = found.damage.iter().filter(|d| !d.is_tail).count();
-    for d in &found.damage {
+/// Prints the damaged ranges.
+fn verify(journal_data: &RecoveredJournal, as_json: bool) -> CommandResult {
+    let damaged = journal_data.damage.iter().filter(|d| !d.is_tail).count();
+    for d in &journal_data.damage {
         let name = JournalDir::file_name(d.segment);
         if as_json {
             let line = json!({"segment": d.segment, "at": d.at, "bytes": d.bytes, "tail": d.is_tail, "problem": d.problem,
                 "restart": consequence(d)});
-            say(&format!("{line}\n"))?;
+            print(&format!("{line}\n"))?;
         } else {
-            say(&format!(
+            print(&format!(
                 "journal/{name}: byte {}, {} bytes: {}\n  {}\n",
                 d.at,
                 d.bytes,
@@ -218,11 +228,15 @@
             ))?;
         }
     }
-    if real > 0 {
-        return Err(Failure(FAILED, format!("{real} places are damaged")));
+    if damaged > 0 {
+        return Err(CommandError(EXIT_FAILED, format!("{damaged} places are damaged")));
     }
     if !as_json {
-        say(&format!("sound: {} records in {} segments\n", found.records, found.segments.len()))?;
+        print(&format!(
+            "valid: {} records in {} segments\n",
+            journal_data.records,
+            journal_data.segments.len()
+        ))?;
     }
     Ok(())
 }
--- a/src/bin/foldtrack/cli/load.rs
+++ b/src/bin/foldtrack/cli/load.rs
@@ -1,6 +1,6 @@
-//! Load and experiments: `foldtrack load run | sweep`.
+//! `foldtrack load run | sweep`: load tests with simulated partners.
 
-use super::{say, show, Ended, Failure, FAILED, WRONG};
+use super::{print, show, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use clap::{Args, Subcommand};
 use foldtrack_load::report::HEAD;
 use foldtrack_load::{run, Plan, Report};
@@ -8,70 +8,77 @@
 
 #[derive(Subcommand)]
 pub(super) enum Load {
-    /// One run: messages at a stated rate through a forwarder to stand-in partners
-    Run(Words),
-    /// The same for each share of failing calls and each rate of the plan, beside a plain client with retries
-    Sweep(Words),
+    /// Sends messages at a given rate through a forwarder to simulated partners
+    Run(LoadArgs),
+    /// Runs each failure share and rate of the plan, both with a forwarder and with a plain client that retries
+    Sweep(LoadArgs),
 }
 
 #[derive(Args)]
-pub(super) struct Words {
-    /// The plan (TOML); without one, the built-in one
+pub(super) struct LoadArgs {
+    /// The plan (TOML); by default the built-in one
     file: Option<PathBuf>,
-    /// Another build's program, to be measured by the same plan
+    /// The foldtrack program to measure, instead of this one
     #[arg(long)]
     program: Option<PathBuf>,
-    /// One JSON object a line, for programs
+    /// Print one JSON object per line
     #[arg(long)]
     json: bool,
 }
 
-impl Words {
-    fn plan(&self) -> Result<Plan, Failure> {
-        self.file.as_deref().map_or(Ok(Plan::default()), Plan::read).map_err(|e| Failure(WRONG, e))
+impl LoadArgs {
+    /// Reads the plan.
+    fn plan(&self) -> Result<Plan, CommandError> {
+        self.file.as_deref().map_or(Ok(Plan::default()), Plan::read).map_err(|e| CommandError(EXIT_USAGE, e))
     }
 
-    fn program(&self) -> Result<PathBuf, Failure> {
+    /// The program to measure.
+    fn program(&self) -> Result<PathBuf, CommandError> {
         match &self.program {
             Some(program) => Ok(program.clone()),
-            None => std::env::current_exe().map_err(|e| Failure(FAILED, format!("this program: {e}"))),
+            None => {
+                std::env::current_exe().map_err(|e| CommandError(EXIT_FAILED, format!("this program: {e}")))
+            }
         }
     }
 
-    fn tell(&self, reports: &[Report]) -> Ended {
+    /// Prints reports as a table or as JSON lines.
+    fn print(&self, reports: &[Report]) -> CommandResult {
         if self.json {
             return reports.iter().try_for_each(|report| {
-                let line = serde_json::to_string(report).map_err(|e| Failure(FAILED, e.to_string()))?;
-                say(&format!("{line}\n"))
+                let line =
+                    serde_json::to_string(report).map_err(|e| CommandError(EXIT_FAILED, e.to_string()))?;
+                print(&format!("{line}\n"))
             });
         }
         let rows: Vec<Vec<String>> = reports.iter().map(Report::row).collect();
-        say(&show::table(&HEAD, &rows, "no run"))
+        print(&show::table(&HEAD, &rows, "no runs"))
     }
 }
 
-pub(super) fn load(load: &Load) -> Ended {
+pub(super) fn load(load: &Load) -> CommandResult {
     match load {
-        Load::Run(words) => {
-            let report = run::through(&words.program()?, &words.plan()?).map_err(|e| Failure(FAILED, e))?;
-            words.tell(&[report])
+        Load::Run(args) => {
+            let report =
+                run::through(&args.program()?, &args.plan()?).map_err(|e| CommandError(EXIT_FAILED, e))?;
+            args.print(&[report])
         }
-        Load::Sweep(words) => {
-            let (program, plan) = (words.program()?, words.plan()?);
+        Load::Sweep(args) => {
+            let (program, plan) = (args.program()?, args.plan()?);
             let mut reports = Vec::new();
-            let kept = run::sweep(&program, &plan, |report| {
-                // Programs read lines as they come; a table is drawn when its widths are known.
-                if words.json {
-                    words.tell(std::slice::from_ref(&report)).map_err(|Failure(_, text)| text)?;
+            let result = run::sweep(&program, &plan, |report| {
+                // JSON lines are printed at once; a table needs all rows for the column widths.
+                if args.json {
+                    args.print(std::slice::from_ref(&report)).map_err(|CommandError(_, text)| text)?;
                 }
                 reports.push(report);
                 Ok(())
             });
-            kept.map_err(|e| Failure(FAILED, e))?;
-            if words.json {
+            result.map_err(|e| CommandError(EXIT_FAILED, e))?;
+            if args.json {
                 return Ok(());
             }
-            words.tell(&reports)
+            args.print(&reports)
         }
     }
 }
--- a/src/bin/foldtrack/cli/mod.rs
+++ b/src/bin/foldtrack/cli/mod.rs
@@ -1,5 +1,7 @@
-//! The commands. Exit codes: 0 done, 1 it could not be done, 2 the command or the site file is wrong, 3 no forwarder
-//! runs on the state folder, 4 the order was refused.
+//! The command line interface.
+//!
+//! Exit codes: 0 success, 1 the command failed, 2 the arguments or the site file are invalid, 3 no forwarder runs on
+//! the state folder, 4 the forwarder refused the order.
 
 mod demo;
 mod emulate;
@@ -24,18 +26,19 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-const FAILED: u8 = 1;
-const WRONG: u8 = 2;
-const NOT_RUNNING: u8 = 3;
-const REFUSED: u8 = 4;
+const EXIT_FAILED: u8 = 1;
+const EXIT_USAGE: u8 = 2;
+const EXIT_NOT_RUNNING: u8 = 3;
+const EXIT_REFUSED: u8 = 4;
 
-/// A forwarder of outbound messages: each delivered as its class allows, in order where asked, a payment never twice.
+/// Forwards outbound messages to partners: each is delivered as its class allows, in order where required, and a
+/// payment never twice
 #[derive(Parser)]
 #[command(
     name = "foldtrack",
     version,
-    after_help = "Exit codes: 0 done, 1 could not be done, 2 the command or the \
-site file is wrong,\n3 no forwarder runs on the state folder, 4 the order was refused."
+    after_help = "Exit codes: 0 success, 1 failure, 2 invalid arguments or site \
+file,\n3 no forwarder runs on the state folder, 4 the forwarder refused the order."
 )]
 struct Cli {
     #[command(subcommand)]
@@ -44,16 +47,16 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a forwarder by a site file, in the foreground; SIGTERM or `stop` ends it
+    /// Runs a forwarder in the foreground; SIGTERM or `stop` ends it
     Serve {
         /// The site file
         #[arg(long, default_value = "site.toml")]
         site: PathBuf,
-        /// A rehearsal of a full disk: journal and ends go on as if the state folder could hold no more bytes than this
-        /// file says; it is read again each time that room is wanted
+        /// Simulates a full disk: the journal and the stored outcomes may use no more bytes in the state folder than
+        /// this file says. The file is read again whenever space is needed
         #[arg(long, value_name = "FILE")]
         disk_budget: Option<PathBuf>,
-        /// A rehearsal: the wall clock counts as set by so many seconds, forward or back
+        /// For tests: shifts the wall clock by this many seconds, forward or back
         #[arg(
             long,
             value_name = "SECONDS",
@@ -62,88 +65,88 @@
             hide = true
         )]
         clock_offset: f64,
-        /// A rehearsal: every clock of the process runs so many times as fast
+        /// For tests: runs every clock of the process faster by this factor
         #[arg(long, value_name = "FACTOR", default_value_t = 1.0, hide = true)]
         clock_rate: f64,
-        /// Ends when its standard input does: with whoever has started it, however that ends
+        /// Exits when standard input is closed, so that the forwarder ends with the process that started it
         #[arg(long, hide = true)]
         end_with_input: bool,
     },
-    /// Tells everything that is wrong in a site file
+    /// Checks a site file and reports every problem
     Check {
         /// The site file
         #[arg(default_value = "site.toml")]
         site: PathBuf,
     },
-    /// Which files prove whom to which partner, and until when; no secret is shown
+    /// Lists the certificates and secrets used with each partner and when they expire; no secret is shown
     Keys {
         /// The site file
         #[arg(default_value = "site.toml", env = "FOLDTRACK_SITE")]
         site: PathBuf,
     },
-    /// Looks whether a partner can be reached as it is spoken to
+    /// Tests the connection to a partner
     Partner(partner::Partner),
-    /// Writes a commented site file to begin with
+    /// Writes a commented site file as a starting point
     Init {
-        /// Where to; `-` for standard output
+        /// The file to write; `-` for standard output
         #[arg(default_value = "site.toml")]
         file: PathBuf,
     },
-    /// Figures of the whole
-    Status(Asked),
-    /// Partners, with what is held for them and how they answer
-    Partners(Asked),
-    /// Endpoints, with calls out, waits and the progress of drains
-    Endpoints(Asked),
-    /// What is held, by partner and key, the longest first
+    /// Shows the state of the forwarder as a whole
+    Status(ControlArgs),
+    /// Lists the partners, with the messages held for them and how they respond
+    Partners(ControlArgs),
+    /// Lists the endpoints, with calls in flight, waits and the progress of drains
+    Endpoints(ControlArgs),
+    /// Lists the held messages by partner and key, longest queue first
     Queues {
-        /// Of one partner only
+        /// Show only this partner
         #[arg(long)]
         partner: Option<String>,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// Attempts that failed lately, and what was done about them
+    /// Lists recent failed attempts and what was done about them
     Failures {
-        /// Lines at most
+        /// Maximum number of lines
         #[arg(long, default_value_t = 50)]
         most: u32,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// One message's whole history
+    /// Shows the history of one message
     Message {
-        /// Its X-Request-Id
+        /// The message's X-Request-Id
         id: String,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// Sends nothing new to an endpoint; calls that are out may end
+    /// Stops new calls to an endpoint; calls in flight may finish
     Drain {
         /// The endpoint
         endpoint: String,
-        /// Waits until no call is out any more
+        /// Wait until no call is in flight
         #[arg(long)]
         wait: bool,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// Calls a drained endpoint, or a paused partner, again
+    /// Resumes calls to a drained endpoint or a paused partner
     Resume {
         /// The endpoint or partner
         name: String,
-        /// A partner is meant, where an endpoint has the same name
+        /// The name is a partner's, even if an endpoint has the same name
         #[arg(long)]
         partner: bool,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// Sends nothing new to a partner; messages for it are taken on and wait, up to their deadlines
+    /// Stops new calls to a partner; messages for it are still accepted and wait, up to their deadlines
     Pause {
         /// The partner
         partner: String,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
     /// Adds an endpoint to a partner
     Add {
@@ -151,100 +154,101 @@
         partner: String,
         /// The new endpoint's name
         endpoint: String,
-        /// Its address and port
+        /// Address and port
         address: String,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
     /// Removes an endpoint
     Remove {
         /// The endpoint
         endpoint: String,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// Hands in messages from JSON lines, and tells how they ended
+    /// Submits messages from JSON lines and reports their outcomes
     Send(send::Send),
-    /// Writes how messages ended as JSON lines, and acknowledges them
+    /// Writes message outcomes as JSON lines, and acknowledges them
     Ends(ends::Ends),
-    /// Looks into the journal of a state folder, read-only
+    /// Inspects the journal of a state folder, read-only
     Journal(journal::Journal),
-    /// Shows the main job: a forwarder among failing partners, and the rules checked from their books
+    /// Demonstrates a forwarder with failing partners, and checks the delivery rules against the partners' call records
     Demo(demo::Demo),
-    /// Messages at a stated rate to stand-in partners with stated failures, and what became of them
+    /// Load test: sends messages at a given rate to simulated partners with given failures, and reports the outcomes
     #[command(subcommand)]
     Load(load::Load),
-    /// Who hands messages in, by address, with what is refused and blocked
+    /// Lists the clients by address, with refused requests and blocks
     Clients {
-        /// Lines at most
+        /// Maximum number of lines
         #[arg(long, default_value_t = 50)]
         most: u32,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// Nobody of an address or network is let in for a while
+    /// Rejects connections from an address or network for a while
     Block {
-        /// An address, or a network as 192.0.2.0/24
+        /// An address, or a network such as 192.0.2.0/24
         network: String,
-        /// For so long: 10m, 2h
+        /// Duration of the block, such as 10m or 2h
         #[arg(long = "for", default_value = "10m", value_parser = humantime::parse_duration)]
-        span: std::time::Duration,
+        duration: std::time::Duration,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
     /// Ends a block
     Unblock {
-        /// As it was blocked
+        /// The address or network, as given to `block`
         network: String,
         #[command(flatten)]
-        asked: Asked,
+        control: ControlArgs,
     },
-    /// Several forwarders as processes, with faults between them
+    /// Runs several forwarders as processes, with network faults between them
     #[command(subcommand)]
     Fleet(fleet::Fleet),
-    /// Plays a fleet in simulated time: the program's own decisions and plain ones, on the same seeds
+    /// Simulates a fleet: compares the program's scheduler with baseline policies on the same seeds
     Emulate(emulate::Emulate),
-    /// The other forwarders of the site, and how they stand
-    Peers(Asked),
-    /// What was ordered on the site
+    /// Lists the other forwarders of the site and their membership status
+    Peers(ControlArgs),
+    /// Shows the operator orders in force on the site
     #[command(subcommand)]
     State(peers::State),
-    /// Ends the forwarder; what it holds is taken up at its next start
-    Stop(Asked),
+    /// Stops the forwarder; messages that it holds are resumed at its next start
+    Stop(ControlArgs),
 }
 
-/// Which forwarder is asked, and how it is shown.
+/// Which forwarder a command addresses, and the output format.
 #[derive(Args, Clone)]
-struct Asked {
+struct ControlArgs {
     /// The site file of the forwarder
     #[arg(long, default_value = "site.toml", env = "FOLDTRACK_SITE")]
     site: PathBuf,
-    /// Its state folder, instead of the one that the site file names
+    /// The forwarder's state folder, instead of the one named in the site file
     #[arg(long, env = "FOLDTRACK_STATE")]
     state: Option<PathBuf>,
-    /// One JSON object, for programs
+    /// Print one JSON object
     #[arg(long)]
     json: bool,
 }
 
-/// Why a command ends without being done: its exit code, and what is told.
-struct Failure(u8, String);
+/// Why a command failed: the exit code, and the text for standard error.
+struct CommandError(u8, String);
 
-type Ended = Result<(), Failure>;
+type CommandResult = Result<(), CommandError>;
 
-impl From<ClientError> for Failure {
-    fn from(trouble: ClientError) -> Self {
-        let code = match trouble {
-            ClientError::NotRunning(_) => NOT_RUNNING,
-            ClientError::Refused(_) => REFUSED,
-            ClientError::Connection(_) => FAILED,
+impl From<ClientError> for CommandError {
+    fn from(error: ClientError) -> Self {
+        let code = match error {
+            ClientError::NotRunning(_) => EXIT_NOT_RUNNING,
+            ClientError::Refused(_) => EXIT_REFUSED,
+            ClientError::Connection(_) => EXIT_FAILED,
         };
-        Failure(code, trouble.to_string())
+        CommandError(code, error.to_string())
     }
 }
 
-impl Asked {
-    fn connect(&self) -> Result<Client, Failure> {
+impl ControlArgs {
+    /// Connects to the control socket.
+    fn connect(&self) -> Result<Client, CommandError> {
         let socket = match &self.state {
             Some(state) => state.join(CONTROL_SOCKET),
             None => load(&self.site)?.control_socket(),
@@ -252,44 +256,47 @@
         Ok(Client::connect(&socket)?)
     }
 
-    /// Asks once, and shows the answer.
-    fn show(&self, ask: ControlCommand) -> Ended {
-        let told = self.connect()?.request(ask)?;
-        self.print(&told)
+    /// Sends one command and prints the response.
+    fn show(&self, command: ControlCommand) -> CommandResult {
+        let response = self.connect()?.request(command)?;
+        self.print(&response)
     }
 
-    fn print(&self, told: &ControlResponse) -> Ended {
+    fn print(&self, response: &ControlResponse) -> CommandResult {
         if self.json {
-            let text = serde_json::to_string(told).map_err(|e| Failure(FAILED, e.to_string()))?;
-            return say(&format!("{text}\n"));
+            let text =
+                serde_json::to_string(response).map_err(|e| CommandError(EXIT_FAILED, e.to_string()))?;
+            return print(&format!("{text}\n"));
         }
-        say(&show::text(told))
+        print(&show::render(response))
     }
 }
 
-/// Writes to standard output. Whoever reads it may have had enough: that is no failure.
-fn say(text: &str) -> Ended {
+/// Writes to standard output. A closed pipe is not an error: the reader may stop early.
+fn print(text: &str) -> CommandResult {
     let mut out = std::io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => {
-            Err(Failure(FAILED, format!("standard output: {e}")))
+            Err(CommandError(EXIT_FAILED, format!("standard output: {e}")))
         }
         _ => Ok(()),
     }
 }
 
-fn load(path: &Path) -> Result<Site, Failure> {
+/// Reads a site file; the error lists every problem.
+fn load(path: &Path) -> Result<Site, CommandError> {
     foldtrack_site::load(path).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
-        Failure(WRONG, lines.join("\n"))
+        CommandError(EXIT_USAGE, lines.join("\n"))
     })
 }
 
+/// Parses the command line, runs the command and returns its exit code.
 pub(crate) fn main() -> ExitCode {
-    let ended = run(Cli::parse().command);
-    match ended {
+    let result = run(Cli::parse().command);
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure(code, text)) => {
+        Err(CommandError(code, text)) => {
             if !text.is_empty() {
                 eprintln!("{text}");
             }
@@ -298,73 +305,76 @@
     }
 }
 
-fn run(command: Command) -> Ended {
+fn run(command: Command) -> CommandResult {
     match command {
         Command::Serve { site, disk_budget, clock_offset, clock_rate, end_with_input } => {
-            Clock::simulate(clock_offset, clock_rate).map_err(|e| Failure(WRONG, e)).and_then(|()| {
-                if end_with_input {
-                    std::thread::spawn(|| {
-                        // Whatever comes is nothing to it; that nothing comes any more is.
-                        let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
-                        std::process::exit(i32::from(FAILED));
-                    });
-                }
-                let ended = serve::serve(load(&site)?, disk_budget.as_deref());
-                ended.map_err(|e| Failure(FAILED, format!("foldtrack: {e}")))
-            })
+            Clock::simulate(clock_offset, clock_rate).map_err(|e| CommandError(EXIT_USAGE, e)).and_then(
+                |()| {
+                    if end_with_input {
+                        std::thread::spawn(|| {
+                            // The input itself is ignored; only its end matters.
+                            let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
+                            std::process::exit(i32::from(EXIT_FAILED));
+                        });
+                    }
+                    let result = serve::serve(load(&site)?, disk_budget.as_deref());
+                    result.map_err(|e| CommandError(EXIT_FAILED, format!("foldtrack: {e}")))
+                },
+            )
         }
         Command::Check { site } => {
-            let read = load(&site)?;
-            let endpoints: usize = read.partners.iter().map(|p| p.endpoints.len()).sum();
-            let (classes, partners) = (read.classes.len(), read.partners.len());
+            let config = load(&site)?;
+            let endpoints: usize = config.partners.iter().map(|p| p.endpoints.len()).sum();
+            let (classes, partners) = (config.classes.len(), config.partners.len());
             let path = site.display();
-            say(&format!("{path}: sound: {classes} classes, {partners} partners, {endpoints} endpoints\n"))
+            print(&format!("{path}: valid: {classes} classes, {partners} partners, {endpoints} endpoints\n"))
         }
         Command::Keys { site } => keys::keys(&site),
-        Command::Partner(words) => partner::partner(&words),
+        Command::Partner(args) => partner::partner(&args),
         Command::Init { file } => init(&file),
-        Command::Status(asked) => asked.show(ControlCommand::Status),
-        Command::Partners(asked) => asked.show(ControlCommand::Partners),
-        Command::Endpoints(asked) => asked.show(ControlCommand::Endpoints),
-        Command::Queues { partner, asked } => asked.show(ControlCommand::Queues { partner, most: None }),
-        Command::Failures { most, asked } => asked.show(ControlCommand::Failures { most: Some(most) }),
-        Command::Message { id, asked } => asked.show(ControlCommand::Message { message: id }),
-        Command::Drain { endpoint, wait, asked } => orders::drain(&asked, &endpoint, wait),
-        Command::Resume { name, partner, asked } => orders::resume(&asked, &name, partner),
-        Command::Pause { partner, asked } => orders::order(&asked, ControlCommand::Pause { partner }),
-        Command::Add { partner, endpoint, address, asked } => {
-            orders::order(&asked, ControlCommand::Add { partner, endpoint, address })
+        Command::Status(control) => control.show(ControlCommand::Status),
+        Command::Partners(control) => control.show(ControlCommand::Partners),
+        Command::Endpoints(control) => control.show(ControlCommand::Endpoints),
+        Command::Queues { partner, control } => control.show(ControlCommand::Queues { partner, most: None }),
+        Command::Failures { most, control } => control.show(ControlCommand::Failures { most: Some(most) }),
+        Command::Message { id, control } => control.show(ControlCommand::Message { message: id }),
+        Command::Drain { endpoint, wait, control } => orders::drain(&control, &endpoint, wait),
+        Command::Resume { name, partner, control } => orders::resume(&control, &name, partner),
+        Command::Pause { partner, control } => orders::order(&control, ControlCommand::Pause { partner }),
+        Command::Add { partner, endpoint, address, control } => {
+            orders::order(&control, ControlCommand::Add { partner, endpoint, address })
         }
-        Command::Remove { endpoint, asked } => orders::order(&asked, ControlCommand::Remove { endpoint }),
-        Command::Clients { most, asked } => asked.show(ControlCommand::Clients { most: Some(most) }),
-        Command::Block { network, span, asked } => {
-            orders::order(&asked, ControlCommand::Block { network, for_ms: span.as_millis() as u64 })
+        Command::Remove { endpoint, control } => orders::order(&control, ControlCommand::Remove { endpoint }),
+        Command::Clients { most, control } => control.show(ControlCommand::Clients { most: Some(most) }),
+        Command::Block { network, duration, control } => {
+            orders::order(&control, ControlCommand::Block { network, for_ms: duration.as_millis() as u64 })
         }
-        Command::Unblock { network, asked } => orders::order(&asked, ControlCommand::Unblock { network }),
-        Command::Send(words) => send::send(&words),
-        Command::Ends(words) => ends::ends(&words),
-        Command::Journal(words) => journal::journal(&words),
-        Command::Demo(words) => demo::demo(&words),
-        Command::Load(words) => load::load(&words),
-        Command::Fleet(words) => fleet::fleet(&words),
-        Command::Emulate(words) => emulate::emulate(&words),
-        Command::Peers(asked) => asked.show(ControlCommand::Peers),
-        Command::State(words) => peers::state(&words),
-        Command::Stop(asked) => orders::stop(&asked),
+        Command::Unblock { network, control } => orders::order(&control, ControlCommand::Unblock { network }),
+        Command::Send(args) => send::send(&args),
+        Command::Ends(args) => ends::ends(&args),
+        Command::Journal(args) => journal::journal(&args),
+        Command::Demo(args) => demo::demo(&args),
+        Command::Load(args) => load::load(&args),
+        Command::Fleet(args) => fleet::fleet(&args),
+        Command::Emulate(args) => emulate::emulate(&args),
+        Command::Peers(control) => control.show(ControlCommand::Peers),
+        Command::State(args) => peers::state(&args),
+        Command::Stop(control) => orders::stop(&control),
     }
 }
 
-fn init(path: &Path) -> Ended {
+fn init(path: &Path) -> CommandResult {
     if path == Path::new("-") {
-        return say(TEMPLATE);
+        return print(TEMPLATE);
     }
-    let shown = path.display();
-    // A file that is there is somebody's work.
+    let path_text = path.display();
+    // An existing file is never overwritten.
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
         .open(path)
-        .map_err(|e| Failure(FAILED, format!("{shown}: {e}")))?;
-    file.write_all(TEMPLATE.as_bytes()).map_err(|e| Failure(FAILED, format!("{shown}: {e}")))?;
-    say(&format!("{shown} is written. Put your partners in, then:\n  foldtrack check {shown}\n  foldtrack serve --site {shown}\n"))
+        .map_err(|e| CommandError(EXIT_FAILED, format!("{path_text}: {e}")))?;
+    file.write_all(TEMPLATE.as_bytes())
+        .map_err(|e| CommandError(EXIT_FAILED, format!("{path_text}: {e}")))?;
+    print(&format!("{path_text} has been written. Enter your partners, then run:\n  foldtrack check {path_text}\n  foldtrack serve --site {path_text}\n"))
 }
--- a/src/bin/foldtrack/cli/orders.rs
+++ b/src/bin/foldtrack/cli/orders.rs
@@ -1,51 +1,55 @@
-//! Orders over the control line, and their progress.
+//! Commands that send an order to the forwarder, and follow its progress.
 
-use super::{say, Asked, Ended, Failure, FAILED};
+use super::{print, CommandError, CommandResult, ControlArgs, EXIT_FAILED};
 use foldtrack_control::{Client, ClientError, ControlCommand, ControlResponse};
 use std::time::{Duration, Instant};
 
-/// A process that was told to stop has gone by then: it gives calls that are out 3.3 s.
-const STOPPED_WITHIN: Duration = Duration::from_secs(15);
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+/// How long `stop` waits for the process to end. The forwarder gives calls in flight 3.3 s.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval between polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-pub(super) fn order(asked: &Asked, ask: ControlCommand) -> Ended {
-    let told = asked.connect()?.request(ask)?;
-    asked.print(&told)
+/// Sends an order and prints the response.
+pub(super) fn order(control: &ControlArgs, command: ControlCommand) -> CommandResult {
+    let response = control.connect()?.request(command)?;
+    control.print(&response)
 }
 
-pub(super) fn drain(asked: &Asked, endpoint: &str, wait: bool) -> Ended {
-    let mut client = asked.connect()?;
-    let told = client.request(ControlCommand::Drain { endpoint: endpoint.to_string() })?;
+/// Drains an endpoint; with `wait`, returns only when no call is in flight.
+pub(super) fn drain(control: &ControlArgs, endpoint: &str, wait: bool) -> CommandResult {
+    let mut client = control.connect()?;
+    let response = client.request(ControlCommand::Drain { endpoint: endpoint.to_string() })?;
     if !wait {
-        return asked.print(&told);
+        return control.print(&response);
     }
     loop {
         let ControlResponse::Endpoints(endpoints) = client.request(ControlCommand::Endpoints)? else {
-            return Err(Failure(FAILED, "the forwarder answers something else than it was asked".into()));
+            return Err(CommandError(EXIT_FAILED, "unexpected response from the forwarder".into()));
         };
         match endpoints.iter().find(|e| e.name == endpoint) {
-            Some(line) if line.calls > 0 => {
-                if !asked.json {
-                    eprintln!("{endpoint}: {} calls still out", line.calls);
+            Some(stats) if stats.calls > 0 => {
+                if !control.json {
+                    eprintln!("{endpoint}: {} calls still in flight", stats.calls);
                 }
             }
-            _ => return asked.print(&told),
+            _ => return control.print(&response),
         }
-        std::thread::sleep(LOOK_AGAIN);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Resumes an endpoint, or a partner where no endpoint has the name.
-pub(super) fn resume(asked: &Asked, name: &str, partner: bool) -> Ended {
-    let mut client = asked.connect()?;
-    let of_partner = ControlCommand::Resume { endpoint: None, partner: Some(name.to_string()) };
-    let of_endpoint = ControlCommand::Resume { endpoint: Some(name.to_string()), partner: None };
+/// Resumes the endpoint of this name; a partner if `partner` is set or there is no such endpoint.
+pub(super) fn resume(control: &ControlArgs, name: &str, partner: bool) -> CommandResult {
+    let mut client = control.connect()?;
+    let resume_partner = ControlCommand::Resume { endpoint: None, partner: Some(name.to_string()) };
+    let resume_endpoint = ControlCommand::Resume { endpoint: Some(name.to_string()), partner: None };
     if partner || !has_endpoint(&mut client, name)? {
-        return asked.print(&client.request(of_partner)?);
+        return control.print(&client.request(resume_partner)?);
     }
-    asked.print(&client.request(of_endpoint)?)
+    control.print(&client.request(resume_endpoint)?)
 }
 
+/// Whether the site has an endpoint of this name.
 fn has_endpoint(client: &mut Client, name: &str) -> Result<bool, ClientError> {
     match client.request(ControlCommand::Endpoints)? {
         ControlResponse::Endpoints(endpoints) => Ok(endpoints.iter().any(|e| e.name == name)),
@@ -53,19 +57,23 @@
     }
 }
 
-pub(super) fn stop(asked: &Asked) -> Ended {
-    let mut client = asked.connect()?;
-    let told = client.request(ControlCommand::Stop)?;
-    let by = Instant::now() + STOPPED_WITHIN;
-    // The line ends with the process.
+/// Stops the forwarder and waits until its process has ended.
+pub(super) fn stop(control: &ControlArgs) -> CommandResult {
+    let mut client = control.connect()?;
+    let response = client.request(ControlCommand::Stop)?;
+    let deadline = Instant::now() + STOP_TIMEOUT;
+    // The control connection closes when the process ends.
     while client.request(ControlCommand::Status).is_ok() {
-        if Instant::now() > by {
-            return Err(Failure(FAILED, format!("the forwarder has not ended within {STOPPED_WITHIN:?}")));
+        if Instant::now() > deadline {
+            return Err(CommandError(
+                EXIT_FAILED,
+                format!("the forwarder has not stopped within {STOP_TIMEOUT:?}"),
+            ));
         }
-        std::thread::sleep(LOOK_AGAIN);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    if asked.json {
-        return asked.print(&told);
+    if control.json {
+        return control.print(&response);
     }
-    say("stopped; what is held is taken up at the next start\n")
+    print("stopped; held messages are resumed at the next start\n")
 }
--- a/src/bin/foldtrack/cli/send.rs
+++ b/src/bin/foldtrack/cli/send.rs
@@ -1,9 +1,10 @@
-//! Hands in messages from a file of JSON lines, resumes where an interruption left off, and tells how they ended.
+//! `foldtrack send`: submits messages from a file of JSON lines, resumes after an interruption, and reports the outcomes.
 //!
-//! A ledger beside the file names the batch and the lines that were taken on. A line's id is made of the batch and its
-//! number: a line that was taken on just before the interruption has the same id again, and the forwarder knows it.
+//! A ledger next to the file records the batch and the accepted lines. A line's default id consists of the batch and the
+//! line number, so a line that was accepted just before an interruption is submitted again under the same id, and the
+//! forwarder recognises the duplicate.
 
-use super::{load, say, show, Ended, Failure, FAILED, WRONG};
+use super::{load, print, show, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use crate::connections::Connection;
 use crate::message::order_key;
 use bytes::Bytes;
@@ -27,51 +28,53 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Lines longer than this are not messages: a body has 64 KiB at most.
-const LONGEST_LINE: u64 = 256 * 1024;
-/// How long a forwarder may be away, restarting say, before the sending ends; it can be resumed.
-const AWAY: Duration = Duration::from_secs(60);
-const TRY_AGAIN: Duration = Duration::from_millis(200);
-/// An answer comes within this span, or the connection is given up.
-const ANSWER: Duration = Duration::from_secs(10);
-const LONGEST_ANSWER: usize = 1 << 20;
-/// Lines that wait for a connection.
-const AHEAD: usize = 16;
-/// Findings that are shown one by one.
-const SHOWN: usize = 20;
+/// Maximum length of an input line. A body has 64 KiB at most.
+const MAX_LINE_BYTES: u64 = 256 * 1024;
+/// How long the forwarder may be unreachable, for example during a restart, before the command gives up.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Minimum delay before a request is retried, and the interval between polls for outcomes.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Timeout of a request; after it the connection is closed.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
+/// Capacity of each queue of lines that wait for a connection.
+const QUEUE_CAPACITY: usize = 16;
+/// Maximum number of problems that are listed.
+const MAX_LISTED_PROBLEMS: usize = 20;
 
 #[derive(Args)]
 pub(super) struct Send {
     /// JSON lines: {"class":"fee","partner":"pay","key":"K","body":"text"}; `-` for standard input
     #[arg(default_value = "-")]
     file: PathBuf,
-    /// Class of lines that name none
+    /// Class of lines that do not name one
     #[arg(long)]
     class: Option<String>,
-    /// Partner of lines that name none
+    /// Partner of lines that do not name one
     #[arg(long)]
     partner: Option<String>,
-    /// Where the forwarder listens, instead of where the site file says
+    /// The forwarder's address, instead of the one in the site file
     #[arg(long)]
     to: Option<SocketAddr>,
     /// The site file of the forwarder
     #[arg(long, default_value = "site.toml", env = "FOLDTRACK_SITE")]
     site: PathBuf,
-    /// Where the lines that were taken on are noted; FILE.sent if not given, nowhere for standard input
+    /// File that records the accepted lines; by default FILE.sent, and none for standard input
     #[arg(long)]
     ledger: Option<PathBuf>,
-    /// Connections at once; messages of one key share one, in their order
+    /// Number of connections; messages of one key share a connection, in their order
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u16).range(1..=256))]
     connections: u16,
-    /// Does not wait for the ends
+    /// Do not wait for the outcomes
     #[arg(long)]
     no_wait: bool,
 }
 
-/// A line of the file.
+/// A line of the input file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Line {
+struct InputLine {
     id: Option<String>,
     class: Option<String>,
     partner: Option<String>,
@@ -82,9 +85,9 @@
     body: Value,
 }
 
-/// A message to hand in.
+/// A message to submit.
 #[derive(Clone)]
-struct Letter {
+struct OutgoingMessage {
     number: usize,
     id: String,
     path: String,
@@ -93,113 +96,126 @@
     body: Bytes,
 }
 
+/// A line of the ledger.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Entry {
-    /// The first of a ledger.
+enum LedgerEntry {
+    /// The first entry: the batch, and the checksum of the input file.
     Batch { name: String, file: u32 },
-    /// A line that was taken on.
+    /// The number of a line that was accepted.
     Taken(usize),
 }
 
+/// The batch, and the lines of it that were accepted. Without a file nothing is recorded.
 struct Ledger {
     file: Option<File>,
     batch: String,
     taken: BTreeSet<usize>,
 }
 
-fn failed(what: &Path, e: impl std::fmt::Display) -> Failure {
-    Failure(FAILED, format!("{}: {e}", what.display()))
+/// A failure concerning a file.
+fn file_error(what: &Path, e: impl std::fmt::Display) -> CommandError {
+    CommandError(EXIT_FAILED, format!("{}: {e}", what.display()))
 }
 
 impl Ledger {
-    /// Opens the ledger of a file, or begins one; a file with another check sum is another batch.
-    fn open(path: Option<&Path>, sum: u32) -> Result<Ledger, Failure> {
-        let fresh = format!("{:016x}", RandomState::new().hash_one(std::process::id()));
-        let Some(path) = path else { return Ok(Ledger { file: None, batch: fresh, taken: BTreeSet::new() }) };
+    /// Opens the ledger of an input file, or creates one. A ledger with another checksum belongs to other content and is
+    /// an error.
+    fn open(path: Option<&Path>, checksum: u32) -> Result<Ledger, CommandError> {
+        let new_batch = format!("{:016x}", RandomState::new().hash_one(std::process::id()));
+        let Some(path) = path else {
+            return Ok(Ledger { file: None, batch: new_batch, taken: BTreeSet::new() });
+        };
         let mut ledger = Ledger { file: None, batch: String::new(), taken: BTreeSet::new() };
-        let (mut whole, mut length) = (0, 0);
+        let (mut complete_bytes, mut length) = (0, 0);
         match std::fs::read(path) {
             Ok(bytes) => {
                 length = bytes.len();
-                // The last line may be torn: it was not finished, and its message is handed in under the same id.
+                // The last line may be incomplete. It is dropped, and its message is submitted again under the same id.
                 for line in bytes.split_inclusive(|b| *b == b'\n').filter(|l| l.ends_with(b"\n")) {
-                    whole += line.len();
+                    complete_bytes += line.len();
                     match serde_json::from_slice(line) {
-                        Ok(Entry::Batch { file, .. }) if file != sum => {
+                        Ok(LedgerEntry::Batch { file, .. }) if file != checksum => {
                             let problem =
-                                "is the ledger of another content of the file. Remove it to send all of it";
-                            return Err(Failure(WRONG, format!("{} {problem}", path.display())));
+                                "belongs to different content of the file. Remove it to send the whole file";
+                            return Err(CommandError(EXIT_USAGE, format!("{} {problem}", path.display())));
                         }
-                        Ok(Entry::Batch { name, .. }) => ledger.batch = name,
-                        Ok(Entry::Taken(number)) => drop(ledger.taken.insert(number)),
-                        Err(e) => return Err(failed(path, format!("no ledger: {e}"))),
+                        Ok(LedgerEntry::Batch { name, .. }) => ledger.batch = name,
+                        Ok(LedgerEntry::Taken(number)) => drop(ledger.taken.insert(number)),
+                        Err(e) => return Err(file_error(path, format!("not a ledger: {e}"))),
                     }
                 }
             }
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {}
-            Err(e) => return Err(failed(path, e)),
+            Err(e) => return Err(file_error(path, e)),
         }
-        let file = OpenOptions::new().append(true).create(true).open(path).map_err(|e| failed(path, e))?;
-        if whole < length {
-            file.set_len(whole as u64).map_err(|e| failed(path, e))?;
+        let file =
+            OpenOptions::new().append(true).create(true).open(path).map_err(|e| file_error(path, e))?;
+        if complete_bytes < length {
+            file.set_len(complete_bytes as u64).map_err(|e| file_error(path, e))?;
         }
         ledger.file = Some(file);
         if ledger.batch.is_empty() {
-            ledger.write(&Entry::Batch { name: fresh.clone(), file: sum }).map_err(|e| failed(path, e))?;
-            ledger.batch = fresh;
+            ledger
+                .write(&LedgerEntry::Batch { name: new_batch.clone(), file: checksum })
+                .map_err(|e| file_error(path, e))?;
+            ledger.batch = new_batch;
         }
         Ok(ledger)
     }
 
-    fn write(&mut self, entry: &Entry) -> std::io::Result<()> {
+    /// Appends an entry.
+    fn write(&mut self, entry: &LedgerEntry) -> std::io::Result<()> {
         let Some(file) = &mut self.file else { return Ok(()) };
         let line = serde_json::to_string(entry).map_err(std::io::Error::other)?;
         file.write_all(format!("{line}\n").as_bytes())
     }
 }
 
-/// What has come of the sending so far.
+/// The result so far.
 #[derive(Default)]
-struct Report {
-    /// By outcome, by class.
+struct Progress {
+    /// Number of messages by outcome and class.
     ended: BTreeMap<(String, String), u64>,
     problems: Vec<String>,
     rejected: u64,
+    /// Accepted messages without a known outcome: id and class.
     open: Vec<(String, String)>,
-    /// The sending has ended early.
-    cut: Option<String>,
+    /// Why the command stopped early.
+    aborted: Option<String>,
 }
 
-impl Report {
+impl Progress {
+    /// Counts a line that could not be submitted.
     fn problem(&mut self, number: usize, problem: &str) {
         self.rejected += 1;
-        if self.problems.len() < SHOWN {
-            self.problems.push(format!("line {number}: {}", show::plain(problem)));
+        if self.problems.len() < MAX_LISTED_PROBLEMS {
+            self.problems.push(format!("line {number}: {}", show::escape_control(problem)));
         }
     }
 }
 
+/// State shared by the connections.
 struct Shared {
     to: SocketAddr,
-    report: RefCell<Report>,
+    report: RefCell<Progress>,
     ledger: RefCell<Ledger>,
     bar: ProgressBar,
 }
 
-pub(super) fn send(send: &Send) -> Ended {
+pub(super) fn send(send: &Send) -> CommandResult {
     let to = match send.to {
         Some(to) => to,
         None => load(&send.site)?.listen,
     };
     let input = send.file.as_os_str() == "-";
-    let (sum, lines) = if input { (0, 0) } else { measure(&send.file)? };
-    let beside = PathBuf::from(format!("{}.sent", send.file.display()));
-    let path = send.ledger.clone().or_else(|| (!input).then_some(beside));
-    let ledger = Ledger::open(path.as_deref(), sum)?;
-    let already = ledger.taken.len();
-    if already > 0 {
-        eprintln!("{already} lines were taken on before and are not handed in again");
+    let (checksum, lines) = if input { (0, 0) } else { measure(&send.file)? };
+    let default_ledger = PathBuf::from(format!("{}.sent", send.file.display()));
+    let path = send.ledger.clone().or_else(|| (!input).then_some(default_ledger));
+    let ledger = Ledger::open(path.as_deref(), checksum)?;
+    let accepted_before = ledger.taken.len();
+    if accepted_before > 0 {
+        eprintln!("{accepted_before} lines were already accepted and are not submitted again");
     }
     let bar = if input { ProgressBar::new_spinner() } else { ProgressBar::new(lines) };
     if let Ok(style) =
@@ -208,59 +224,60 @@
         bar.set_style(style);
     }
     let shared = Rc::new(Shared { to, report: RefCell::default(), ledger: RefCell::new(ledger), bar });
-    let runtime = crate::runtime().map_err(|e| Failure(FAILED, e))?;
+    let runtime = crate::runtime().map_err(|e| CommandError(EXIT_FAILED, e))?;
     LocalSet::new().block_on(&runtime, async {
-        hand_in_all(send, &shared).await?;
+        submit_all(send, &shared).await?;
         if !send.no_wait {
-            wait_for_ends(&shared).await;
+            wait_for_outcomes(&shared).await;
         }
-        Ok::<(), Failure>(())
+        Ok::<(), CommandError>(())
     })?;
     shared.bar.finish_and_clear();
     let report = shared.report.take();
-    tell(&report, send.no_wait)
+    print_result(&report, send.no_wait)
 }
 
-/// Check sum and lines of a file.
-fn measure(path: &Path) -> Result<(u32, u64), Failure> {
-    let mut file = File::open(path).map_err(|e| failed(path, e))?;
-    let (mut sum, mut lines, mut bytes) = (crc32fast::Hasher::new(), 0, vec![0; 64 * 1024]);
+/// Checksum and number of lines of a file.
+fn measure(path: &Path) -> Result<(u32, u64), CommandError> {
+    let mut file = File::open(path).map_err(|e| file_error(path, e))?;
+    let (mut checksum, mut lines, mut bytes) = (crc32fast::Hasher::new(), 0, vec![0; 64 * 1024]);
     loop {
-        let count = file.read(&mut bytes).map_err(|e| failed(path, e))?;
+        let count = file.read(&mut bytes).map_err(|e| file_error(path, e))?;
         if count == 0 {
-            return Ok((sum.finalize(), lines));
+            return Ok((checksum.finalize(), lines));
         }
-        sum.update(&bytes[..count]);
+        checksum.update(&bytes[..count]);
         lines += bytes[..count].iter().filter(|b| **b == b'\n').count() as u64;
     }
 }
 
-async fn hand_in_all(send: &Send, shared: &Rc<Shared>) -> Ended {
+/// Reads all lines and distributes them over the connections, by key where there is one.
+async fn submit_all(send: &Send, shared: &Rc<Shared>) -> CommandResult {
     let mut workers = Vec::new();
     let mut queues = Vec::new();
     for _ in 0..send.connections {
-        let (queue, letters) = mpsc::channel(AHEAD);
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         queues.push(queue);
-        workers.push(tokio::task::spawn_local(hand_in(shared.clone(), letters)));
+        workers.push(tokio::task::spawn_local(submit(shared.clone(), messages)));
     }
-    // A thread of its own: standard input blocks.
+    // Reading uses its own thread, because standard input blocks.
     let (file, (to_reader, mut read)) =
-        (send.file.clone(), mpsc::channel::<Result<(usize, Vec<u8>), String>>(AHEAD));
+        (send.file.clone(), mpsc::channel::<Result<(usize, Vec<u8>), String>>(QUEUE_CAPACITY));
     std::thread::spawn(move || read_lines(&file, &to_reader));
     while let Some(line) = read.recv().await {
         let (number, text) = match line {
             Ok(line) => line,
             Err(problem) => {
-                shared.report.borrow_mut().cut = Some(problem);
+                shared.report.borrow_mut().aborted = Some(problem);
                 break;
             }
         };
-        if shared.report.borrow().cut.is_some() {
+        if shared.report.borrow().aborted.is_some() {
             break;
         }
         let batch = shared.ledger.borrow().batch.clone();
-        let letter = match letter(send, &batch, number, &text) {
-            Ok(letter) => letter,
+        let message = match parse_line(send, &batch, number, &text) {
+            Ok(message) => message,
             Err(problem) => {
                 shared.bar.inc(1);
                 shared.report.borrow_mut().problem(number, &problem);
@@ -269,13 +286,13 @@
         };
         if shared.ledger.borrow().taken.contains(&number) {
             shared.bar.inc(1);
-            shared.report.borrow_mut().open.push((letter.id, class_of(&letter.path)));
+            shared.report.borrow_mut().open.push((message.id, class_of(&message.path)));
             continue;
         }
-        let key = letter.path.rsplit_once('/').map_or("", |(_, key)| key);
-        let turn = if key.is_empty() { number as u64 } else { order_key(key) };
-        let queue = &queues[(turn % queues.len() as u64) as usize];
-        if queue.send(letter).await.is_err() {
+        let key = message.path.rsplit_once('/').map_or("", |(_, key)| key);
+        let hash = if key.is_empty() { number as u64 } else { order_key(key) };
+        let queue = &queues[(hash % queues.len() as u64) as usize];
+        if queue.send(message).await.is_err() {
             break;
         }
     }
@@ -286,6 +303,7 @@
     Ok(())
 }
 
+/// Reads lines with their numbers, until the end of the input or an error.
 fn read_lines(path: &Path, lines: &mpsc::Sender<Result<(usize, Vec<u8>), String>>) {
     let opened: std::io::Result<Box<dyn Read>> = if path.as_os_str() == "-" {
         Ok(Box::new(std::io::stdin()))
@@ -298,31 +316,32 @@
     };
     for number in 1.. {
         let mut line = Vec::new();
-        let read = (&mut reader).take(LONGEST_LINE).read_until(b'\n', &mut line);
-        let told = match read {
+        let read = (&mut reader).take(MAX_LINE_BYTES).read_until(b'\n', &mut line);
+        let item = match read {
             Ok(0) => return,
-            Ok(count) if count as u64 == LONGEST_LINE && !line.ends_with(b"\n") => Err(format!(
-                "line {number} is longer than {LONGEST_LINE} bytes: nothing behind it is handed in"
+            Ok(count) if count as u64 == MAX_LINE_BYTES && !line.ends_with(b"\n") => Err(format!(
+                "line {number} is longer than {MAX_LINE_BYTES} bytes: it and the lines after it are not submitted"
             )),
             Ok(_) => Ok((number, line)),
             Err(e) => Err(format!("{}: {e}", path.display())),
         };
-        let last = told.is_err();
-        if lines.blocking_send(told).is_err() || last {
+        let last = item.is_err();
+        if lines.blocking_send(item).is_err() || last {
             return;
         }
     }
 }
 
-fn letter(send: &Send, batch: &str, number: usize, text: &[u8]) -> Result<Letter, String> {
-    let text = std::str::from_utf8(text).map_err(|_| "not UTF-8".to_string())?.trim();
+/// Parses a line.
+fn parse_line(send: &Send, batch: &str, number: usize, text: &[u8]) -> Result<OutgoingMessage, String> {
+    let text = std::str::from_utf8(text).map_err(|_| "not valid UTF-8".to_string())?.trim();
     if text.is_empty() {
-        return Err("empty".into());
+        return Err("empty line".into());
     }
-    let line: Line = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let class = line.class.or_else(|| send.class.clone()).ok_or("names no class, and no --class is given")?;
+    let line: InputLine = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    let class = line.class.or_else(|| send.class.clone()).ok_or("has no class, and --class is not given")?;
     let partner =
-        line.partner.or_else(|| send.partner.clone()).ok_or("names no partner, and no --partner is given")?;
+        line.partner.or_else(|| send.partner.clone()).ok_or("has no partner, and --partner is not given")?;
     let id = line.id.unwrap_or_else(|| format!("{batch}-{number}"));
     let body = match line.body {
         Value::Null => Bytes::new(),
@@ -330,9 +349,9 @@
         value => Bytes::from(value.to_string()),
     };
     if !line.key.chars().all(|c| c.is_ascii_alphanumeric() || "-_.~:".contains(c)) {
-        return Err(format!("key {:?}: a key has letters, digits and - _ . ~ :", line.key));
+        return Err(format!("key {:?}: only letters, digits and - _ . ~ : are allowed", line.key));
     }
-    Ok(Letter {
+    Ok(OutgoingMessage {
         number,
         path: format!("/{class}/{}", line.key),
         partner,
@@ -342,68 +361,74 @@
     })
 }
 
+/// The class in a request path.
 fn class_of(path: &str) -> String {
     path.split('/').nth(1).unwrap_or("").to_string()
 }
 
-/// A worker: one connection, one message at a time.
-async fn hand_in(shared: Rc<Shared>, mut letters: mpsc::Receiver<Letter>) {
+/// Submits messages one at a time on one connection.
+async fn submit(shared: Rc<Shared>, mut messages: mpsc::Receiver<OutgoingMessage>) {
     let mut connection = None;
-    while let Some(letter) = letters.recv().await {
-        let mut since = Instant::now();
+    while let Some(message) = messages.recv().await {
+        let mut last_response = Instant::now();
         loop {
-            let request = Request::post(&letter.path)
+            let request = Request::post(&message.path)
                 .header(HOST, shared.to.to_string())
-                .header("X-Request-Id", &letter.id)
-                .header("X-Partner", &letter.partner)
-                .header("Idempotency-Key", &letter.idempotency_key)
-                .body(Full::new(letter.body.clone()));
+                .header("X-Request-Id", &message.id)
+                .header("X-Partner", &message.partner)
+                .header("Idempotency-Key", &message.idempotency_key)
+                .body(Full::new(message.body.clone()));
             let request = match request {
                 Ok(request) => request,
                 Err(e) => {
-                    shared.report.borrow_mut().problem(letter.number, &e.to_string());
+                    shared.report.borrow_mut().problem(message.number, &e.to_string());
                     break;
                 }
             };
             let Some((status, wait, _)) = exchange(&mut connection, shared.to, request).await else {
-                // Whether it was taken on is not known: it goes again under the same id.
-                if since.elapsed() > AWAY {
+                // Unknown whether it was accepted: it is submitted again under the same id.
+                if last_response.elapsed() > UNREACHABLE_TIMEOUT {
                     let to = shared.to;
-                    let problem = format!("nobody answers at {to}; run the command again to resume");
-                    shared.report.borrow_mut().cut = Some(problem);
+                    let problem = format!("no response from {to}; run the command again to resume");
+                    shared.report.borrow_mut().aborted = Some(problem);
                     return;
                 }
                 shared.bar.set_message("waiting for the forwarder");
-                sleep(TRY_AGAIN).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             };
             match status {
                 StatusCode::ACCEPTED | StatusCode::OK => {
-                    let noted = shared.ledger.borrow_mut().write(&Entry::Taken(letter.number));
-                    if let Err(e) = noted {
-                        shared.report.borrow_mut().cut = Some(format!("the ledger: {e}"));
+                    let recorded = shared.ledger.borrow_mut().write(&LedgerEntry::Taken(message.number));
+                    if let Err(e) = recorded {
+                        shared.report.borrow_mut().aborted = Some(format!("cannot write the ledger: {e}"));
                     }
-                    shared.report.borrow_mut().open.push((letter.id, class_of(&letter.path)));
+                    shared.report.borrow_mut().open.push((message.id, class_of(&message.path)));
                 }
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                    shared.bar.set_message("told to wait");
-                    since = Instant::now();
-                    sleep(wait.max(TRY_AGAIN)).await;
+                    shared.bar.set_message("the forwarder requested a wait");
+                    last_response = Instant::now();
+                    sleep(wait.max(RETRY_DELAY)).await;
                     continue;
                 }
-                // Its end is known already: it is told with the others.
+                // It has an outcome already, which is reported with the others.
                 StatusCode::CONFLICT => {
-                    shared.report.borrow_mut().open.push((letter.id, class_of(&letter.path)));
+                    shared.report.borrow_mut().open.push((message.id, class_of(&message.path)));
                 }
                 StatusCode::NOT_FOUND => {
-                    let text =
-                        format!("no class {:?}, or no partner {:?}", class_of(&letter.path), letter.partner);
-                    shared.report.borrow_mut().problem(letter.number, &text);
+                    let text = format!(
+                        "unknown class {:?} or unknown partner {:?}",
+                        class_of(&message.path),
+                        message.partner
+                    );
+                    shared.report.borrow_mut().problem(message.number, &text);
                 }
                 StatusCode::PAYLOAD_TOO_LARGE => {
-                    shared.report.borrow_mut().problem(letter.number, "the body is longer than 64 KiB");
+                    shared.report.borrow_mut().problem(message.number, "the body is larger than 64 KiB");
+                }
+                status => {
+                    shared.report.borrow_mut().problem(message.number, &format!("response status {status}"))
                 }
-                status => shared.report.borrow_mut().problem(letter.number, &format!("answered {status}")),
             }
             shared.bar.set_message("");
             break;
@@ -412,20 +437,20 @@
     }
 }
 
-/// One request; the connection is kept if it may be.
+/// Sends one request; keeps the connection if the response was read completely. `None` if there was no response.
 async fn exchange(
     connection: &mut Option<Connection>, to: SocketAddr, request: Request<Full<Bytes>>,
 ) -> Option<(StatusCode, Duration, Bytes)> {
     let mut open = match connection.take() {
         Some(open) => open,
-        None => timeout(ANSWER, Connection::open(to, None, None)).await.ok()?.ok()?,
+        None => timeout(REQUEST_TIMEOUT, Connection::open(to, None, None)).await.ok()?.ok()?,
     };
-    let response = timeout(ANSWER, open.send(request)).await.ok()?.ok()?;
+    let response = timeout(REQUEST_TIMEOUT, open.send(request)).await.ok()?.ok()?;
     let (status, headers) = (response.status(), response.headers().clone());
-    let body = timeout(ANSWER, open.finish(response.into_body(), LONGEST_ANSWER)).await;
+    let body = timeout(REQUEST_TIMEOUT, open.finish(response.into_body(), MAX_RESPONSE_BYTES)).await;
     let seconds = headers.get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
     let wait = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok()).unwrap_or_default();
-    // What is read is what was answered, also when the connection closes behind it.
+    // The status counts even if the connection closed before the whole body was read.
     if let Ok(Some(body)) = body {
         *connection = Some(open);
         return Some((status, wait, body));
@@ -433,14 +458,14 @@
     Some((status, wait, Bytes::new()))
 }
 
-/// Asks for each message until it has ended.
-async fn wait_for_ends(shared: &Rc<Shared>) {
+/// Polls each message until its outcome is known.
+async fn wait_for_outcomes(shared: &Rc<Shared>) {
     let mut open = std::mem::take(&mut shared.report.borrow_mut().open);
     let (mut connection, mut answered) = (None, Instant::now());
     shared.bar.set_length(open.len() as u64);
     shared.bar.set_position(0);
     while !open.is_empty() {
-        let mut still = Vec::new();
+        let mut pending = Vec::new();
         for (id, class) in open {
             let request = Request::get(format!("/v1/messages/{id}")).header(HOST, shared.to.to_string());
             let answer = match request.body(Full::default()) {
@@ -448,13 +473,13 @@
                 Err(_) => Some((StatusCode::BAD_REQUEST, Duration::ZERO, Bytes::new())),
             };
             let Some((_, _, body)) = answer else {
-                still.push((id, class));
+                pending.push((id, class));
                 continue;
             };
             answered = Instant::now();
-            let told: Value = serde_json::from_slice(&body).unwrap_or_default();
-            match told["state"].as_str() {
-                Some("held") => still.push((id, class)),
+            let status: Value = serde_json::from_slice(&body).unwrap_or_default();
+            match status["state"].as_str() {
+                Some("held") => pending.push((id, class)),
                 state => {
                     let state = state.unwrap_or("unknown").to_string();
                     *shared.report.borrow_mut().ended.entry((state, class)).or_default() += 1;
@@ -462,37 +487,38 @@
                 }
             }
         }
-        open = still;
-        if answered.elapsed() > AWAY {
+        open = pending;
+        if answered.elapsed() > UNREACHABLE_TIMEOUT {
             let to = shared.to;
-            shared.report.borrow_mut().cut =
-                Some(format!("nobody answers at {to}; {} ends are not known", open.len()));
+            shared.report.borrow_mut().aborted =
+                Some(format!("no response from {to}; {} outcomes are unknown", open.len()));
             break;
         }
-        sleep(TRY_AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
     shared.report.borrow_mut().open = open;
 }
 
-fn tell(report: &Report, no_wait: bool) -> Ended {
+/// Prints the result; an error unless every message was delivered.
+fn print_result(report: &Progress, no_wait: bool) -> CommandResult {
     let mut rows: Vec<Vec<String>> = report
         .ended
         .iter()
         .map(|((state, class), count)| vec![class.clone(), state.clone(), count.to_string()])
         .collect();
     if !report.open.is_empty() {
-        let what = if no_wait { "taken on" } else { "not ended yet" };
+        let what = if no_wait { "accepted" } else { "not ended yet" };
         rows.push(vec!["-".into(), what.into(), report.open.len().to_string()]);
     }
     if report.rejected > 0 {
-        rows.push(vec!["-".into(), "not handed in".into(), report.rejected.to_string()]);
+        rows.push(vec!["-".into(), "not submitted".into(), report.rejected.to_string()]);
     }
-    say(&show::table(&["class", "ended as", "messages"], &rows, "nothing was handed in"))?;
+    print(&show::table(&["class", "ended as", "messages"], &rows, "nothing was submitted"))?;
     let mut problems = report.problems.clone();
-    problems.extend(report.cut.clone());
+    problems.extend(report.aborted.clone());
     let delivered = report.ended.keys().all(|(state, _)| state == "delivered");
     if problems.is_empty() && delivered && (no_wait || report.open.is_empty()) {
         return Ok(());
     }
-    Err(Failure(FAILED, problems.join("\n")))
+    Err(CommandError(EXIT_FAILED, problems.join("\n")))
 }
--- a/src/bin/foldtrack/cli/show.rs
+++ b/src/bin/foldtrack/cli/show.rs
@@ -1,5 +1,5 @@
-//! Answers as text for people: aligned columns, units, nothing that a control character of a message's id could
-//! bring into a terminal.
+//! Formats responses as text: aligned columns and units. Control characters, such as those of a message id, are
+//! escaped so that they cannot reach the terminal.
 
 use foldtrack_control::{
     ClientStats, Clients, ControlResponse, Endpoint, Failure, Message, OrderResult, Partner, Peer, Peers,
@@ -7,8 +7,9 @@
 };
 use std::time::{Duration, UNIX_EPOCH};
 
-pub(super) fn text(told: &ControlResponse) -> String {
-    match told {
+/// A response as text.
+pub(super) fn render(response: &ControlResponse) -> String {
+    match response {
         ControlResponse::Status(status) => self::status(status),
         ControlResponse::Partners(partners) => self::partners(partners),
         ControlResponse::Endpoints(endpoints) => self::endpoints(endpoints),
@@ -20,25 +21,26 @@
         ControlResponse::Peers(peers) => self::peers(peers),
         ControlResponse::State(state) => self::state(state),
         ControlResponse::Changed { status, .. } => self::status(status),
-        ControlResponse::Event(event) => format!("{}\n", plain(&event.text)),
-        ControlResponse::Error(error) => format!("{}\n", plain(&error.text)),
+        ControlResponse::Event(event) => format!("{}\n", escape_control(&event.text)),
+        ControlResponse::Error(error) => format!("{}\n", escape_control(&error.text)),
     }
 }
 
-/// Without control characters.
-pub(super) fn plain(text: &str) -> String {
+/// Escapes control characters.
+pub(super) fn escape_control(text: &str) -> String {
     text.chars()
         .flat_map(|c| if c.is_control() { c.escape_default().collect::<Vec<_>>() } else { vec![c] })
         .collect()
 }
 
-/// Columns under a head, as wide as they need: texts to the left, numbers to the right.
+/// A table with a header line; columns are as wide as needed, text is aligned left and numbers right. `none` is printed
+/// if there are no rows.
 pub(super) fn table(head: &[&str], rows: &[Vec<String>], none: &str) -> String {
     if rows.is_empty() {
         return format!("{none}\n");
     }
     let rows: Vec<Vec<String>> =
-        rows.iter().map(|row| row.iter().map(|cell| plain(cell)).collect()).collect();
+        rows.iter().map(|row| row.iter().map(|cell| escape_control(cell)).collect()).collect();
     let width =
         |n: usize| rows.iter().map(|r| r[n].chars().count()).max().unwrap_or(0).max(head[n].chars().count());
     let number = |n: usize| {
@@ -59,7 +61,8 @@
     text
 }
 
-pub(super) fn span(ms: u64) -> String {
+/// Formats a duration in milliseconds; 0 is shown as `-`.
+pub(super) fn format_duration(ms: u64) -> String {
     match ms {
         0 => "-".into(),
         1..=999 => format!("{ms}ms"),
@@ -69,7 +72,8 @@
     }
 }
 
-fn bytes(count: u64) -> String {
+/// Formats a size in bytes.
+fn format_bytes(count: u64) -> String {
     match count {
         0..=9_999 => format!("{count} B"),
         10_000..=9_999_999 => format!("{:.1} KiB", count as f64 / 1024.0),
@@ -77,7 +81,8 @@
     }
 }
 
-fn number(value: f64) -> String {
+/// Formats a number with one decimal; 0 is shown as `-`.
+fn format_number(value: f64) -> String {
     if value > 0.0 {
         format!("{value:.1}")
     } else {
@@ -85,8 +90,8 @@
     }
 }
 
-/// A time of day in UTC.
-pub(super) fn time(unix_us: u64) -> String {
+/// Formats a time in Unix microseconds as RFC 3339 in UTC.
+pub(super) fn format_time(unix_us: u64) -> String {
     let at = UNIX_EPOCH + Duration::from_micros(unix_us);
     humantime::format_rfc3339_millis(at).to_string()
 }
@@ -97,14 +102,14 @@
         "site",
         format!(
             "{} (foldtrack {}, process {}, up {})",
-            plain(&s.name),
+            escape_control(&s.name),
             s.program,
             s.pid,
-            span(s.up_ms.max(1))
+            format_duration(s.up_ms.max(1))
         ),
     );
     text += &line("stage", s.stage.clone());
-    text += &line("taken", format!("{} taken on, {} refused", s.taken, s.refused));
+    text += &line("taken", format!("{} accepted, {} refused", s.taken, s.refused));
     text += &line(
         "ended",
         format!(
@@ -118,26 +123,28 @@
             "{} of {} messages, {} of {}, the oldest for {}",
             s.held,
             s.held_most,
-            bytes(s.held_bytes),
-            bytes(s.held_bytes_most),
-            span(s.oldest_ms)
+            format_bytes(s.held_bytes),
+            format_bytes(s.held_bytes_most),
+            format_duration(s.oldest_ms)
         ),
     );
-    text += &line("calls", format!("{} of {} out", s.calls, s.calls_most));
-    text += &line("journal", format!("{} of {}", bytes(s.journal_bytes), bytes(s.journal_most)));
+    text += &line("calls", format!("{} of {} in flight", s.calls, s.calls_most));
+    text +=
+        &line("journal", format!("{} of {}", format_bytes(s.journal_bytes), format_bytes(s.journal_most)));
     text += &line(
         "ends",
         format!(
-            "{} kept, {} of {} not fetched yet, {} of {}",
+            "{} stored, {} of {} not fetched yet, {} of {}",
             s.ends,
             s.ends_unfetched,
             s.ends_most,
-            bytes(s.ends_bytes),
-            bytes(s.ends_bytes_most)
+            format_bytes(s.ends_bytes),
+            format_bytes(s.ends_bytes_most)
         ),
     );
     if s.ends_unwritten > 0 {
-        text += &line("trouble", format!("{} ends can't be written: is the disk full?", s.ends_unwritten));
+        text +=
+            &line("trouble", format!("{} outcomes cannot be written: is the disk full?", s.ends_unwritten));
     }
     text
 }
@@ -149,13 +156,13 @@
             if p.paused { "paused".into() } else { p.health.clone() },
             format!("{}/{}", p.open, p.endpoints),
             p.held.to_string(),
-            span(p.oldest_ms),
+            format_duration(p.oldest_ms),
             p.calls.to_string(),
-            number(p.window),
-            number(p.mean_ms),
-            number(p.tau_ms),
-            span(p.wait_ms),
-            number(p.rate),
+            format_number(p.window),
+            format_number(p.mean_ms),
+            format_number(p.tau_ms),
+            format_duration(p.wait_ms),
+            format_number(p.rate),
             p.delivered.to_string(),
             p.failures.to_string(),
             p.verdict.clone(),
@@ -189,10 +196,10 @@
             e.state.clone(),
             e.health.clone(),
             e.calls.to_string(),
-            number(e.window),
-            number(e.tau_ms),
-            span(e.wait_ms),
-            span(e.closed_ms),
+            format_number(e.window),
+            format_number(e.tau_ms),
+            format_duration(e.wait_ms),
+            format_duration(e.closed_ms),
             connections(e),
             e.verdict.clone(),
         ]
@@ -214,18 +221,22 @@
     table(&head, &endpoints.iter().map(row).collect::<Vec<_>>(), "no endpoints")
 }
 
-/// How many stand idle, how many are being opened ahead, how many calls found one ready, what a handshake takes and how long
-/// one may stand idle.
+/// An endpoint's connections: idle ones, those being opened ahead, the share of calls that found one ready, the duration
+/// of a handshake and the maximum idle time.
 fn connections(e: &Endpoint) -> String {
     let ahead = if e.dialling > 0 { format!("+{}", e.dialling) } else { String::new() };
-    let (ready, handshake) = (100.0 * e.ready, number(e.handshake_ms));
-    format!("{}{ahead} idle, {ready:.0}% ready, {handshake} ms, idle up to {}", e.idle, span(e.idle_most_ms))
+    let (ready, handshake) = (100.0 * e.ready, format_number(e.handshake_ms));
+    format!(
+        "{}{ahead} idle, {ready:.0}% ready, {handshake} ms, idle up to {}",
+        e.idle,
+        format_duration(e.idle_most_ms)
+    )
 }
 
 fn queues(queues: &[Queue]) -> String {
     let row = |q: &Queue| {
         let key = if q.key.is_empty() { "-" } else { &q.key };
-        vec![q.partner.clone(), key.to_string(), q.held.to_string(), span(q.oldest_ms)]
+        vec![q.partner.clone(), key.to_string(), q.held.to_string(), format_duration(q.oldest_ms)]
     };
     table(
         &["partner", "key", "held", "oldest"],
@@ -245,7 +256,7 @@
             c.taken.to_string(),
             c.refused.to_string(),
             c.turned_away.to_string(),
-            number(c.rate),
+            format_number(c.rate),
             format!("{:.1}%", c.part * 100.0),
         ]
     };
@@ -261,13 +272,17 @@
         "rate/s",
         "share",
     ];
-    let mut text = table(&head, &all.clients.iter().map(row).collect::<Vec<_>>(), "nobody has come yet");
+    let mut text =
+        table(&head, &all.clients.iter().map(row).collect::<Vec<_>>(), "no client has connected yet");
     for (network, ms) in &all.blocks {
-        text += &format!("blocked  {}  for {} yet\n", plain(network), span(*ms));
+        text += &format!("blocked  {}  for another {}\n", escape_control(network), format_duration(*ms));
     }
-    all.floods.iter().for_each(|line| text += &format!("{}\n", plain(line)));
-    let held: Vec<String> =
-        all.descriptors.iter().map(|h| format!("{} {} of {}", plain(&h.party), h.held, h.most)).collect();
+    all.floods.iter().for_each(|line| text += &format!("{}\n", escape_control(line)));
+    let held: Vec<String> = all
+        .descriptors
+        .iter()
+        .map(|h| format!("{} {} of {}", escape_control(&h.party), h.held, h.most))
+        .collect();
     if !held.is_empty() {
         text += &format!("descriptors  {}; {} being closed\n", held.join(", "), all.lingering);
     }
@@ -283,7 +298,7 @@
 fn failures(failures: &[Failure]) -> String {
     let row = |f: &Failure| {
         vec![
-            time(f.at),
+            format_time(f.at),
             f.message.clone(),
             f.class.clone(),
             f.endpoint.clone(),
@@ -294,21 +309,28 @@
         ]
     };
     let head = ["at", "message", "class", "endpoint", "attempt", "outcome", "effect", "then"];
-    table(&head, &failures.iter().map(row).collect::<Vec<_>>(), "no attempt has failed lately")
+    table(&head, &failures.iter().map(row).collect::<Vec<_>>(), "no attempt has failed recently")
 }
 
 fn message(m: &Message) -> String {
-    let mut text = format!("{}  {}  {} to {}", plain(&m.id), m.state, plain(&m.class), plain(&m.partner));
+    let mut text = format!(
+        "{}  {}  {} to {}",
+        escape_control(&m.id),
+        m.state,
+        escape_control(&m.class),
+        escape_control(&m.partner)
+    );
     if !m.key.is_empty() {
-        text += &format!(", key {}", plain(&m.key));
+        text += &format!(", key {}", escape_control(&m.key));
     }
-    text += &format!("\ntaken on  {}\n", time(m.taken));
+    text += &format!("\naccepted  {}\n", format_time(m.taken));
     let rows: Vec<Vec<String>> = m
         .attempts
         .iter()
         .enumerate()
         .map(|(n, a)| {
-            let took = if a.until > a.at { span(((a.until - a.at) / 1000).max(1)) } else { "-".into() };
+            let took =
+                if a.until > a.at { format_duration(((a.until - a.at) / 1000).max(1)) } else { "-".into() };
             let effect = match (a.outcome.as_str(), a.may_have_run) {
                 ("ok", _) => "ran",
                 (_, true) => "may have run",
@@ -317,7 +339,7 @@
             let endpoint = if a.endpoint.is_empty() { "?" } else { &a.endpoint };
             vec![
                 (n + 1).to_string(),
-                time(a.at),
+                format_time(a.at),
                 endpoint.to_string(),
                 a.outcome.clone(),
                 took,
@@ -327,68 +349,76 @@
         .collect();
     text += &table(&["attempt", "at", "endpoint", "outcome", "took", "effect"], &rows, "no attempt yet");
     match (m.ended, m.expires) {
-        (0, expires) => text += &format!("given up at {}\n", time(expires)),
-        (ended, _) => text += &format!("ended     {}  {}\n", time(ended), m.state),
+        (0, expires) => text += &format!("expires   {}\n", format_time(expires)),
+        (ended, _) => text += &format!("ended     {}  {}\n", format_time(ended), m.state),
     }
     if m.retry_in_ms > 0 {
-        text += &format!("come again after {}\n", span(m.retry_in_ms));
+        text += &format!("submit again after {}\n", format_duration(m.retry_in_ms));
     }
     if m.harmless_until > 0 {
-        text += &format!("          not after {}: it may have taken effect\n", time(m.harmless_until));
+        text +=
+            &format!("          but not after {}: it may have taken effect\n", format_time(m.harmless_until));
     }
     text
 }
 
 fn done(d: &OrderResult) -> String {
-    let what = if d.changed { "done" } else { "it was so already" };
+    let what = if d.changed { "done" } else { "already in that state" };
     let copies = match (d.copies, d.others) {
         (_, 0) => String::new(),
         (0, others) => format!(
-            "; NONE of the {others} other forwarders has it yet: it is lost with this machine until they are told"
+            "; NONE of the {others} other forwarders has it yet: it is lost if this machine fails before one has it"
         ),
         (copies, others) => format!("; {copies} of {others} other forwarders have it"),
     };
-    format!("{what}; {} calls still out, {} messages held for the partner{copies}\n", d.calls, d.held)
+    format!("{what}; {} calls still in flight, {} messages held for the partner{copies}\n", d.calls, d.held)
 }
 
 fn peers(p: &Peers) -> String {
     let mode = match p.mode.as_str() {
-        "caught_up" => "has what the others have",
+        "caught_up" => "is up to date with its peers",
         "catching_up" => "is catching up",
-        "alone" => "has met nobody with the same state yet, and goes on by what it has",
-        "displaced" => "TAKES NO PART: another process runs under its name",
+        "alone" => "has not reached a peer with the same state yet, and uses its own state",
+        "displaced" => "IS DISPLACED: another process runs under its name",
         other => other,
     };
-    let majority =
-        if p.there >= p.majority { "a majority" } else { "NO majority: nothing can be resumed or added" };
+    let quorum =
+        if p.there >= p.majority { "a quorum" } else { "NO quorum: nothing can be resumed or added" };
     let mut text = format!(
-        "{} (start {}) {mode}; {} of {} forwarders are there, {majority}\n",
-        plain(&p.name),
+        "{} (start {}) {mode}; {} of {} forwarders are up, {quorum}\n",
+        escape_control(&p.name),
         p.start,
         p.there,
         p.members
     );
     if !p.ids_known {
         text.push_str(
-            "it does not know yet which ids it let in: its word on payments does not count before it does\n",
+            "it does not know yet which ids it has accepted: until then, its peers do not rely on its reports about payments\n",
         );
     }
     if !p.unkept.is_empty() {
-        text += &format!("what was ordered is not kept on this disk: {}\n", plain(&p.unkept));
+        text += &format!("orders cannot be stored on this disk: {}\n", escape_control(&p.unkept));
     }
-    let ago = |ms: Option<u64>| ms.map_or("never".into(), |ms| span(ms.max(1)));
+    let ago = |ms: Option<u64>| ms.map_or("never".into(), |ms| format_duration(ms.max(1)));
     let row = |o: &Peer| {
         let start = if o.start == 0 { "-".into() } else { o.start.to_string() };
-        vec![o.name.clone(), o.standing.clone(), span(o.for_ms), start, ago(o.heard_ms), ago(o.same_ms)]
+        vec![
+            o.name.clone(),
+            o.standing.clone(),
+            format_duration(o.for_ms),
+            start,
+            ago(o.heard_ms),
+            ago(o.same_ms),
+        ]
     };
     let head = ["name", "standing", "for", "start", "heard", "same state"];
-    text += &table(&head, &p.others.iter().map(row).collect::<Vec<_>>(), "there are no others");
+    text += &table(&head, &p.others.iter().map(row).collect::<Vec<_>>(), "there are no other forwarders");
     text += &format!(
-        "{} datagrams out ({}), {} in ({})",
+        "{} datagrams sent ({}), {} received ({})",
         p.sent,
-        bytes(p.sent_bytes),
+        format_bytes(p.sent_bytes),
         p.received,
-        bytes(p.received_bytes)
+        format_bytes(p.received_bytes)
     );
     for (why, count) in &p.dropped {
         text += &format!(", {count} dropped as {why}");
@@ -399,12 +429,13 @@
 fn state(s: &SiteState) -> String {
     let row = |s: &Statement| {
         let says = if s.detail.is_empty() { s.word.clone() } else { format!("{} {}", s.word, s.detail) };
-        let holds = if s.holds { "yes" } else { "no: another stands against it" };
-        vec![s.kind.clone(), s.subject.clone(), says, holds.into(), s.id.clone(), time(s.at)]
+        let holds = if s.holds { "yes" } else { "no: another statement overrides it" };
+        vec![s.kind.clone(), s.subject.clone(), says, holds.into(), s.id.clone(), format_time(s.at)]
     };
     let head = ["kind", "name", "says", "holds", "statement", "at (its author's clock)"];
     let rows = s.statements.iter().map(row).collect::<Vec<_>>();
-    table(&head, &rows, "nothing has been ordered") + &format!("state {} at {}\n", s.digest, plain(&s.name))
+    table(&head, &rows, "no orders have been given")
+        + &format!("state {} at {}\n", s.digest, escape_control(&s.name))
 }
 
 #[cfg(test)]
@@ -417,6 +448,9 @@
         let text = table(&["name", "held"], &rows, "none");
         assert_eq!(text, "name        held\na\\u{1b}[2J     7\nlong name    123\n");
         assert_eq!(table(&["name"], &[], "none"), "none\n");
-        assert_eq!((span(0), span(1500), span(61_000)), ("-".into(), "1.5s".into(), "1m01s".into()));
+        assert_eq!(
+            (format_duration(0), format_duration(1500), format_duration(61_000)),
+            ("-".into(), "1.5s".into(), "1m01s".into())
+        );
     }
 }
--- a/src/bin/foldtrack/control.rs
+++ b/src/bin/foldtrack/control.rs
@@ -1,5 +1,7 @@
-//! The serving side of the control line. Readers have a thread and a runtime of their own: what they do, and how
-//! slowly, is nothing to the loop. The loop is asked for a picture a few times a second at most, whoever wants to see it.
+//! Server side of the control socket.
+//!
+//! Control connections are served on their own thread and runtime, so that a slow client cannot delay the event
+//! loop. The event loop produces at most a few snapshots a second, however many clients ask for one.
 
 use crate::blocks::{Blocks, MAX_BLOCK_MS};
 use crate::descriptors::{DescriptorBudget, DescriptorPermit};
@@ -27,232 +29,260 @@
 use tokio::sync::{oneshot, Mutex, Notify};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Readers at once. Beyond that the one goes that has said nothing for longest.
-const READERS: usize = 32;
-/// A picture is shown for so long before another is asked for.
-const FRESH: Duration = Duration::from_millis(200);
-/// Requests of one reader: so many at once, and one more each time that this span has passed.
-const BURST: u32 = 20;
-const PACE: Duration = Duration::from_millis(50);
-/// A reader that does not read for so long goes.
-const SLOW: Duration = Duration::from_secs(10);
-const NO_PEERS: &str = "this forwarder is alone: its site file has no [peers]";
-const USUAL_PUSH: u32 = 1000;
-const LEAST_PUSH: u32 = 200;
-/// Pause between two that are let in.
+/// Maximum number of control connections. Beyond it, the connection that has been idle longest is closed.
+const MAX_CONNECTIONS: usize = 32;
+/// How long a snapshot is reused before the event loop is asked for a new one.
+const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(200);
+/// Rate limit of one connection: so many requests in a burst, then one for each `REQUEST_INTERVAL`.
+const REQUEST_BURST: u32 = 20;
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
+/// A client that does not read its response within this time is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+const NO_PEERS_TEXT: &str = "this forwarder runs without peers: its site file has no [peers] section";
+/// Default and minimum interval between the updates of a subscription.
+const DEFAULT_UPDATE_INTERVAL_MS: u32 = 1000;
+const MIN_UPDATE_INTERVAL_MS: u32 = 200;
+/// Pause after each accepted connection. The event loop runs on the same thread.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
-/// How often floods are looked for, and how many descriptors there are.
-const NOTICE: Duration = Duration::from_secs(1);
-/// How long the readers' thread stays without a reader.
-const LINGER: Duration = Duration::from_secs(1);
+/// How often floods are reported and the limits of client connections are recomputed.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the control thread stays alive without a connection.
+const IDLE_THREAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Binds the socket of a state folder whose lock is held: a file that stands there is a dead process's.
+/// Binds the control socket. The caller holds the lock of the state folder, so an existing socket file belongs to
+/// a process that has ended.
+///
+/// # Errors
+/// The path and the cause, when the old file cannot be removed or the socket cannot be bound.
 pub(crate) fn bind(path: &Path) -> Result<UnixListener, String> {
-    let told = |e: io::Error| format!("{}: {e}", path.display());
+    let error_text = |e: io::Error| format!("{}: {e}", path.display());
     match std::fs::remove_file(path) {
-        Err(e) if e.kind() != ErrorKind::NotFound => return Err(told(e)),
+        Err(e) if e.kind() != ErrorKind::NotFound => return Err(error_text(e)),
         _ => {}
     }
-    // Nobody else may connect from the first moment on; no other thread runs yet that makes files.
-    let before = rustix::process::umask(rustix::fs::Mode::from_raw_mode(0o177));
-    let bound = UnixListener::bind(path);
-    rustix::process::umask(before);
-    let listener = bound.map_err(told)?;
-    listener.set_nonblocking(true).map_err(told)?;
+    // Restricts the socket to its owner from the moment it exists. The umask applies to the whole process, but no
+    // other thread that creates files runs yet.
+    let previous_umask = rustix::process::umask(rustix::fs::Mode::from_raw_mode(0o177));
+    let bind_result = UnixListener::bind(path);
+    rustix::process::umask(previous_umask);
+    let listener = bind_result.map_err(error_text)?;
+    listener.set_nonblocking(true).map_err(error_text)?;
     Ok(listener)
 }
 
-/// Serves the control line from now on, on this runtime; readers get a thread of their own. `most` tells how many
-/// connections clients may have now, and by which limit.
+/// Starts the control server: it accepts connections on the current runtime and serves them on their own thread.
+/// `limits` returns the current descriptor limit and the number of client connections that it permits.
+///
+/// # Errors
+/// The socket could not be registered with the runtime.
 pub(crate) fn start(
     listener: UnixListener, events: EventSender, blocks: Arc<Blocks>, descriptors: Arc<DescriptorBudget>,
-    most: impl Fn() -> (usize, Result<usize, String>) + Send + 'static,
+    limits: impl Fn() -> (usize, Result<usize, String>) + Send + 'static,
 ) -> Result<(), String> {
-    let listener = Listener::from_std(listener).map_err(|e| format!("control line: {e}"))?;
-    let line = Arc::new(Line {
+    let listener = Listener::from_std(listener).map_err(|e| format!("control socket: {e}"))?;
+    let server = Arc::new(ControlServer {
         events,
         blocks: blocks.clone(),
         descriptors,
-        picture: Mutex::default(),
-        ordered: Default::default(),
-        readers: Default::default(),
+        snapshot: Mutex::default(),
+        last_order: Default::default(),
+        connections: Default::default(),
         thread: Default::default(),
     });
-    tokio::spawn(accept(listener, line));
+    tokio::spawn(accept(listener, server));
     tokio::spawn(async move {
         loop {
-            sleep(NOTICE).await;
+            sleep(REPORT_INTERVAL).await;
             blocks.report_floods();
-            blocks.update_limits(most());
+            blocks.update_limits(limits());
         }
     });
     Ok(())
 }
 
-/// What all readers share.
-struct Line {
+/// State shared by all control connections.
+struct ControlServer {
     events: EventSender,
     blocks: Arc<Blocks>,
     descriptors: Arc<DescriptorBudget>,
-    /// The last picture.
-    picture: Mutex<Option<Arc<Snapshot>>>,
-    /// When the last order was carried out: no picture that is older is shown.
-    ordered: std::sync::Mutex<Option<Instant>>,
-    readers: std::sync::Mutex<BTreeMap<u64, (Instant, Arc<Notify>)>>,
-    /// The way to the readers' thread, while there is one.
+    /// The latest snapshot.
+    snapshot: Mutex<Option<Arc<Snapshot>>>,
+    /// When the last order was carried out. Older snapshots are not shown.
+    last_order: std::sync::Mutex<Option<Instant>>,
+    /// Open connections by number: the time of the last request, and the signal that closes the connection.
+    connections: std::sync::Mutex<BTreeMap<u64, (Instant, Arc<Notify>)>>,
+    /// Passes accepted connections to the control thread, while there is one.
     thread: std::sync::Mutex<Option<UnboundedSender<StdStream>>>,
 }
 
-async fn accept(listener: Listener, line: Arc<Line>) {
+async fn accept(listener: Listener, server: Arc<ControlServer>) {
     let uid = rustix::process::geteuid().as_raw();
     loop {
         let accepted = listener.accept().await;
-        // The loop is on this thread: a crowd that connects all the time gets no more of it than this.
+        // The event loop runs on this thread: the pause limits the share that a stream of connections can take.
         sleep(ACCEPT_PAUSE).await;
         let Ok((stream, _)) = accepted else { continue };
-        // The mode of the socket says so too; a descriptor may have been passed on.
+        // The socket's mode restricts access as well, but a descriptor may have been passed to another user.
         let allowed = stream.peer_cred().is_ok_and(|peer| peer.uid() == uid || peer.uid() == 0);
         let Ok(stream) = stream.into_std() else { continue };
         if allowed {
-            hand_over(stream, &line);
+            dispatch(stream, &server);
         }
     }
 }
 
-/// Gives a reader to the readers' thread, and starts that if there is none. A process with one thread is some
-/// percent faster than one with two: as long as nobody reads there is one.
-fn hand_over(stream: StdStream, line: &Arc<Line>) {
-    let mut thread = lock_ignoring_poison(&line.thread);
-    let unsent = match thread.as_ref() {
-        Some(readers) => readers.send(stream).map_err(|unsent| unsent.0),
+/// Passes a connection to the control thread, and starts the thread if there is none. A process with one thread is
+/// some percent faster than one with two, so the thread exists only while there are control connections.
+fn dispatch(stream: StdStream, server: &Arc<ControlServer>) {
+    let mut thread = lock_ignoring_poison(&server.thread);
+    let rejected = match thread.as_ref() {
+        Some(connections) => connections.send(stream).map_err(|rejected| rejected.0),
         None => Err(stream),
     };
-    if let Err(stream) = unsent {
-        begin_thread(stream, line, &mut thread);
+    if let Err(stream) = rejected {
+        start_thread(stream, server, &mut thread);
     }
 }
 
-fn begin_thread(stream: StdStream, line: &Arc<Line>, thread: &mut Option<UnboundedSender<StdStream>>) {
+fn start_thread(
+    stream: StdStream, server: &Arc<ControlServer>, thread: &mut Option<UnboundedSender<StdStream>>,
+) {
     let (sender, streams) = unbounded_channel();
     let _ = sender.send(stream);
-    let line = line.clone();
+    let server = server.clone();
     let run = move || match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => runtime.block_on(read_all(streams, line)),
-        Err(e) => eprintln!("control line: {e}"),
+        Ok(runtime) => runtime.block_on(serve_connections(streams, server)),
+        Err(e) => eprintln!("control socket: {e}"),
     };
     match std::thread::Builder::new().name("control".into()).spawn(run) {
         Ok(_) => *thread = Some(sender),
-        Err(e) => eprintln!("control line: {e}"),
+        Err(e) => eprintln!("control socket: {e}"),
     }
 }
 
-/// The readers' thread: serves them until there has been none for a while.
-async fn read_all(mut streams: UnboundedReceiver<StdStream>, line: Arc<Line>) {
+/// Body of the control thread: serves connections until there has been none for `IDLE_THREAD_TIMEOUT`.
+async fn serve_connections(mut streams: UnboundedReceiver<StdStream>, server: Arc<ControlServer>) {
     for number in 0.. {
         let stream = loop {
-            if let Ok(Some(stream)) = timeout(LINGER, streams.recv()).await {
+            if let Ok(Some(stream)) = timeout(IDLE_THREAD_TIMEOUT, streams.recv()).await {
                 break stream;
             }
-            let mut thread = lock_ignoring_poison(&line.thread);
-            if lock_ignoring_poison(&line.readers).is_empty() && streams.is_empty() {
+            let mut thread = lock_ignoring_poison(&server.thread);
+            if lock_ignoring_poison(&server.connections).is_empty() && streams.is_empty() {
                 *thread = None;
                 return;
             }
         };
         let Ok(stream) = UnixStream::from_std(stream) else { continue };
-        let leave = Arc::new(Notify::new());
-        let descriptor = line.enter(number, &leave);
-        let line = line.clone();
+        let close = Arc::new(Notify::new());
+        let descriptor = server.register(number, &close);
+        let server = server.clone();
         tokio::spawn(async move {
             tokio::select! {
-                _ = serve(stream, number, &line) => {}
-                () = leave.notified() => {}
+                _ = serve(stream, number, &server) => {}
+                () = close.notified() => {}
             }
-            lock_ignoring_poison(&line.readers).remove(&number);
+            lock_ignoring_poison(&server.connections).remove(&number);
             drop(descriptor);
         });
     }
 }
 
-impl Line {
-    /// Lets a reader in. Where there is no descriptor for one more, the one goes that has said nothing for longest.
-    fn enter(&self, number: u64, leave: &Arc<Notify>) -> DescriptorPermit {
-        let mut readers = lock_ignoring_poison(&self.readers);
-        let drawn = self.descriptors.acquire(DescriptorUser::Control).filter(|_| readers.len() < READERS);
-        if drawn.is_none() {
-            let quietest = readers.iter().min_by_key(|(_, (heard, _))| *heard).map(|(number, _)| *number);
-            if let Some((_, leave)) = quietest.and_then(|n| readers.remove(&n)) {
-                leave.notify_one();
+impl ControlServer {
+    /// Registers a connection. If the connection limit or the descriptor budget is exhausted, closes the connection
+    /// that has been idle longest.
+    fn register(&self, number: u64, close: &Arc<Notify>) -> DescriptorPermit {
+        let mut connections = lock_ignoring_poison(&self.connections);
+        let permit =
+            self.descriptors.acquire(DescriptorUser::Control).filter(|_| connections.len() < MAX_CONNECTIONS);
+        if permit.is_none() {
+            let longest_idle = connections
+                .iter()
+                .min_by_key(|(_, (last_request, _))| *last_request)
+                .map(|(number, _)| *number);
+            if let Some((_, close)) = longest_idle.and_then(|n| connections.remove(&n)) {
+                close.notify_one();
             }
         }
-        readers.insert(number, (Instant::now(), leave.clone()));
-        // Its place is the other one's, which closes within the moment.
-        drawn.unwrap_or_else(|| self.descriptors.acquire_unchecked(DescriptorUser::Control))
+        connections.insert(number, (Instant::now(), close.clone()));
+        // It takes over the descriptor of the evicted connection, which closes in a moment.
+        permit.unwrap_or_else(|| self.descriptors.acquire_unchecked(DescriptorUser::Control))
     }
 
-    fn heard(&self, number: u64) {
-        if let Some((heard, _)) = lock_ignoring_poison(&self.readers).get_mut(&number) {
-            *heard = Instant::now();
+    /// Records that a request was received on a connection.
+    fn record_request(&self, number: u64) {
+        if let Some((last_request, _)) = lock_ignoring_poison(&self.connections).get_mut(&number) {
+            *last_request = Instant::now();
         }
     }
 
-    /// What the loop answers; none if it ends before it has.
-    async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> SiteRequest) -> Option<T> {
+    /// Sends a request to the event loop; `None` if the loop ends before it responds.
+    async fn query<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> SiteRequest) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        self.events.send(LoopEvent::SiteRequest(ask(reply)));
+        self.events.send(LoopEvent::SiteRequest(request(reply)));
         answer.await.ok()
     }
 
-    /// A picture that is fresh, and not older than the last order.
-    async fn picture(&self) -> Option<Arc<Snapshot>> {
-        // While one asks, the others wait here and get the same.
-        let mut last = self.picture.lock().await;
-        let from = *lock_ignoring_poison(&self.ordered);
-        let fresh = |p: &&Arc<Snapshot>| p.at.elapsed() < FRESH && from.is_none_or(|from| p.at >= from);
-        if let Some(picture) = last.as_ref().filter(fresh) {
-            return Some(picture.clone());
+    /// A snapshot that is at most `SNAPSHOT_MAX_AGE` old and not older than the last order.
+    async fn snapshot(&self) -> Option<Arc<Snapshot>> {
+        // While one connection requests a snapshot, the others wait for the lock and get the same one.
+        let mut last = self.snapshot.lock().await;
+        let oldest_allowed = *lock_ignoring_poison(&self.last_order);
+        let fresh = |p: &&Arc<Snapshot>| {
+            p.at.elapsed() < SNAPSHOT_MAX_AGE && oldest_allowed.is_none_or(|oldest| p.at >= oldest)
+        };
+        if let Some(snapshot) = last.as_ref().filter(fresh) {
+            return Some(snapshot.clone());
         }
-        let picture = self.ask(|reply| SiteRequest::Snapshot { reply }).await?;
-        *last = Some(picture.clone());
-        Some(picture)
+        let snapshot = self.query(|reply| SiteRequest::Snapshot { reply }).await?;
+        *last = Some(snapshot.clone());
+        Some(snapshot)
     }
 }
 
-async fn serve(mut stream: UnixStream, number: u64, line: &Line) -> io::Result<()> {
+/// Serves one control connection until it closes.
+async fn serve(mut stream: UnixStream, number: u64, server: &ControlServer) -> io::Result<()> {
     let mut lines = LineDecoder::new(MAX_LINE_BYTES);
-    let mut bytes = vec![0; 16 * 1024];
-    let mut due = Instant::now();
+    let mut buffer = vec![0; 16 * 1024];
+    let mut next_slot = Instant::now();
     loop {
-        let count = stream.read(&mut bytes).await?;
+        let count = stream.read(&mut buffer).await?;
         if count == 0 {
             return Ok(());
         }
-        line.heard(number);
-        for read_line in lines.push(&bytes[..count]) {
-            // A reader that asks all the time waits its turn, and what it sends next waits in its socket.
+        server.record_request(number);
+        for read_line in lines.push(&buffer[..count]) {
+            // Rate limit: a client that exceeds it is delayed, and its further requests stay in the socket buffer.
             let now = Instant::now();
-            due = due.max(now - BURST * PACE) + PACE;
-            sleep_until(due - PACE).await;
+            next_slot = next_slot.max(now - REQUEST_BURST * REQUEST_INTERVAL) + REQUEST_INTERVAL;
+            sleep_until(next_slot - REQUEST_INTERVAL).await;
             let request = match read_line {
                 Ok(text) => parse_request(&text),
                 Err(LineError::NotUtf8) => {
                     Err(Box::new(Reply::error(Value::Null, "unreadable", "the line is not UTF-8")))
                 }
                 Err(LineError::TooLong) => {
-                    let text = format!("a line has {MAX_LINE_BYTES} bytes at most");
+                    let text = format!("the line is longer than {MAX_LINE_BYTES} bytes");
                     write(&mut stream, &Reply::error(Value::Null, "too_long", text)).await?;
                     return Ok(());
                 }
             };
             match request {
                 Ok(Request { id, command: ControlCommand::Subscribe { every_ms, events }, .. }) => {
-                    let every = every_ms.unwrap_or(USUAL_PUSH).max(LEAST_PUSH);
-                    let events = events.then(|| line.blocks.events());
-                    return push(stream, id, Duration::from_millis(every.into()), events, line).await;
+                    let every = every_ms.unwrap_or(DEFAULT_UPDATE_INTERVAL_MS).max(MIN_UPDATE_INTERVAL_MS);
+                    let events = events.then(|| server.blocks.events());
+                    return serve_subscription(
+                        stream,
+                        id,
+                        Duration::from_millis(every.into()),
+                        events,
+                        server,
+                    )
+                    .await;
                 }
                 Ok(Request { id, command, .. }) => {
-                    let told = answer(command, line).await;
-                    write(&mut stream, &Reply { v: VERSION, id, response: told }).await?;
+                    let response = answer(command, server).await;
+                    write(&mut stream, &Reply { v: VERSION, id, response }).await?;
                 }
                 Err(refusal) => write(&mut stream, &refusal).await?,
             }
@@ -261,64 +291,71 @@
 }
 
 async fn write(stream: &mut UnixStream, reply: &Reply) -> io::Result<()> {
-    timeout(SLOW, stream.write_all(reply.to_line().as_bytes())).await?
+    timeout(WRITE_TIMEOUT, stream.write_all(reply.to_line().as_bytes())).await?
 }
 
-/// Pushes what has changed until the reader goes. A slow one gets fewer pushes, each the latest.
-async fn push(
-    mut stream: UnixStream, id: Value, every: Duration, mut events: Option<Receiver<Event>>, line: &Line,
+/// Serves a subscription: sends a snapshot whenever it has changed, until the client disconnects. A slow client gets
+/// fewer updates, each with the latest state.
+async fn serve_subscription(
+    mut stream: UnixStream, id: Value, every: Duration, mut events: Option<Receiver<Event>>,
+    server: &ControlServer,
 ) -> io::Result<()> {
     let mut last: Option<Arc<Snapshot>> = None;
-    let mut bytes = [0; 1024];
+    let mut buffer = [0; 1024];
     loop {
-        let Some(picture) = line.picture().await else { return Ok(()) };
+        let Some(snapshot) = server.snapshot().await else { return Ok(()) };
         let same = |p: &Arc<Snapshot>| {
-            let still = |p: &Snapshot| foldtrack_control::Status {
+            let without_times = |p: &Snapshot| foldtrack_control::Status {
                 at: 0,
                 up_ms: 0,
                 oldest_ms: 0,
                 longest_round_us: 0,
                 ..p.status.clone()
             };
-            still(p) == still(&picture) && p.partners == picture.partners && p.endpoints == picture.endpoints
+            without_times(p) == without_times(&snapshot)
+                && p.partners == snapshot.partners
+                && p.endpoints == snapshot.endpoints
         };
         if !last.as_ref().is_some_and(same) {
-            let told = ControlResponse::Changed {
-                status: Box::new(picture.status.clone()),
-                partners: picture.partners.clone(),
-                endpoints: picture.endpoints.clone(),
+            let response = ControlResponse::Changed {
+                status: Box::new(snapshot.status.clone()),
+                partners: snapshot.partners.clone(),
+                endpoints: snapshot.endpoints.clone(),
             };
-            write(&mut stream, &Reply { v: VERSION, id: id.clone(), response: told }).await?;
-            last = Some(picture);
+            write(&mut stream, &Reply { v: VERSION, id: id.clone(), response }).await?;
+            last = Some(snapshot);
         }
-        let due = sleep(every);
-        tokio::pin!(due);
+        let next_update = sleep(every);
+        tokio::pin!(next_update);
         loop {
-            let told = tokio::select! {
-                () = &mut due => break,
-                told = next(&mut events) => told,
-                // What a subscriber says is passed over; that it has gone is not.
-                read = stream.read(&mut bytes) => {
+            let response = tokio::select! {
+                () = &mut next_update => break,
+                response = next(&mut events) => response,
+                // Input of a subscriber is ignored, but its end closes the subscription.
+                read = stream.read(&mut buffer) => {
                     if read? == 0 {
                         return Ok(());
                     }
-                    due.as_mut().await;
+                    next_update.as_mut().await;
                     break;
                 }
             };
-            write(&mut stream, &Reply { v: VERSION, id: id.clone(), response: ControlResponse::Event(told) })
-                .await?;
+            write(
+                &mut stream,
+                &Reply { v: VERSION, id: id.clone(), response: ControlResponse::Event(response) },
+            )
+            .await?;
         }
     }
 }
 
-/// The next event; none, for ever, for who wants none.
+/// The next event; never returns for a subscription without events.
 async fn next(events: &mut Option<Receiver<Event>>) -> Event {
     if let Some(events) = events {
         match events.recv().await {
             Ok(event) => return event,
             Err(RecvError::Lagged(missed)) => {
-                let text = format!("{missed} events were missed: they came faster than they were read");
+                let text = format!("{missed} events were dropped: the subscriber read too slowly");
                 return Event { kind: "missed".into(), text, ..Event::default() };
             }
             Err(RecvError::Closed) => {}
@@ -331,42 +368,42 @@
     ControlResponse::Error(Error { code: code.into(), text: text.into() })
 }
 
-/// Answers one request.
-async fn answer(ask: ControlCommand, line: &Line) -> ControlResponse {
-    let order = match ask {
+/// Carries out one command and returns the response.
+async fn answer(command: ControlCommand, server: &ControlServer) -> ControlResponse {
+    let order = match command {
         ControlCommand::Status
         | ControlCommand::Partners
         | ControlCommand::Endpoints
         | ControlCommand::Failures { .. }
         | ControlCommand::Queues { .. } => {
-            let Some(picture) = line.picture().await else { return ending() };
-            return show(ask, &picture);
+            let Some(snapshot) = server.snapshot().await else { return shutting_down() };
+            return show(command, &snapshot);
         }
         ControlCommand::Message { message } => {
             let id = message.clone();
-            return match line.ask(|reply| SiteRequest::Message { id, reply }).await {
+            return match server.query(|reply| SiteRequest::Message { id, reply }).await {
                 Some(Some(message)) => ControlResponse::Message(Box::new(message)),
-                Some(None) => error("unknown_message", &format!("nothing is known of {message:?}")),
-                None => ending(),
+                Some(None) => error("unknown_message", &format!("message {message:?} is unknown")),
+                None => shutting_down(),
             };
         }
         ControlCommand::Peers => {
-            let told = line.ask(|reply| SiteRequest::Peers { reply }).await;
-            return of_peers(told, |peers| ControlResponse::Peers(Box::new(peers)));
+            let response = server.query(|reply| SiteRequest::Peers { reply }).await;
+            return peers_response(response, |peers| ControlResponse::Peers(Box::new(peers)));
         }
         ControlCommand::State => {
-            let told = line.ask(|reply| SiteRequest::State { reply }).await;
-            return of_peers(told, |state| ControlResponse::State(Box::new(state)));
+            let response = server.query(|reply| SiteRequest::State { reply }).await;
+            return peers_response(response, |state| ControlResponse::State(Box::new(state)));
         }
         ControlCommand::Clients { most } => {
-            let most = most.unwrap_or(MAX_LIST_ENTRIES).min(MAX_LIST_ENTRIES) as usize;
-            return ControlResponse::Clients(Box::new(line.blocks.clients(most)));
+            let limit = most.unwrap_or(MAX_LIST_ENTRIES).min(MAX_LIST_ENTRIES) as usize;
+            return ControlResponse::Clients(Box::new(server.blocks.clients(limit)));
         }
-        ControlCommand::Block { network, for_ms } => return block(line, &network, Some(for_ms)).await,
-        ControlCommand::Unblock { network } => return block(line, &network, None).await,
+        ControlCommand::Block { network, for_ms } => return block(server, &network, Some(for_ms)).await,
+        ControlCommand::Unblock { network } => return block(server, &network, None).await,
         ControlCommand::Stop => {
-            line.events.send(LoopEvent::Terminate);
-            let version = line.picture().await.map_or(0, |p| p.status.membership);
+            server.events.send(LoopEvent::Terminate);
+            let version = server.snapshot().await.map_or(0, |p| p.status.membership);
             return ControlResponse::Done(foldtrack_control::OrderResult {
                 changed: true,
                 version,
@@ -387,50 +424,52 @@
         ControlCommand::Resume { endpoint: Some(endpoint), partner: None } => Order::Resume { endpoint },
         ControlCommand::Resume { endpoint: None, partner: Some(partner) } => Order::ResumePartner { partner },
         ControlCommand::Resume { .. } => {
-            return error("unreadable", "resume names an endpoint or a partner, one of the two")
+            return error("unreadable", "resume needs either an endpoint or a partner")
         }
-        ControlCommand::Subscribe { .. } => return error("unreadable", "already read elsewhere"),
+        ControlCommand::Subscribe { .. } => return error("unreadable", "subscribe is not supported here"),
     };
-    let told = match line.ask(|reply| SiteRequest::Order { order, reply }).await {
+    let response = match server.query(|reply| SiteRequest::Order { order, reply }).await {
         Some(Ok(done)) => ControlResponse::Done(done),
         Some(Err(refused)) => ControlResponse::Error(refused),
-        None => ending(),
+        None => shutting_down(),
     };
-    *lock_ignoring_poison(&line.ordered) = Some(Instant::now());
-    told
+    *lock_ignoring_poison(&server.last_order) = Some(Instant::now());
+    response
 }
 
-fn ending() -> ControlResponse {
-    error("busy", "the forwarder is ending")
+/// The response while the forwarder shuts down.
+fn shutting_down() -> ControlResponse {
+    error("busy", "the forwarder is shutting down")
 }
 
-/// What is shown of the others, where there are any.
-fn of_peers<T>(told: Option<Option<T>>, show: impl Fn(T) -> ControlResponse) -> ControlResponse {
-    match told {
-        Some(Some(told)) => show(told),
-        Some(None) => error("refused", NO_PEERS),
-        None => ending(),
+/// The response to a command about peers; an error if the site runs without peers.
+fn peers_response<T>(response: Option<Option<T>>, show: impl Fn(T) -> ControlResponse) -> ControlResponse {
+    match response {
+        Some(Some(response)) => show(response),
+        Some(None) => error("refused", NO_PEERS_TEXT),
+        None => shutting_down(),
     }
 }
 
-/// Blocks a network, or ends a block. Here, not in the loop: the file that keeps it may take its time. A block holds here
-/// whatever the others say; it ends once a majority of them has told what it knows.
-async fn block(line: &Line, network: &str, for_ms: Option<u64>) -> ControlResponse {
+/// Blocks a network, or ends a block (`for_ms` is `None`). This runs here rather than in the event loop, because
+/// writing the file of blocks may take long. A block applies at once on this forwarder, whatever its peers respond;
+/// a block ends only after the event loop has confirmed it, which needs the reports of a quorum of peers.
+async fn block(server: &ControlServer, network: &str, for_ms: Option<u64>) -> ControlResponse {
     let network = match foldtrack_site::check::parse_network(network) {
         Ok(network) => network,
         Err(problem) => return error("refused", &problem),
     };
     if for_ms.is_some_and(|for_ms| for_ms == 0 || for_ms > MAX_BLOCK_MS) {
-        return error("refused", "a block lasts for 1 ms to 30 days");
+        return error("refused", "the duration of a block must be between 1 ms and 30 days");
     }
-    let kept = for_ms.map(|for_ms| line.blocks.block(network, for_ms));
+    let stored = for_ms.map(|for_ms| server.blocks.block(network, for_ms));
     let name = network.to_string();
-    let done = match line.ask(|reply| SiteRequest::Network { network: name, for_ms, reply }).await {
+    let done = match server.query(|reply| SiteRequest::Network { network: name, for_ms, reply }).await {
         Some(Ok(done)) => done,
         Some(Err(refused)) => return ControlResponse::Error(refused),
-        None => return ending(),
+        None => return shutting_down(),
     };
-    let changed = kept.map_or_else(|| line.blocks.unblock(&network), |kept| kept.map(|()| true));
+    let changed = stored.map_or_else(|| server.blocks.unblock(&network), |stored| stored.map(|()| true));
     match changed {
         Ok(changed) => {
             ControlResponse::Done(foldtrack_control::OrderResult { changed: changed || done.changed, ..done })
@@ -439,20 +478,21 @@
     }
 }
 
-fn show(ask: ControlCommand, picture: &Snapshot) -> ControlResponse {
-    let most = |most: Option<u32>| most.unwrap_or(MAX_LIST_ENTRIES).min(MAX_LIST_ENTRIES) as usize;
-    match ask {
-        ControlCommand::Status => ControlResponse::Status(Box::new(picture.status.clone())),
-        ControlCommand::Partners => ControlResponse::Partners(picture.partners.clone()),
-        ControlCommand::Endpoints => ControlResponse::Endpoints(picture.endpoints.clone()),
-        ControlCommand::Failures { most: lines } => {
-            ControlResponse::Failures(picture.failures.iter().take(most(lines)).cloned().collect())
+/// Selects from a snapshot what a command asks for.
+fn show(command: ControlCommand, snapshot: &Snapshot) -> ControlResponse {
+    let limit = |most: Option<u32>| most.unwrap_or(MAX_LIST_ENTRIES).min(MAX_LIST_ENTRIES) as usize;
+    match command {
+        ControlCommand::Status => ControlResponse::Status(Box::new(snapshot.status.clone())),
+        ControlCommand::Partners => ControlResponse::Partners(snapshot.partners.clone()),
+        ControlCommand::Endpoints => ControlResponse::Endpoints(snapshot.endpoints.clone()),
+        ControlCommand::Failures { most } => {
+            ControlResponse::Failures(snapshot.failures.iter().take(limit(most)).cloned().collect())
         }
-        ControlCommand::Queues { partner, most: lines } => {
-            let queues = picture.queues.iter();
-            let of = |q: &&foldtrack_control::Queue| partner.as_ref().is_none_or(|p| *p == q.partner);
-            ControlResponse::Queues(queues.filter(of).take(most(lines)).cloned().collect())
+        ControlCommand::Queues { partner, most } => {
+            let queues = snapshot.queues.iter();
+            let matches = |q: &&foldtrack_control::Queue| partner.as_ref().is_none_or(|p| *p == q.partner);
+            ControlResponse::Queues(queues.filter(matches).take(limit(most)).cloned().collect())
         }
-        _ => error("unreadable", "nothing to show"),
+        _ => error("unreadable", "the command does not read a snapshot"),
     }
 }
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -1,4 +1,4 @@
-//! A site of its own: from the site file to a running loop.
+//! Starts a forwarder from a site file: opens its state folder and runs its event loop.
 
 use crate::blocks::Blocks;
 use crate::client_connections::ClientConnections;
@@ -26,13 +26,14 @@
 use std::path::Path;
 use tokio::signal::unix::SignalKind;
 
-/// What is in the state folder is its owner's alone.
+/// Only the owner may access the state folder.
 const STATE_MODE: u32 = 0o700;
 
-/// Serves a site until it is told to end.
+/// Runs a site's forwarder until it is told to stop. With `disk_budget`, the file that simulates a full disk, the
+/// journal and the outcome store may use no more bytes than it says.
 ///
 /// # Errors
-/// What stands in the way, with the file or field that it is about.
+/// Why the forwarder cannot start, with the file or setting concerned.
 pub(crate) fn serve(site: Site, disk_budget: Option<&Path>) -> Result<(), String> {
     fs::DirBuilder::new()
         .recursive(true)
@@ -42,31 +43,32 @@
     let _lock = lock(&site.state)?;
     let unix = Clock::new().unix_now();
     let mut log = MembershipLog::open(&site.state, MAX_ENDPOINTS).map_err(|e| e.to_string())?;
-    for told in log.apply_site_file(unix, &site_list(&site)).map_err(|e| e.to_string())? {
-        eprintln!("membership: {told}");
+    for change in log.apply_site_file(unix, &listed_endpoints(&site)).map_err(|e| e.to_string())? {
+        eprintln!("membership: {change}");
     }
-    let bounds =
+    let retention =
         RetentionLimits { max_count: site.ends.count, max_bytes: site.ends.size, max_age_us: site.ends.age };
     let budget = disk_budget.map(|limit| Budget::new(&site.state, limit));
     if let Some(budget) = &budget {
         budget.limit().map_err(|e| e.to_string())?;
     }
-    let ends = OutcomeStore::open(&site.state.join("ends"), bounds)
+    let outcomes = OutcomeStore::open(&site.state.join("ends"), retention)
         .map_err(|e| e.to_string())?
         .with_budget(budget.clone());
     let reserved = Reserved { calls: site.limits.calls as usize, internal: RESERVED_DESCRIPTORS };
     let configured = site.limits.descriptors;
-    let most = move || {
+    let limits = move || {
         let limit = configured.min(descriptor_limit());
         (limit, descriptors::max_client_connections(limit, reserved))
     };
-    let (limit, places) = most();
-    let places = places?;
-    let ledger = DescriptorBudget::new(limit, places, reserved.calls);
-    let client_connections = ClientConnections::new(admission(&site, places), Clock::new(), ledger.clone());
+    let (limit, max_connections) = limits();
+    let max_connections = max_connections?;
+    let descriptor_budget = DescriptorBudget::new(limit, max_connections, reserved.calls);
+    let client_connections =
+        ClientConnections::new(admission(&site, max_connections), Clock::new(), descriptor_budget.clone());
     let blocks = Blocks::open(&site.state, client_connections.clone(), site.listen.port())?;
     let peers = match &site.peers {
-        Some(said) => Some(PeerSetup::open(said, &site.state, blocks.clone())?),
+        Some(config) => Some(PeerSetup::open(config, &site.state, blocks.clone())?),
         None => None,
     };
     let socket = control::bind(&site.control_socket())?;
@@ -79,7 +81,7 @@
         seed: seed(unix),
         sockets: site.limits.descriptors,
         client_connections: client_connections.clone(),
-        descriptors: ledger.clone(),
+        descriptors: descriptor_budget.clone(),
         memory_bytes: site.limits.memory as usize,
         disk_bytes: site.journal_capacity(),
         disk_budget: budget,
@@ -88,44 +90,50 @@
         membership: Box::new(SiteMembership::new(log, site.clone())),
         discovery: None,
         durable: site.durability == Durability::Machine,
-        site: Some(SiteConfig { site, ends, peers }),
+        site: Some(SiteConfig { site, ends: outcomes, peers }),
     };
-    let ends = [SignalKind::terminate(), SignalKind::interrupt()];
+    let stop_signals = [SignalKind::terminate(), SignalKind::interrupt()];
     runtime()?.block_on(async {
         file_watcher.start();
-        control::start(socket, events.clone(), blocks, ledger, most)?;
-        serve_until_signal(config, events, receiver, &ends).await
+        control::start(socket, events.clone(), blocks, descriptor_budget, limits)?;
+        serve_until_signal(config, events, receiver, &stop_signals).await
     })
 }
 
-/// A number that sets this process apart from others, and that no client can guess: a journal that begins with it
-/// takes it for its identity.
+/// A random seed that differs between processes and that no client can guess. A journal that is created with it
+/// uses it as its identity.
 fn seed(unix: u64) -> u64 {
     RandomState::new().hash_one((unix, std::process::id()))
 }
 
-/// The lock on a state folder, held as long as the file is open: it goes with the process, however that ends.
+/// Locks a state folder. The lock is held as long as the file is open, so it ends with the process in any case.
+///
+/// # Errors
+/// Another process holds the lock (the text names its process id), or the lock file cannot be used.
 fn lock(state: &Path) -> Result<File, String> {
     let path = state.join("lock");
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let error_text = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let mut options = OpenOptions::new();
     options.read(true).write(true).create(true).truncate(false).mode(0o600);
-    let mut file = options.open(&path).map_err(|e| told(&e))?;
+    let mut file = options.open(&path).map_err(|e| error_text(&e))?;
     match file.try_lock() {
         Ok(()) => {}
         Err(TryLockError::WouldBlock) => {
             let mut pid = String::new();
             let _ = file.take(32).read_to_string(&mut pid);
             let (pid, state) = (pid.trim(), state.display());
-            return Err(format!("{state}: a forwarder runs on this state folder already, process {pid}"));
+            return Err(format!(
+                "{state}: the state folder is already in use by another forwarder, process {pid}"
+            ));
         }
-        Err(TryLockError::Error(e)) => return Err(told(&e)),
+        Err(TryLockError::Error(e)) => return Err(error_text(&e)),
     }
-    file.set_len(0).and_then(|()| writeln!(file, "{}", std::process::id())).map_err(|e| told(&e))?;
+    file.set_len(0).and_then(|()| writeln!(file, "{}", std::process::id())).map_err(|e| error_text(&e))?;
     Ok(file)
 }
 
-fn site_list(site: &Site) -> SiteFile {
+/// The partners and endpoints that the site file lists.
+fn listed_endpoints(site: &Site) -> SiteFile {
     let mut list = SiteFile::default();
     for partner in &site.partners {
         list.partners.insert(partner.name.clone(), partner.number());
@@ -137,27 +145,27 @@
     list
 }
 
-/// Who is let in, in the words of the gate.
-fn admission(site: &Site, places: usize) -> foldtrack_admission::Settings {
-    let said = &site.admission;
-    let usual = foldtrack_admission::Settings::for_connections(places);
-    let count = |said: Option<u32>, usual: usize| said.map_or(usual, |n| n as usize);
+/// Translates the `[admission]` section into the settings of the admission gate.
+fn admission(site: &Site, max_connections: usize) -> foldtrack_admission::Settings {
+    let config = &site.admission;
+    let defaults = foldtrack_admission::Settings::for_connections(max_connections);
+    let count = |configured: Option<u32>, default: usize| configured.map_or(default, |n| n as usize);
     foldtrack_admission::Settings {
-        reserve: (said.reserve * usual.max_connections as f64) as usize,
-        per_address: count(said.per_address, usual.per_address),
-        per_known: count(said.per_known, usual.per_known),
-        per_prefix: count(said.per_prefix, usual.per_prefix),
-        v4_prefix: said.v4_prefix,
-        v6_prefix: said.v6_prefix,
-        new_connections: Rate { per_second: said.new_per_second, burst: said.burst },
-        unknown_connections: Rate { per_second: said.strangers_per_second, ..usual.unknown_connections },
-        max_requests_per_address: count(said.requests, usual.max_requests_per_address),
-        known: said.known.clone(),
-        ..usual
+        reserve: (config.reserve * defaults.max_connections as f64) as usize,
+        per_address: count(config.per_address, defaults.per_address),
+        per_known: count(config.per_known, defaults.per_known),
+        per_prefix: count(config.per_prefix, defaults.per_prefix),
+        v4_prefix: config.v4_prefix,
+        v6_prefix: config.v6_prefix,
+        new_connections: Rate { per_second: config.new_per_second, burst: config.burst },
+        unknown_connections: Rate { per_second: config.strangers_per_second, ..defaults.unknown_connections },
+        max_requests_per_address: count(config.requests, defaults.max_requests_per_address),
+        known: config.known.clone(),
+        ..defaults
     }
 }
 
-/// The site in the words of the decision module.
+/// Translates the site file into the settings of the scheduler.
 fn settings(site: &Site) -> DeploymentSettings {
     let class = |c: &foldtrack_site::Class| Class {
         aim: c.aim,
@@ -185,7 +193,7 @@
         max_advised_wait: site.limits.longest_wait,
         classes: site.classes.iter().map(class).collect(),
         decay: Decay::Linear,
-        // The figures of the rules as the first users have them; see docs/operators/site.md.
+        // The same values as in the first deployment; see docs/operators/site.md. Durations are in microseconds.
         rules: Rules {
             drain_grace: 2_000_000,
             cold_capacity_share: 0.16,
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -358,7 +358,7 @@
         (&["failures"], "given up, in doubt"),
         (&["message", "m1"], "may have run"),
         (&["drain", "a", "--wait"], "done"),
-        (&["drain", "a"], "so already"),
+        (&["drain", "a"], "already in that state"),
         (&["resume", "a"], "done"),
         (&["pause", "p"], "done"),
         (&["resume", "p"], "done"),
@@ -569,7 +569,7 @@
         assert!(end["state"] == "in_doubt" || end["state"] == "delivered" && ids.contains(id), "{end}");
     }
     let again = site.run_command(&["send", file.to_str().unwrap(), "--partner", "p"]);
-    assert!(String::from_utf8_lossy(&again.stderr).contains(&format!("{count} lines were taken on before")));
+    assert!(String::from_utf8_lossy(&again.stderr).contains(&format!("{count} lines were already accepted")));
     assert_eq!(judge([&partner.books()]), verdict);
 }
 
@@ -652,7 +652,7 @@
         (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned() + &told)
     };
     let check = || {
-        assert!(text(&["stat"]).1.contains("20 not over"), "{}", text(&["stat"]).1);
+        assert!(text(&["stat"]).1.contains("20 open"), "{}", text(&["stat"]).1);
         let (code, list) = text(&["list"]);
         assert!(code == 0 && list.lines().count() == 21 && list.contains("an attempt is out"), "{list}");
         assert!(text(&["show", "m7"]).1.contains("\"body\": \"c29tZSBib2R5\""));
@@ -672,9 +672,9 @@
     std::fs::write(&path, &bytes).unwrap();
     let (code, told) = text(&["verify"]);
     assert!(
-        code == 1 && told.contains("journal/00000001: byte ") && told.contains("a restart passes it over"),
+        code == 1 && told.contains("journal/00000001: byte ") && told.contains("a restart skips it"),
         "{told}"
     );
     assert_eq!(std::fs::read(&path).unwrap(), bytes, "nothing was changed");
-    assert!(text(&["stat"]).1.contains("19 not over"));
+    assert!(text(&["stat"]).1.contains("19 open"));
 }
