--- a/tests/site/admission.rs
+++ b/tests/site/admission.rs
@@ -1,7 +1,7 @@
-//! Floods of every kind before the real process, while known clients hand in at their usual rate from another address.
-//! `FOLDTRACK_FLOOD=10000` has the full number of connections; the clients then run for longer.
+//! Connection floods against a forwarder process, while known clients submit at their usual rate from another address.
+//! `FOLDTRACK_FLOOD=10000` is the full number of connections; the clients then submit more messages.
 
-use super::flood_clients::{flood, from, p99, submit, submit_to};
+use super::flood_clients::{connect_from, flood, p99, submit, submit_to};
 use super::site_process::*;
 use foldtrack_control::{Clients, ControlCommand, ControlResponse};
 use foldtrack_standin::{Conduct, Partner};
@@ -11,23 +11,26 @@
 use std::thread::{scope, sleep};
 use std::time::Duration;
 
+/// The clients as the forwarder reports them.
 fn clients(site: &SiteProcess) -> Clients {
     match site.request(ControlCommand::Clients { most: None }).unwrap() {
         ControlResponse::Clients(clients) => *clients,
-        told => panic!("{told:?}"),
+        response => panic!("{response:?}"),
     }
 }
 
+/// Number of connections of a flood.
 fn flood_size() -> usize {
     std::env::var("FOLDTRACK_FLOOD").map_or(600, |n| n.parse().unwrap())
 }
 
-fn flooded(what: &str, addresses: &[String], admission: &'static str) {
+/// Floods a site from these addresses; known clients must lose nothing.
+fn check_flood(what: &str, addresses: &[String], admission: &'static str) {
     let partner = Partner::start(3, Conduct::default());
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.limits = "descriptors = 400\ncalls = 64";
-    plan.admission = admission;
-    let site = SiteProcess::start(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.limits = "descriptors = 400\ncalls = 64";
+    config.admission = admission;
+    let site = SiteProcess::start(&config);
     let (quiet, lost) = submit(site.listen, "127.0.9.4", 60);
     assert_eq!(lost, 0);
     let stop = AtomicBool::new(false);
@@ -48,13 +51,13 @@
         stop.store(true, Ordering::Relaxed);
         let opened = flooding.join().unwrap();
         for (took, lost) in &known {
-            println!("{what}: {opened} flooding; p50 {:?} p99 {:?} (quiet {:?} {:?}), {lost} of {messages} not taken on", took[took.len() / 2], p99(took), quiet[quiet.len() / 2], p99(&quiet));
+            println!("{what}: {opened} flooding; p50 {:?} p99 {:?} (quiet {:?} {:?}), {lost} of {messages} not accepted", took[took.len() / 2], p99(took), quiet[quiet.len() / 2], p99(&quiet));
             assert_eq!(*lost, 0, "{what}");
         }
         let open: u32 = seen.clients.iter().map(|c| c.connections).sum();
         assert!(open <= 184 && seen.clients.len() <= 1_000, "{what}: {open}");
     });
-    eventually("no message is left unanswered", || site.status().held == 0);
+    eventually("every message is settled", || site.status().held == 0);
     let status = site.status();
     assert_eq!(
         status.taken,
@@ -67,89 +70,91 @@
 const KNOWN: &str = "known = [\"127.0.9.0/24\"]";
 
 #[test]
-fn a_flood_from_one_address_starves_nobody() {
-    flooded("one address", &["127.0.8.1".to_string()], KNOWN);
+fn a_flood_from_one_address_does_not_starve_known_clients() {
+    check_flood("one address", &["127.0.8.1".to_string()], KNOWN);
 }
 
 #[test]
-fn a_flood_from_many_addresses_starves_nobody() {
+fn a_flood_from_many_addresses_does_not_starve_known_clients() {
     let addresses: Vec<String> = (0..1_000).map(|n| format!("127.1.{}.{}", n / 250, 1 + n % 250)).collect();
-    flooded("a thousand addresses", &addresses, KNOWN);
+    check_flood("a thousand addresses", &addresses, KNOWN);
 }
 
-/// The known clients are known by nothing but what was taken on.
+/// The known clients are not configured: they are known only by their accepted messages.
 #[test]
-fn who_has_earned_it_is_known_in_a_flood() {
-    flooded("earned", &["127.0.8.1".to_string()], "");
+fn clients_known_by_accepted_messages_are_served_in_a_flood() {
+    check_flood("earned", &["127.0.8.1".to_string()], "");
 }
 
-/// What stands out of the flood is told once, and can be blocked, also over a restart.
+/// The address of a flood is reported once and can be blocked; the block survives a restart.
 #[test]
-fn a_flood_is_seen_blocked_and_let_in_again() {
+fn a_flood_is_reported_blocked_and_unblocked() {
     let partner = Partner::start(3, Conduct::default());
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.admission = "new-per-second = 5\nburst = 20";
-    let mut site = SiteProcess::start(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.admission = "new-per-second = 5\nburst = 20";
+    let mut site = SiteProcess::start(&config);
     let (stop, opened) = (AtomicBool::new(false), AtomicUsize::new(0));
-    let mut watching = RawControlClient::connect(&site);
-    watching.write(b"{\"v\":1,\"ask\":\"subscribe\",\"every_ms\":200,\"events\":true}\n");
+    let mut subscriber = RawControlClient::connect(&site);
+    subscriber.write(b"{\"v\":1,\"ask\":\"subscribe\",\"every_ms\":200,\"events\":true}\n");
     scope(|scope| {
         scope.spawn(|| {
             opened.store(flood(site.listen, &["127.0.8.7".to_string()], 100, &stop), Ordering::Relaxed)
         });
-        eventually("it is told", || {
+        eventually("the flood is reported", || {
             clients(&site).floods.iter().any(|line| line.contains("127.0.8.7 begins"))
         });
         stop.store(true, Ordering::Relaxed);
     });
-    // Who has subscribed is told as well, once.
-    let event = (0..100).find_map(|_| watching.line().unwrap().get("event").cloned()).unwrap();
+    // Subscribers receive the event as well, once.
+    let event = (0..100).find_map(|_| subscriber.line().unwrap().get("event").cloned()).unwrap();
     assert!(event["kind"] == "flood_began" && event["address"] == "127.0.8.7", "{event}");
-    let told = clients(&site);
-    assert_eq!(told.floods.len(), 1, "one line: {:?}", told.floods);
-    let line = told.clients.iter().find(|c| c.address == "127.0.8.7").unwrap();
+    let report = clients(&site);
+    assert_eq!(report.floods.len(), 1, "one line: {:?}", report.floods);
+    let line = report.clients.iter().find(|c| c.address == "127.0.8.7").unwrap();
     assert!(line.turned_away > 20 && line.known == "no", "{line:?}");
     let shown = site.run_command(&["block", "127.0.8.0/24", "--for", "1h"]);
     assert!(shown.status.success(), "{}", String::from_utf8_lossy(&shown.stderr));
-    let in_again = |site: &SiteProcess, address: &str| submit(site.listen, address, 1).1 == 0;
-    assert!(!in_again(&site, "127.0.8.9") && in_again(&site, "127.0.7.1"));
+    let is_admitted = |site: &SiteProcess, address: &str| submit(site.listen, address, 1).1 == 0;
+    assert!(!is_admitted(&site, "127.0.8.9") && is_admitted(&site, "127.0.7.1"));
     site.kill();
     site.restart();
-    assert!(!in_again(&site, "127.0.8.9"), "it outlives the process");
+    assert!(!is_admitted(&site, "127.0.8.9"), "the block survives the process");
     let text = String::from_utf8_lossy(&site.run_command(&["clients"]).stdout).into_owned();
     assert!(text.contains("blocked  127.0.8.0/24  for "), "{text}");
     assert!(site.run_command(&["unblock", "127.0.8.0/24"]).status.success());
-    assert!(in_again(&site, "127.0.8.9"));
+    assert!(is_admitted(&site, "127.0.8.9"));
     assert_eq!(site.run_command(&["block", "somewhere"]).status.code(), Some(4));
 }
 
-/// Descriptors run out with forwards in flight: these end, the control line answers, and accepting is what waits.
+/// File descriptors run out while messages are being delivered: these messages still end, the control socket responds, and only
+/// new connections have to wait.
 #[test]
-fn what_was_taken_on_ends_when_descriptors_run_out() {
+fn accepted_messages_end_when_descriptors_run_out() {
     let conduct = Conduct { answers: (Duration::from_secs(2), Duration::from_secs(2)), ..Conduct::default() };
     let partner = Partner::start(3, conduct);
     let quick = Partner::start(4, Conduct::default());
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address()), ("q", "b", quick.address())]);
-    plan.limits = "descriptors = 400\ncalls = 64\ndisk = \"10MiB\"";
-    plan.admission = "known = [\"127.0.9.0/24\"]";
-    plan.ends = "size = \"1MiB\"";
-    let site = SiteProcess::start(&plan);
+    let mut config =
+        SiteConfig::with_endpoints(&[("p", "a", partner.address()), ("q", "b", quick.address())]);
+    config.limits = "descriptors = 400\ncalls = 64\ndisk = \"10MiB\"";
+    config.admission = "known = [\"127.0.9.0/24\"]";
+    config.ends = "size = \"1MiB\"";
+    let site = SiteProcess::start(&config);
     let (_, lost) = submit(site.listen, "127.0.9.1", 40);
     assert_eq!(lost, 0);
-    let idle: Vec<_> = (0..100).filter_map(|_| from("127.0.9.2", site.listen).ok()).collect();
-    // Lowered while it runs, below what is open.
+    let idle: Vec<_> = (0..100).filter_map(|_| connect_from("127.0.9.2", site.listen).ok()).collect();
+    // The limit is lowered at run time, below the number of open descriptors.
     let limit = |current: u64| {
         let pid = rustix::process::Pid::from_raw(site.pid() as i32);
         let limit = rustix::process::Rlimit { current: Some(current), maximum: Some(400) };
         rustix::process::prlimit(pid, rustix::process::Resource::Nofile, limit).unwrap();
     };
     limit(120);
-    eventually("who can go has gone", || {
+    eventually("connections that may be closed are closed", || {
         clients(&site).clients.iter().map(|c| c.connections).sum::<u32>() <= 30
     });
     drop(idle);
-    // The journal goes on, and comes around in its room: what is handed in now is several times as much.
-    let mut busy = from("127.0.9.1", site.listen).unwrap();
+    // The journal keeps working and reuses its space: the messages submitted now are several times its size.
+    let mut busy = connect_from("127.0.9.1", site.listen).unwrap();
     busy.set_read_timeout(Some(PATIENCE)).unwrap();
     let (body, mut answer) = ("x".repeat(20_000), [0; 512]);
     for n in 0..300 {
@@ -157,45 +162,46 @@
         let count = busy.read(&mut answer).unwrap();
         assert!(answer[..count].starts_with(b"HTTP/1.1 202"), "{n}: {}", String::from_utf8_lossy(&answer));
         if answer[..count].windows(5).any(|w| w == b"close") {
-            busy = from("127.0.9.1", site.listen).unwrap();
+            busy = connect_from("127.0.9.1", site.listen).unwrap();
             busy.set_read_timeout(Some(PATIENCE)).unwrap();
         }
     }
-    eventually("what was taken on has ended", || site.status().held == 0);
+    eventually("every accepted message is settled", || site.status().held == 0);
     assert_eq!(site.status().delivered, 340);
     limit(400);
-    eventually("clients are let in", || submit(site.listen, "127.0.9.3", 1).1 == 0);
+    eventually("clients are accepted", || submit(site.listen, "127.0.9.3", 1).1 == 0);
 }
 
 #[test]
-fn a_limit_that_is_too_small_is_told_before_anything_is_taken_on() {
+fn a_descriptor_limit_that_is_too_small_is_reported_at_start() {
     let partner = Partner::start(3, Conduct::default());
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.limits = "descriptors = 400\ncalls = 64";
-    let site = SiteProcess::prepared(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.limits = "descriptors = 400\ncalls = 64";
+    let site = SiteProcess::prepared(&config);
     let script = format!("ulimit -n 80; exec {PROGRAM} serve --site {}", site.site_file().display());
     let output = Command::new("sh").args(["-c", &script]).output().unwrap();
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.code() == Some(1) && told.contains("80 descriptors are too few: 100 are the least"),
-        "{told}"
+        output.status.code() == Some(1)
+            && output_text.contains("80 descriptors are too few: 100 are the least"),
+        "{output_text}"
     );
 }
 
-/// Readers of the control line, clients and calls want more descriptors together than there are: each has its part, and the
-/// process never holds more than its limit.
+/// Control connections, clients and calls together need more descriptors than there are: each gets its share, and the process
+/// never exceeds its limit.
 #[test]
-fn all_who_draw_descriptors_together_stay_within_the_limit() {
+fn all_users_of_descriptors_together_stay_within_the_limit() {
     const LIMIT: usize = 104;
     let conduct =
         Conduct { answers: (Duration::from_millis(40), Duration::from_millis(60)), ..Conduct::default() };
     let (p, q) = (Partner::start(3, conduct.clone()), Partner::start(4, conduct));
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", p.address()), ("q", "b", q.address())]);
-    plan.limits = "descriptors = 104\ncalls = 20";
-    plan.admission = "known = [\"127.0.9.0/24\"]\nper-known = 36\nrequests = 36";
-    let site = SiteProcess::start(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", p.address()), ("q", "b", q.address())]);
+    config.limits = "descriptors = 104\ncalls = 20";
+    config.admission = "known = [\"127.0.9.0/24\"]\nper-known = 36\nrequests = 36";
+    let site = SiteProcess::start(&config);
     let open = || std::fs::read_dir(format!("/proc/{}/fd", site.pid())).unwrap().count();
-    let house = open();
+    let baseline = open();
     let readers: Vec<_> = (0..40).map(|_| RawControlClient::connect(&site)).collect();
     let highest = scope(|scope| {
         let known: Vec<_> = [("p", 1), ("p", 2), ("q", 3), ("q", 4)]
@@ -206,7 +212,7 @@
             .into();
         let (mut highest, mut idle) = (0, Vec::new());
         while !known.iter().all(|k| k.is_finished()) {
-            idle.extend((0..40).filter_map(|_| from("127.0.9.9", site.listen).ok()));
+            idle.extend((0..40).filter_map(|_| connect_from("127.0.9.9", site.listen).ok()));
             idle.drain(..idle.len().saturating_sub(80));
             highest = highest.max(open());
             sleep(Duration::from_millis(5));
@@ -215,37 +221,37 @@
         assert_eq!(lost, 0, "of known clients");
         highest
     });
-    println!("{house} descriptors without anybody, {highest} of {LIMIT} with all");
-    assert!(house <= 24, "the house needs {house}");
+    println!("{baseline} descriptors when idle, at most {highest} of {LIMIT} under load");
+    assert!(baseline <= 24, "the idle process needs {baseline}");
     assert!(highest <= LIMIT && highest > LIMIT / 2, "{highest} open");
     let seen = clients(&site);
     assert_eq!(seen.descriptors.len(), 3);
     assert!(seen.descriptors.iter().all(|h| h.held <= h.most + 1), "{:?}", seen.descriptors);
     drop(readers);
-    eventually("what was taken on has ended", || site.status().held == 0);
+    eventually("every accepted message is settled", || site.status().held == 0);
 }
 
-/// A client that takes a sip of its answers now and then holds its connection no longer than the floor allows.
+/// A client that reads its responses below the minimum rate is disconnected.
 #[test]
-fn who_sips_at_its_answers_is_let_go() {
+fn a_client_that_reads_too_slowly_is_disconnected() {
     let partner = Partner::start(3, Conduct::default());
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.admission = "known = [\"127.0.9.0/24\"]";
-    let site = SiteProcess::start(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.admission = "known = [\"127.0.9.0/24\"]";
+    let site = SiteProcess::start(&config);
     let (_, lost) = submit(site.listen, "127.0.9.1", 50);
     eventually("the ends", || lost == 0 && site.status().delivered == 50);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
     socket.bind(&"127.0.9.5:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
     socket.connect(&site.listen.into()).unwrap();
-    let mut sipping: std::net::TcpStream = socket.into();
+    let mut slow_reader: std::net::TcpStream = socket.into();
     let request = b"GET /v1/ends?peek=1 HTTP/1.1\r\nHost: s\r\n\r\n".repeat(3_000);
-    sipping.set_nonblocking(true).unwrap();
+    slow_reader.set_nonblocking(true).unwrap();
     let mut written = 0;
     let start = std::time::Instant::now();
     let ended = loop {
-        written += sipping.write(&request[written..]).unwrap_or(0);
-        match sipping.read(&mut [0; 64]) {
+        written += slow_reader.write(&request[written..]).unwrap_or(0);
+        match slow_reader.read(&mut [0; 64]) {
             Ok(0) => break start.elapsed(),
             Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => break start.elapsed(),
             _ => {}
@@ -253,29 +259,30 @@
         assert!(start.elapsed() < PATIENCE, "it is still served");
         sleep(Duration::from_millis(200));
     };
-    assert!(ended > Duration::from_secs(4), "let go of after {ended:?}");
+    assert!(ended > Duration::from_secs(4), "disconnected after {ended:?}");
     let line = clients(&site).clients.into_iter().find(|c| c.address == "127.0.9.5").unwrap();
     assert!(line.asked > 1 && line.connections == 0, "{line:?}");
 }
 
-/// A hundred connections whose requests are refused, and that ask again at once.
+/// A hundred connections whose requests are refused and that retry at once do not delay other clients.
 #[test]
-fn who_asks_again_at_once_holds_up_nobody() {
+fn clients_that_retry_at_once_delay_nobody() {
     let partner = Partner::start(3, Conduct::default());
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.limits = "descriptors = 400\ncalls = 64";
-    plan.admission =
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.limits = "descriptors = 400\ncalls = 64";
+    config.admission =
         "known = [\"127.0.9.0/24\"]\nrequests = 1\nper-address = 100\nper-prefix = 100\nburst = 100";
-    let site = SiteProcess::start(&plan);
+    let site = SiteProcess::start(&config);
     let stop = AtomicBool::new(false);
     scope(|scope| {
-        let asking: Vec<_> = (0..100).filter_map(|_| from("127.0.8.1", site.listen).ok()).collect();
-        for mut stream in asking {
+        let connections: Vec<_> =
+            (0..100).filter_map(|_| connect_from("127.0.8.1", site.listen).ok()).collect();
+        for mut stream in connections {
             let stop = &stop;
             scope.spawn(move || {
                 stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
                 while !stop.load(Ordering::Relaxed) {
-                    // Half a body keeps the one request that its address may have open.
+                    // Only one request of an address may be open at a time, so most of these are refused.
                     let asked = stream.write_all(&message_request("p", "note", "", "same", "x"));
                     if asked.is_err() || !matches!(stream.read(&mut [0; 512]), Ok(1..)) {
                         break;
@@ -289,7 +296,7 @@
         stop.store(true, Ordering::Relaxed);
         println!("p99 {:?}, longest round {pause:?}", p99(&took));
         assert_eq!(lost, 0);
-        // Far more than is measured, for slow machines; a client waits 400 ms.
+        // Far above the measured values, for slow machines; a client waits at most 400 ms.
         assert!(p99(&took) < Duration::from_millis(400) && pause < Duration::from_millis(200), "{pause:?}");
     });
 }
--- a/tests/site/encrypted.rs
+++ b/tests/site/encrypted.rs
@@ -1,4 +1,4 @@
-//! Partners behind TLS: certificates that are wrong in every way, keys that change under load, handshakes that stand still.
+//! Partners behind TLS: invalid certificates, key rotation under load, and stalled handshakes.
 
 use super::site_process::*;
 use foldtrack_control::{ControlCommand, ControlResponse};
@@ -16,22 +16,22 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 const NAME: &str = "pay.example";
 
-/// A partner behind TLS, and the files that a site reaches it with.
-struct Pay {
+/// A partner behind TLS, and the files that a site needs to reach it.
+struct TlsPartner {
     authority: Authority,
     server: Arc<Server>,
     front: Arc<Front>,
     folder: TempDir,
 }
 
-impl Pay {
-    fn start(issue: impl Fn(&Authority) -> Issued) -> Pay {
+impl TlsPartner {
+    fn start(issue: impl Fn(&Authority) -> Issued) -> TlsPartner {
         let authority = Authority::new("the partner's");
         let server = Server::start(|_| OK);
         let front = Front::start(server.address, Authority::server(&issue(&authority), None));
-        let pay = Pay { authority, server, front, folder: tempfile::tempdir().unwrap() };
-        pay.write("roots.pem", &pay.authority.pem, 0o644);
-        pay
+        let partner = TlsPartner { authority, server, front, folder: tempfile::tempdir().unwrap() };
+        partner.write("roots.pem", &partner.authority.pem, 0o644);
+        partner
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -45,30 +45,33 @@
         fs::rename(&new, self.path(name)).unwrap();
     }
 
-    fn plan(&self, more: &str) -> SiteConfig {
-        let mut plan = SiteConfig::with_endpoints(&[("p", "a", self.front.address)]);
+    fn site_config(&self, extra_lines: &str) -> SiteConfig {
+        let mut config = SiteConfig::with_endpoints(&[("p", "a", self.front.address)]);
         let roots = self.path("roots.pem").display().to_string();
-        // What is opened ahead has the keys of its time, and may be used as long as it is open.
-        plan.calls = "open-ahead = false";
-        plan.partner = format!("[partner.p.tls]\nserver-name = \"{NAME}\"\nroots = \"{roots}\"\n{more}");
-        plan
+        // A connection that was opened in advance uses the keys of that time, and may be used as long as it is open.
+        config.calls = "open-ahead = false";
+        config.partner =
+            format!("[partner.p.tls]\nserver-name = \"{NAME}\"\nroots = \"{roots}\"\n{extra_lines}");
+        config
     }
 
-    fn site(&self, more: &str) -> SiteProcess {
-        SiteProcess::start(&self.plan(more))
+    fn site(&self, extra_lines: &str) -> SiteProcess {
+        SiteProcess::start(&self.site_config(extra_lines))
     }
 }
 
-fn sound(authority: &Authority) -> Issued {
+/// A valid certificate.
+fn valid_certificate(authority: &Authority) -> Issued {
     authority.issue(&[NAME.into()], (2020, 2090))
 }
 
+/// Submits a message that must be accepted.
 fn submit(site: &SiteProcess, id: &str) {
     assert_eq!(site.post("fee", "", id, "x").0, 202, "{id}");
 }
 
-/// A message in a moment in which no attempt is out: one without an end may have run, rightly.
-fn between_attempts(site: &SiteProcess, id: &str) -> foldtrack_control::Message {
+/// A message at a time when no attempt is in flight; an attempt in flight rightly counts as may have run.
+fn message_without_attempt_in_flight(site: &SiteProcess, id: &str) -> foldtrack_control::Message {
     let mut seen = None;
     eventually("no attempt is out", || {
         seen = site.message(id).filter(|m| m.attempts.iter().all(|a| a.until > 0));
@@ -77,132 +80,140 @@
     seen.unwrap()
 }
 
+/// The causes of the recent failed attempts.
 fn causes(site: &SiteProcess) -> Vec<String> {
     match site.request(ControlCommand::Failures { most: None }).unwrap() {
         ControlResponse::Failures(all) => all.into_iter().map(|f| f.cause).collect(),
-        told => panic!("{told:?}"),
+        response => panic!("{response:?}"),
     }
 }
 
 #[test]
 fn messages_go_over_tls_and_sessions_are_resumed() {
-    let pay = Pay::start(sound);
-    let site = pay.site("least-version = \"1.3\"\n");
+    let partner = TlsPartner::start(valid_certificate);
+    let site = partner.site("least-version = \"1.3\"\n");
     for n in 0..20 {
         submit(&site, &format!("m{n}"));
     }
     eventually("all are delivered", || site.status().delivered == 20);
-    assert_eq!(pay.server.seen().len(), 20);
-    // Connections are kept; what is opened later resumes.
+    assert_eq!(partner.server.seen().len(), 20);
+    // Connections stay open; later ones resume the TLS session.
     sleep(MS(300));
-    let (full, before) = (pay.front.full.load(Ordering::SeqCst), pay.server.seen().len());
-    pay.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
+    let (full, before) = (partner.front.full.load(Ordering::SeqCst), partner.server.seen().len());
+    partner.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
     for n in 0..5 {
         submit(&site, &format!("n{n}"));
-        eventually("it is delivered", || pay.server.seen().len() == before + n + 1);
+        eventually("it is delivered", || partner.server.seen().len() == before + n + 1);
         sleep(MS(50));
     }
     eventually("all are delivered", || site.status().delivered == 25);
-    assert_eq!(pay.front.full.load(Ordering::SeqCst), full);
-    assert!(pay.front.resumed.load(Ordering::SeqCst) >= 3);
-    assert_eq!(pay.front.broken.load(Ordering::SeqCst), 0);
+    assert_eq!(partner.front.full.load(Ordering::SeqCst), full);
+    assert!(partner.front.resumed.load(Ordering::SeqCst) >= 3);
+    assert_eq!(partner.front.broken.load(Ordering::SeqCst), 0);
 }
 
-/// Whatever is wrong with a certificate, nothing has run, the cause is told in words, and once it is mended the payment goes.
+/// With an invalid certificate nothing has run, the cause is reported as text, and the payment is delivered once the certificate
+/// is valid.
 #[test]
-fn what_is_wrong_with_a_certificate_is_told_and_has_not_run() {
-    let foreign = Authority::new("somebody else's");
-    let pay = Pay::start(sound);
-    let years = |from, to| pay.authority.issue(&[NAME.into()], (from, to));
+fn an_invalid_certificate_is_reported_and_the_attempt_has_not_run() {
+    let other_authority = Authority::new("somebody else's");
+    let partner = TlsPartner::start(valid_certificate);
+    let years = |from, to| partner.authority.issue(&[NAME.into()], (from, to));
     for (n, (issued, cause)) in [
         (years(2020, 2021), "has expired"),
         (years(2080, 2090), "not valid yet"),
-        (pay.authority.issue(&["school.example".into()], (2020, 2090)), "for another name"),
-        (foreign.issue(&[NAME.into()], (2020, 2090)), "an issuer who is not trusted here"),
+        (partner.authority.issue(&["school.example".into()], (2020, 2090)), "for another name"),
+        (other_authority.issue(&[NAME.into()], (2020, 2090)), "an issuer who is not trusted here"),
     ]
     .into_iter()
     .enumerate()
     {
-        pay.front.change(Authority::server(&issued, None));
-        let site = pay.site("");
+        partner.front.change(Authority::server(&issued, None));
+        let site = partner.site("");
         let id = format!("m{n}");
         submit(&site, &id);
-        eventually(cause, || causes(&site).iter().any(|told| told.contains(cause)));
-        let message = between_attempts(&site, &id);
+        eventually(cause, || causes(&site).iter().any(|text| text.contains(cause)));
+        let message = message_without_attempt_in_flight(&site, &id);
         assert!(message.attempts.iter().all(|a| !a.may_have_run), "{message:?}");
         let shown = String::from_utf8_lossy(&site.run_command(&["failures"]).stdout).into_owned();
         assert!(shown.contains(cause), "{shown}");
-        pay.front.change(Authority::server(&sound(&pay.authority), None));
-        eventually("it goes once the certificate is right", || site.message_state(&id) == "delivered");
+        partner.front.change(Authority::server(&valid_certificate(&partner.authority), None));
+        eventually("it is delivered once the certificate is valid", || {
+            site.message_state(&id) == "delivered"
+        });
     }
-    assert_eq!(pay.server.seen().len(), 4, "each once");
-    // One of 40 KB is only large.
+    assert_eq!(partner.server.seen().len(), 4, "each once");
+    // A certificate of 40 KB is accepted.
     let mut names: Vec<String> = (0..1_000).map(|n| format!("a-rather-long-name-{n:05}.example")).collect();
     names.push(NAME.into());
-    pay.front.change(Authority::server(&pay.authority.issue(&names, (2020, 2090)), None));
-    let site = pay.site("");
+    partner.front.change(Authority::server(&partner.authority.issue(&names, (2020, 2090)), None));
+    let site = partner.site("");
     submit(&site, "large");
-    eventually("it goes", || site.message_state("large") == "delivered");
+    eventually("it is delivered", || site.message_state("large") == "delivered");
 }
 
-/// A pin that the partner's key does not have is as good as no certificate; the next pin stands beside it during a change.
+/// A certificate whose key is not pinned is rejected. During a rotation, the current and the next key are both pinned.
 #[test]
-fn pins_are_kept_to() {
-    let pay = Pay::start(sound);
-    let (now, next) = (sound(&pay.authority), sound(&pay.authority));
-    pay.front.change(Authority::server(&now, None));
+fn a_key_that_is_not_pinned_is_rejected() {
+    let partner = TlsPartner::start(valid_certificate);
+    let (now, next) = (valid_certificate(&partner.authority), valid_certificate(&partner.authority));
+    partner.front.change(Authority::server(&now, None));
     let pin = |issued: &Issued| {
         foldtrack_tls::certificate::parse_pem(issued.certificate_pem().as_bytes()).unwrap()[0].pin
     };
-    let plan = pay.plan(&format!("pins = [\"{}\", \"{}\"]\n", pin(&now), pin(&next)));
-    let site = SiteProcess::start(&plan);
+    let config = partner.site_config(&format!("pins = [\"{}\", \"{}\"]\n", pin(&now), pin(&next)));
+    let site = SiteProcess::start(&config);
     submit(&site, "now");
-    eventually("by the first", || site.message_state("now") == "delivered");
-    pay.front.change(Authority::server(&next, None));
-    pay.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
+    eventually("delivered with the first key", || site.message_state("now") == "delivered");
+    partner.front.change(Authority::server(&next, None));
+    partner.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
     submit(&site, "next");
-    eventually("by the second", || site.message_state("next") == "delivered");
-    pay.front.change(Authority::server(&sound(&pay.authority), None));
-    pay.server.behave(|_| OK);
+    eventually("delivered with the second key", || site.message_state("next") == "delivered");
+    partner.front.change(Authority::server(&valid_certificate(&partner.authority), None));
+    partner.server.behave(|_| OK);
     sleep(MS(100));
     submit(&site, "other");
     submit(&site, "another");
-    eventually("it is told", || causes(&site).iter().any(|c| c.contains("none of those that are pinned")));
-    assert_eq!(pay.server.seen().len(), 2);
+    eventually("the cause is reported", || {
+        causes(&site).iter().any(|c| c.contains("none of those that are pinned"))
+    });
+    assert_eq!(partner.server.seen().len(), 2);
 }
 
-/// A server that stands still at whichever byte of the handshake holds a call for the time that a dial has, and no longer.
+/// A server that stalls at any byte of the handshake delays a call no longer than the connect timeout.
 #[test]
-fn a_handshake_that_stands_still_ends_in_time_and_has_not_run() {
-    let pay = Pay::start(sound);
+fn a_stalled_handshake_times_out_and_the_attempt_has_not_run() {
+    let partner = TlsPartner::start(valid_certificate);
     for (n, bytes) in [0, 1, 100, 300, 600].into_iter().enumerate() {
-        pay.front.stall_after(Some(bytes));
-        let site = pay.site("");
+        partner.front.stall_after(Some(bytes));
+        let site = partner.site("");
         let id = format!("m{n}");
         submit(&site, &id);
-        eventually("it is told", || causes(&site).iter().any(|c| c.contains("no connection in time")));
+        eventually("the cause is reported", || {
+            causes(&site).iter().any(|c| c.contains("no connection in time"))
+        });
         let first = site.message(&id).unwrap().attempts.remove(0);
         assert!(!first.may_have_run && first.until - first.at < 3_000_000, "{first:?}");
-        pay.front.stall_after(None);
-        eventually("it goes", || site.message_state(&id) == "delivered");
+        partner.front.stall_after(None);
+        eventually("it is delivered", || site.message_state(&id) == "delivered");
     }
 }
 
-/// The certificate that is shown to the partner, and its key, change while payments go: none is lost, none goes twice.
+/// The client certificate and its key are rotated while payments are sent: none is lost, none is sent twice.
 #[test]
-fn a_client_certificate_changes_under_load() {
-    let pay = Pay::start(sound);
+fn a_client_certificate_is_rotated_under_load() {
+    let partner = TlsPartner::start(valid_certificate);
     let (old, new) = (Authority::new("old"), Authority::new("new"));
     let client = |authority: &Authority| authority.issue(&["hradec".into()], (2020, 2090));
     let (first, second) = (client(&old), client(&new));
-    pay.front.change(Authority::server(&sound(&pay.authority), Some(&old)));
-    pay.write("client.pem", &first.certificate_pem(), 0o644);
-    pay.write("client.key", &first.key_pem(), 0o600);
-    let (chain, key) = (pay.path("client.pem"), pay.path("client.key"));
-    let more = format!("client-certificate = {chain:?}\nclient-key = {key:?}\n");
-    let site = pay.site(&more);
+    partner.front.change(Authority::server(&valid_certificate(&partner.authority), Some(&old)));
+    partner.write("client.pem", &first.certificate_pem(), 0o644);
+    partner.write("client.key", &first.key_pem(), 0o600);
+    let (chain, key) = (partner.path("client.pem"), partner.path("client.key"));
+    let extra_lines = format!("client-certificate = {chain:?}\nclient-key = {key:?}\n");
+    let site = partner.site(&extra_lines);
     let mut sent = 0;
-    let mut go_on = |span: Duration| {
+    let mut submit_for = |span: Duration| {
         let from = Instant::now();
         while from.elapsed() < span {
             submit(&site, &format!("m{sent}"));
@@ -210,38 +221,40 @@
             sleep(MS(2));
         }
     };
-    go_on(MS(500));
-    // A key that does not go with the certificate is not taken: what was there stays.
-    pay.write("client.key", &second.key_pem(), 0o600);
-    go_on(MS(1_500));
-    pay.write("client.pem", &second.certificate_pem(), 0o644);
-    go_on(MS(1_500));
-    // From now on the partner takes only the new one.
-    pay.front.change(Authority::server(&sound(&pay.authority), Some(&new)));
-    pay.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
-    go_on(MS(1_000));
+    submit_for(MS(500));
+    // A key that does not match the certificate is rejected: the previous pair stays in use.
+    partner.write("client.key", &second.key_pem(), 0o600);
+    submit_for(MS(1_500));
+    partner.write("client.pem", &second.certificate_pem(), 0o644);
+    submit_for(MS(1_500));
+    // From now on the partner accepts only the new certificate.
+    partner.front.change(Authority::server(&valid_certificate(&partner.authority), Some(&new)));
+    partner.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
+    submit_for(MS(1_000));
     eventually("all are delivered", || site.status().delivered == sent);
-    let mut ids = pay.server.ids();
+    let mut ids = partner.server.ids();
     ids.sort();
     ids.dedup();
-    assert_eq!((ids.len() as u64, pay.server.seen().len() as u64), (sent, sent), "each once");
-    // With none at all it is refused, behind the client's part of the handshake and when its request is written already: that
-    // is told, and has not run.
-    let without = pay.site("");
+    assert_eq!((ids.len() as u64, partner.server.seen().len() as u64), (sent, sent), "each once");
+    // Without a client certificate the partner rejects the connection after the client's part of the handshake, when the request
+    // has already been written: the cause is reported, and the attempt has not run.
+    let without = partner.site("");
     submit(&without, "w");
-    eventually("it is told", || causes(&without).iter().any(|c| c.contains("CertificateRequired")));
-    assert!(between_attempts(&without, "w").attempts.iter().all(|a| !a.may_have_run));
-    assert_eq!(pay.server.seen().len() as u64, sent);
+    eventually("the cause is reported", || {
+        causes(&without).iter().any(|c| c.contains("CertificateRequired"))
+    });
+    assert!(message_without_attempt_in_flight(&without, "w").attempts.iter().all(|a| !a.may_have_run));
+    assert_eq!(partner.server.seen().len() as u64, sent);
 }
 
 #[test]
-fn keys_are_listed_without_being_shown_and_secrets_never_go_in_plain_text() {
-    let pay = Pay::start(sound);
-    let client = pay.authority.issue(&["hradec".into()], (2020, 2090));
-    pay.write("client.pem", &client.certificate_pem(), 0o644);
-    pay.write("client.key", &client.key_pem(), 0o600);
-    let (chain, key) = (pay.path("client.pem"), pay.path("client.key"));
-    let site = pay.site(&format!("client-certificate = {chain:?}\nclient-key = {key:?}\n"));
+fn keys_are_listed_without_their_secrets_and_secrets_are_never_sent_unencrypted() {
+    let partner = TlsPartner::start(valid_certificate);
+    let client = partner.authority.issue(&["hradec".into()], (2020, 2090));
+    partner.write("client.pem", &client.certificate_pem(), 0o644);
+    partner.write("client.key", &client.key_pem(), 0o600);
+    let (chain, key) = (partner.path("client.pem"), partner.path("client.key"));
+    let site = partner.site(&format!("client-certificate = {chain:?}\nclient-key = {key:?}\n"));
     let shown = site.run_command(&["keys", site.site_file().to_str().unwrap()]);
     let text = String::from_utf8_lossy(&shown.stdout).into_owned();
     assert!(shown.status.success(), "{}", String::from_utf8_lossy(&shown.stderr));
@@ -249,65 +262,66 @@
         assert!(text.contains(part), "{part}: {text}");
     }
     assert!(!text.contains("PRIVATE"), "{text}");
-    // One that others may read is told before anything is taken on.
-    pay.write("client.key", &client.key_pem(), 0o644);
-    let other =
-        SiteProcess::prepared(&pay.plan(&format!("client-certificate = {chain:?}\nclient-key = {key:?}\n")));
-    let told = other.run_command(&["serve", "--site", other.site_file().to_str().unwrap()]);
-    let told = String::from_utf8_lossy(&told.stderr).into_owned();
-    assert!(told.contains("partner.p.tls") && told.contains("chmod 600"), "{told}");
-    // A secret over a wire that others may listen on.
-    let token = pay.path("token");
-    pay.write("token", "t\n", 0o600);
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", pay.server.address)]);
-    plan.partner = format!("speaks = \"http\"\npath = \"/\"\n[partner.p.proof]\nsecret-file = {token:?}\n");
-    let plain = SiteProcess::start(&plan);
+    // A key file that others may read is reported before any message is accepted.
+    partner.write("client.key", &client.key_pem(), 0o644);
+    let other = SiteProcess::prepared(
+        &partner.site_config(&format!("client-certificate = {chain:?}\nclient-key = {key:?}\n")),
+    );
+    let output = other.run_command(&["serve", "--site", other.site_file().to_str().unwrap()]);
+    let output_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output_text.contains("partner.p.tls") && output_text.contains("chmod 600"), "{output_text}");
+    // A secret must not be sent over an unencrypted connection to another host.
+    let token = partner.path("token");
+    partner.write("token", "t\n", 0o600);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.server.address)]);
+    config.partner = format!("speaks = \"http\"\npath = \"/\"\n[partner.p.proof]\nsecret-file = {token:?}\n");
+    let plain = SiteProcess::start(&config);
     let far =
         ControlCommand::Add { partner: "p".into(), endpoint: "far".into(), address: "192.0.2.7:80".into() };
     assert!(plain.request(far).unwrap_err().to_string().contains("in plain text"));
-    plan.endpoints[0].2 = "192.0.2.7:80".parse().unwrap();
-    let other = SiteProcess::prepared(&plan);
-    let told = other.run_command(&["check", other.site_file().to_str().unwrap()]);
-    assert!(String::from_utf8_lossy(&told.stderr).contains("partner.p.tls: is missing"));
+    config.endpoints[0].2 = "192.0.2.7:80".parse().unwrap();
+    let other = SiteProcess::prepared(&config);
+    let output = other.run_command(&["check", other.site_file().to_str().unwrap()]);
+    assert!(String::from_utf8_lossy(&output.stderr).contains("partner.p.tls: is missing"));
 }
 
-/// A partner is tried step by step, without a message unless that is asked for, and without showing a secret.
+/// `partner try` tests a partner step by step. It sends a message only with `--send`, and shows no secret.
 #[test]
-fn a_partner_is_tried_before_it_is_relied_on() {
-    let pay = Pay::start(sound);
-    pay.write("token", "hidden-token\n", 0o600);
-    let (roots, token) = (pay.path("roots.pem"), pay.path("token"));
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", pay.front.address)]);
-    plan.partner = format!(
+fn partner_try_sends_nothing_without_the_send_flag() {
+    let partner = TlsPartner::start(valid_certificate);
+    partner.write("token", "hidden-token\n", 0o600);
+    let (roots, token) = (partner.path("roots.pem"), partner.path("token"));
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.front.address)]);
+    config.partner = format!(
         "speaks = \"http\"\npath = \"/v1/{{class}}/{{id}}\"\n[partner.p.proof]\nsecret-file = {token:?}\n\
          [partner.p.tls]\nserver-name = \"{NAME}\"\nroots = {roots:?}\n"
     );
-    let site = SiteProcess::prepared(&plan);
-    let tried = |more: &[&str]| {
+    let site = SiteProcess::prepared(&config);
+    let try_partner = |extra_args: &[&str]| {
         let file = site.site_file().display().to_string();
         let output = site.run_command(
-            &[&["partner", "try", "p", "--site", &file, "--class", "fee", "--id", "t1"], more].concat(),
+            &[&["partner", "try", "p", "--site", &file, "--class", "fee", "--id", "t1"], extra_args].concat(),
         );
         let text = [output.stdout, output.stderr].concat();
         (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     };
-    let (code, text) = tried(&[]);
+    let (code, text) = try_partner(&[]);
     assert_eq!(code, Some(0), "{text}");
     for part in
         ["POST /v1/fee/t1", "authorization: (secret)", "TLSv1_3", "CN=pay.example", "nothing was sent"]
     {
         assert!(text.contains(part), "{part}: {text}");
     }
-    assert!(!text.contains("hidden") && pay.server.seen().is_empty(), "{text}");
-    pay.server.behave(|_| Reply::Status(429, "Retry-After: 2.5\r\n"));
-    let (code, text) = tried(&["--send"]);
+    assert!(!text.contains("hidden") && partner.server.seen().is_empty(), "{text}");
+    partner.server.behave(|_| Reply::Status(429, "Retry-After: 2.5\r\n"));
+    let (code, text) = try_partner(&["--send"]);
     assert!(code == Some(0) && text.contains("429") && text.contains("wait        2.500 s"), "{text}");
-    let seen = pay.server.seen();
+    let seen = partner.server.seen();
     assert_eq!((seen.len(), seen[0].headers["authorization"].as_str()), (1, "Bearer hidden-token"));
-    pay.front.change(Authority::server(&pay.authority.issue(&[NAME.into()], (2020, 2021)), None));
-    let (code, text) = tried(&["--send"]);
+    partner.front.change(Authority::server(&partner.authority.issue(&[NAME.into()], (2020, 2021)), None));
+    let (code, text) = try_partner(&["--send"]);
     assert!(code == Some(1) && text.contains("has expired"), "{text}");
-    assert_eq!(pay.server.seen().len(), 1, "nothing is sent where the chain is not sound");
-    let (code, text) = tried(&["--endpoint", "b"]);
+    assert_eq!(partner.server.seen().len(), 1, "nothing is sent if the certificate chain is invalid");
+    let (code, text) = try_partner(&["--endpoint", "b"]);
     assert!(code == Some(2) && text.contains("no such endpoint"), "{text}");
 }
--- a/tests/site/kills.rs
+++ b/tests/site/kills.rs
@@ -1,5 +1,5 @@
-//! Kills at bad moments. `FOLDTRACK_KILLS` says how many; by hand it is some hundreds, and the figures stand in
-//! `docs/design/site.md`.
+//! Kills the forwarder and fills its disk at random moments. `FOLDTRACK_KILLS` sets the number of rounds; manual runs use
+//! several hundred, with results in `docs/design/site.md`.
 
 use super::site_process::*;
 use foldtrack_control::{Client, ControlCommand};
@@ -12,23 +12,24 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-fn kills(usual: usize) -> usize {
-    std::env::var("FOLDTRACK_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+/// The number of rounds.
+fn kill_rounds(default: usize) -> usize {
+    std::env::var("FOLDTRACK_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-/// A drain is ordered under load, the process killed 0 to 50 ms later: either the order was not acknowledged, or
-/// nothing new goes there, also after the restart.
+/// A drain is ordered under load and the process is killed 0 to 50 ms later. If the order was acknowledged, no new call
+/// goes to the endpoint, even after the restart.
 #[test]
-fn a_drain_that_was_acknowledged_outlives_a_kill() {
+fn an_acknowledged_drain_survives_a_kill() {
     let (drained, other) = (Server::start(|_| OK), Server::start(|_| OK));
     let mut site = SiteProcess::start(&SiteConfig::with_endpoints(&[
         ("p", "a", drained.address),
         ("p", "b", other.address),
     ]));
     let mut acknowledged = 0;
-    for round in 0..kills(8) {
-        let (stop, told) = (AtomicBool::new(false), Mutex::new(None));
-        // Half of them fall into the order itself.
+    for round in 0..kill_rounds(8) {
+        let (stop, acknowledged_at) = (AtomicBool::new(false), Mutex::new(None));
+        // Half of the kills fall into the processing of the order.
         let pause = Duration::from_micros(fastrand::u64(0..if round % 2 == 0 { 3_000 } else { 50_000 }));
         let pid = site.pid().to_string();
         scope(|scope| {
@@ -41,11 +42,11 @@
             });
             scope.spawn(|| {
                 sleep(Duration::from_millis(20));
-                // The line may break in the middle of it.
+                // The connection may be lost during the request.
                 let ordered = Client::connect(&site.socket())
                     .and_then(|mut c| c.request(ControlCommand::Drain { endpoint: "a".into() }));
                 if ordered.is_ok() {
-                    *told.lock().unwrap() = Some(Instant::now());
+                    *acknowledged_at.lock().unwrap() = Some(Instant::now());
                 }
             });
             sleep(Duration::from_millis(20) + pause);
@@ -59,11 +60,11 @@
         site.kill();
         site.restart();
         let state = site.endpoints()["a"].state.clone();
-        if let Some(told) = *told.lock().unwrap() {
+        if let Some(acknowledged_at) = *acknowledged_at.lock().unwrap() {
             acknowledged += 1;
-            assert_eq!(state, "draining", "round {round}: acknowledged and forgotten");
+            assert_eq!(state, "draining", "round {round}: an acknowledged drain was lost");
             (0..20).for_each(|n| drop(site.post("note", "", &format!("r{round}-{n}"), "x")));
-            let grace = told + Duration::from_secs(2);
+            let grace = acknowledged_at + Duration::from_secs(2);
             let late = drained.seen().iter().filter(|r| r.at > grace).count();
             assert_eq!(late, 0, "round {round}");
         }
@@ -74,24 +75,24 @@
     println!("{acknowledged} drains were acknowledged before the kill");
 }
 
-/// The process is killed again and again under load. Every message that was taken on has one end, and none that took
-/// effect is told as given up or handed back.
+/// The process is killed repeatedly under load. Every accepted message has exactly one outcome, and none that took effect
+/// is reported as given up or handed back.
 #[test]
-fn no_end_is_lost_and_none_is_false_however_often_the_process_is_killed() {
+fn outcomes_are_complete_and_correct_after_repeated_kills() {
     killed_under_load("process");
 }
 
 #[test]
-fn nor_where_every_answer_waits_for_the_disk() {
+fn outcomes_are_complete_and_correct_after_repeated_kills_with_machine_durability() {
     killed_under_load("machine");
 }
 
 fn killed_under_load(durability: &'static str) {
     let (site, partner) = small_site(durability, false);
-    under_load(site, partner, kills(8), 0, |site, feed, round| {
+    under_load(site, partner, kill_rounds(8), 0, |site, feed, round| {
         sleep(Duration::from_micros(fastrand::u64(50_000..300_000)));
         if round % 2 == 0 {
-            // Killed between the fetch and the acknowledgement that the next one brings.
+            // The kill falls between a fetch and the acknowledgement, which is part of the next fetch.
             feed.fetch(site, 50);
         }
         site.kill();
@@ -99,24 +100,25 @@
     });
 }
 
-/// The disk fills again and again under load, at whatever moment the journal and the ends are in, and has room again
-/// without a restart; now and then the process is killed on the full disk, and comes up on it. What is held goes on.
+/// The disk fills repeatedly under load, in any state of the journal and the outcome store, and later has space again
+/// without a restart. In some rounds the process is killed while the disk is full, and restarts on the full disk. Held
+/// messages are still delivered.
 #[test]
-fn a_disk_that_fills_under_load_loses_nothing_and_is_noticed_when_it_has_room_again() {
+fn a_full_disk_loses_nothing_and_recovers_without_a_restart() {
     full_under_load("process");
 }
 
 #[test]
-fn nor_does_it_where_every_answer_waits_for_the_disk() {
+fn a_full_disk_loses_nothing_and_recovers_with_machine_durability() {
     full_under_load("machine");
 }
 
 fn full_under_load(durability: &'static str) {
     let (site, partner) = small_site(durability, true);
     let refusals = AtomicUsize::new(0);
-    let refused = under_load(site, partner, kills(8), 3_000, |site, feed, round| {
+    let refused = under_load(site, partner, kill_rounds(8), 3_000, |site, feed, round| {
         sleep(Duration::from_millis(fastrand::u64(20..150)));
-        // From nothing at all up to two segments more than there is.
+        // The free space is between nothing and two journal segments.
         site.set_disk_limit(site.disk_usage() + fastrand::u64(0..250_000) * u64::from(round % 3 != 0));
         let mut tries = 0;
         eventually("the full disk refuses", || {
@@ -132,22 +134,22 @@
         feed.fetch(site, 200);
         site.set_disk_limit(u64::MAX >> 1);
         let mut tries = 0;
-        eventually("it takes messages on again", || {
+        eventually("messages are accepted again", || {
             tries += 1;
             site.post("note", "", &format!("again-{round}-{tries}"), "x").0 == 202
         });
     });
-    assert!(refused > refusals.load(Ordering::SeqCst), "the load met the full disk: {refused}");
+    assert!(refused > refusals.load(Ordering::SeqCst), "the load was refused on the full disk: {refused}");
 }
 
-/// A site whose journal compacts all the time, with a partner that fails some calls.
+/// A site with a small journal that compacts constantly, and a partner that fails some calls.
 fn small_site(durability: &'static str, budget: bool) -> (SiteProcess, Partner) {
     let partner = Partner::start(7, Conduct { resets: 0.02, errors: 0.02, ..Conduct::default() });
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.limits = "messages = 2000\ndisk = \"16MiB\"";
-    plan.ends = "size = \"8MiB\"";
-    plan.durability = durability;
-    let mut site = SiteProcess::prepared(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.limits = "messages = 2000\ndisk = \"16MiB\"";
+    config.ends = "size = \"8MiB\"";
+    config.durability = durability;
+    let mut site = SiteProcess::prepared(&config);
     if budget {
         site.set_disk_limit(u64::MAX >> 1);
     }
@@ -155,24 +157,24 @@
     (site, partner)
 }
 
-/// What a client has fetched and acknowledged.
+/// The outcomes that a client has fetched and acknowledged.
 #[derive(Default)]
-struct Feed {
+struct OutcomeFeed {
     ends: BTreeMap<u64, (String, String)>,
     after: u64,
 }
 
-impl Feed {
-    /// Fetches and acknowledges some ends, as a client does; what comes twice must be the same.
+impl OutcomeFeed {
+    /// Fetches and acknowledges some outcomes, as a client does. An outcome that is received twice must be identical.
     fn fetch(&mut self, site: &SiteProcess, most: u32) -> usize {
-        let (status, told) = site.get(&format!("/v1/ends?after={}&most={most}&wait_ms=0", self.after));
+        let (status, response) = site.get(&format!("/v1/ends?after={}&most={most}&wait_ms=0", self.after));
         if status != 200 {
             return 0;
         }
-        let lines = told["ends"].as_array().cloned().unwrap_or_default();
+        let lines = response["ends"].as_array().cloned().unwrap_or_default();
         for line in &lines {
-            let word = |name: &str| line[name].as_str().unwrap().to_string();
-            let (cursor, end) = (line["cursor"].as_u64().unwrap(), (word("id"), word("state")));
+            let text = |name: &str| line[name].as_str().unwrap().to_string();
+            let (cursor, end) = (line["cursor"].as_u64().unwrap(), (text("id"), text("state")));
             assert!(self.ends.insert(cursor, end.clone()).is_none_or(|before| before == end), "{end:?}");
             self.after = cursor;
         }
@@ -180,14 +182,14 @@
     }
 }
 
-/// Four clients hand messages in while trouble comes in rounds; then every message that was taken on must have one end
-/// and a true one. Gives how many were refused with a wait.
+/// Four clients submit messages while faults are injected in rounds. Then every accepted message must have exactly one
+/// outcome, and it must agree with the partner's records. Returns how many messages were refused with a requested wait.
 fn under_load(
-    mut site: SiteProcess, partner: Partner, rounds: usize, filler: usize,
-    mut trouble: impl FnMut(&mut SiteProcess, &mut Feed, usize),
+    mut site: SiteProcess, partner: Partner, rounds: usize, padding: usize,
+    mut inject_fault: impl FnMut(&mut SiteProcess, &mut OutcomeFeed, usize),
 ) -> usize {
     let (taken, stop, next) = (Mutex::new(BTreeSet::new()), AtomicBool::new(false), AtomicUsize::new(0));
-    let (mut feed, listen, refused) = (Feed::default(), site.listen, AtomicUsize::new(0));
+    let (mut feed, listen, refused) = (OutcomeFeed::default(), site.listen, AtomicUsize::new(0));
     scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
@@ -200,20 +202,21 @@
                     } else {
                         format!("key={key};seq={n};class=update;")
                     };
-                    let body = body + &"x".repeat(filler);
+                    let body = body + &"x".repeat(padding);
                     let bytes = message_request("p", class, &key, &format!("m{n}"), &body);
                     let answer = exchange(listen, &bytes).unwrap_or_default().to_lowercase();
                     if answer.starts_with("http/1.1 202") {
                         taken.lock().unwrap().insert(format!("m{n}"));
                     }
-                    let told = answer.starts_with("http/1.1 503") && answer.contains("retry-after: ");
-                    refused.fetch_add(usize::from(told), Ordering::SeqCst);
+                    let refused_with_wait =
+                        answer.starts_with("http/1.1 503") && answer.contains("retry-after: ");
+                    refused.fetch_add(usize::from(refused_with_wait), Ordering::SeqCst);
                     sleep(Duration::from_millis(1));
                 }
             });
         }
         for round in 0..rounds {
-            trouble(&mut site, &mut feed, round);
+            inject_fault(&mut site, &mut feed, round);
         }
         stop.store(true, Ordering::SeqCst);
     });
@@ -225,10 +228,10 @@
     for id in &taken {
         assert_eq!(by_id.get(id.as_str()).map(Vec::len), Some(1), "{id}: {:?}", by_id.get(id.as_str()));
     }
-    let books = partner.books();
-    let verdict = judge([&books]);
+    let records = partner.books();
+    let verdict = judge([&records]);
     assert!(verdict.twice.is_empty(), "{verdict:?}");
-    let took: BTreeSet<&str> = books
+    let effective: BTreeSet<&str> = records
         .calls
         .iter()
         .filter(|c| matches!(c.fate, Fate::Took | Fate::Swallowed))
@@ -238,17 +241,17 @@
     for (id, states) in &by_id {
         counts.entry(states[0]).and_modify(|n| *n += 1).or_insert(1);
         match states[0] {
-            "delivered" => assert!(took.contains(id), "{id} is told as delivered and never came"),
-            "given_up" => assert!(!took.contains(id), "{id} took effect and is told as given up"),
+            "delivered" => assert!(effective.contains(id), "{id} is reported as delivered but never arrived"),
+            "given_up" => assert!(!effective.contains(id), "{id} took effect but is reported as given up"),
             "handed_back" => {
-                let keyed = books.calls.iter().any(|c| c.id == **id && c.class == "update");
-                assert!(keyed || !took.contains(id), "{id} took effect and is told as handed back");
+                let keyed = records.calls.iter().any(|c| c.id == **id && c.class == "update");
+                assert!(keyed || !effective.contains(id), "{id} took effect but is reported as handed back");
             }
             "in_doubt" => {}
             other => panic!("{id}: {other}"),
         }
     }
-    println!("{} taken on, ends {counts:?}, effects {}", taken.len(), verdict.effects);
+    println!("{} accepted, outcomes {counts:?}, effects {}", taken.len(), verdict.effects);
     assert!(counts["delivered"] > taken.len() / 2);
     refused.into_inner()
 }
--- a/tests/site/load.rs
+++ b/tests/site/load.rs
@@ -1,16 +1,18 @@
-//! `foldtrack load`: what it reports is what the partners' books say.
+//! Tests of `foldtrack load`: its reports agree with the partners' call records.
 
 use super::site_process::PROGRAM;
 use serde_json::Value;
 use std::process::{Command, Output};
 
-fn load(plan: &str, word: &str) -> Output {
+/// Runs `foldtrack load` with a plan.
+fn load(plan: &str, subcommand: &str) -> Output {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("plan.toml");
     std::fs::write(&file, plan).unwrap();
-    Command::new(PROGRAM).args(["load", word]).arg(&file).arg("--json").env_clear().output().unwrap()
+    Command::new(PROGRAM).args(["load", subcommand]).arg(&file).arg("--json").env_clear().output().unwrap()
 }
 
+/// The JSON lines of a run that succeeded.
 fn reports(output: &Output) -> Vec<Value> {
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -18,12 +20,12 @@
 }
 
 #[test]
-fn a_run_delivers_all_that_was_taken_on_and_a_sweep_sets_it_beside_the_plain_client() {
+fn a_run_delivers_all_accepted_messages_and_a_sweep_compares_it_with_a_plain_client() {
     let plan =
         "rate = 200.0\nspan = \"2s\"\nkinds = [\"reset-after\", \"error\"]\n[sweep]\nfailing = [0.0, 0.1]\n";
     let all = reports(&load(plan, "sweep"));
-    let ways: Vec<&str> = all.iter().filter_map(|r| r["way"].as_str()).collect();
-    assert_eq!(ways, ["forwarder", "plain", "forwarder", "plain"]);
+    let targets: Vec<&str> = all.iter().filter_map(|r| r["way"].as_str()).collect();
+    assert_eq!(targets, ["forwarder", "plain", "forwarder", "plain"]);
     for report in &all {
         let number = |name: &str| report[name].as_u64().unwrap();
         assert!(number("messages") > 300, "{report}");
@@ -39,25 +41,26 @@
             );
         }
     }
-    // The plain client knows no classes: a payment whose answer was lost goes again.
+    // The plain client does not distinguish classes: it repeats a payment whose response was lost.
     assert!(all[3]["twice"].as_u64().unwrap() > 0, "{}", all[3]);
     assert!(all[0]["applied"] == all[0]["messages"], "{}", all[0]);
 }
 
 #[test]
-fn a_plan_with_a_mistake_is_told_with_its_field() {
+fn an_invalid_plan_is_reported_with_its_field() {
     let output = load("rate = 200.0\nfailing = 2.0\n", "run");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.code() == Some(2) && told.contains("failing") && told.contains("plan.toml"),
-        "{told}"
+        output.status.code() == Some(2) && stderr.contains("failing") && stderr.contains("plan.toml"),
+        "{stderr}"
     );
 }
 
-/// Twice what the partners can do: refused at once and with a wait, and next to nothing that was taken on comes back.
+/// At 1200 messages a second, far above the partners' capacity, messages are refused at once with a requested wait, and hardly any accepted
+/// message is handed back.
 #[test]
-fn an_overload_is_refused_with_a_wait() {
-    // Four at once of 20 ms: 200 a second each, 400 in all.
+fn an_overload_is_refused_with_a_retry_after() {
+    // Four concurrent calls of 20 ms: 200 a second for each partner, 400 in total.
     let plan = "rate = 1200.0\nspan = \"6s\"\nmessages = 600\nanswers-from = \"20ms\"\nanswers-to = \"20ms\"\nat-once = 4\n";
     let all = reports(&load(plan, "run"));
     let number = |name: &str| all[0][name].as_f64().unwrap();
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -1,4 +1,4 @@
-//! A forwarder of one's own as a process: orders, kept ends, the control line, and kills at bad moments.
+//! Tests of a forwarder process with its own site file: orders, stored outcomes, the control socket, restarts and kills.
 
 mod admission;
 mod connections;
@@ -24,7 +24,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// One endpoint `a` of the partner `p`, and a site that has it.
+/// Starts a server, and a site in which it is the endpoint `a` of the partner `p`.
 fn one_endpoint(
     behaviour: impl Fn(&foldtrack_standin::http::Request) -> Reply + Send + Sync + 'static,
 ) -> (Arc<Server>, SiteProcess) {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_message_goes_to_its_partner_and_its_end_is_told() {
+fn a_message_is_delivered_and_its_outcome_is_reported() {
     let (server, site) = one_endpoint(|_| OK);
     assert_eq!(site.post("fee", "", "m1", "x").0, 202);
     eventually("the end", || site.message_state("m1") == "delivered");
@@ -58,7 +58,7 @@
     );
     let attempt = &ends["ends"][0]["attempts"][0];
     assert_eq!((&attempt["endpoint"], &attempt["outcome"]), (&"a".into(), &"ok".into()));
-    // A copy of one that was delivered is known over a restart, as it was not before there were ends.
+    // A duplicate of a delivered message is still recognised after a restart, because outcomes are stored.
     let mut site = site;
     site.kill();
     site.restart();
@@ -68,12 +68,13 @@
     sleep(MS(300));
     assert_eq!(server.ids(), ["m1"]);
     assert_eq!(site.post_to("nobody", "fee", "", "m3", "x").0, 404);
-    assert_eq!(site.get("/v1/ends?after=7").0, 400, "nobody can have fetched that");
+    assert_eq!(site.get("/v1/ends?after=7").0, 400, "the cursor was never issued");
 }
 
-/// Whoever asks on acknowledges; who has not is told again. A poll hears of an end when it comes.
+/// A request with a cursor acknowledges the outcomes up to it; others are returned again. A poll returns as soon as there is
+/// an outcome.
 #[test]
-fn ends_are_polled_for_and_acknowledged_by_asking_on() {
+fn outcomes_can_be_polled_and_are_acknowledged_by_the_next_request() {
     let (_server, mut site) = one_endpoint(|_| OK);
     let poll = thread::scope(|scope| {
         let poll = scope.spawn(|| site.get("/v1/ends?wait_ms=20000"));
@@ -92,7 +93,11 @@
     assert_eq!(all["ends"].as_array().unwrap().len(), 5, "nothing was acknowledged");
     let cursor = all["ends"][2]["cursor"].as_u64().unwrap();
     let rest = site.get(&format!("/v1/ends?after={cursor}&peek=1")).1;
-    assert_eq!((rest["ends"].as_array().unwrap().len(), site.status().ends_unfetched), (2, 5), "only peeked");
+    assert_eq!(
+        (rest["ends"].as_array().unwrap().len(), site.status().ends_unfetched),
+        (2, 5),
+        "peeking acknowledges nothing"
+    );
     site.get(&format!("/v1/ends?after={cursor}"));
     eventually("they count as fetched", || site.status().ends_unfetched == 2);
     site.kill();
@@ -101,22 +106,22 @@
 }
 
 #[test]
-fn a_client_that_never_fetches_is_refused_with_a_wait_until_it_does() {
+fn a_client_that_fetches_no_outcomes_is_refused_with_a_retry_after() {
     let server = Server::start(|_| OK);
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
-    plan.ends = "count = 20\nsize = \"64KiB\"";
-    let site = SiteProcess::start(&plan);
-    let mut taken = 0;
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
+    config.ends = "count = 20\nsize = \"64KiB\"";
+    let site = SiteProcess::start(&config);
+    let mut accepted = 0;
     let refused = loop {
-        let (status, head) = site.post("note", "", &format!("m{taken}"), "x");
+        let (status, head) = site.post("note", "", &format!("m{accepted}"), "x");
         if status != 202 {
             break (status, head);
         }
-        taken += 1;
-        assert!(taken <= 20);
+        accepted += 1;
+        assert!(accepted <= 20);
     };
     assert!(refused.0 == 503 && refused.1.contains("retry-after: 2"), "{refused:?}");
-    assert_eq!(taken, 20);
+    assert_eq!(accepted, 20);
     eventually("all ends", || site.status().ends_unfetched == 20);
     assert_eq!(site.post("note", "", "more", "x").0, 503);
     let ends = site.get("/v1/ends").1;
@@ -125,16 +130,16 @@
     assert_eq!(site.post("note", "", "more", "x").0, 202);
 }
 
-/// What was learned of an endpoint, and its connections, belong to its id at its address.
+/// Statistics and connections belong to an endpoint's name together with its address.
 #[test]
-fn an_id_at_another_address_and_an_address_of_another_id_are_endpoints_of_their_own() {
+fn endpoints_with_another_name_or_address_are_distinct() {
     let (old, site) = one_endpoint(|_| OK);
     let new = Server::start(|_| OK);
-    let deliver = |id: &str| {
+    let submit_and_wait = |id: &str| {
         assert_eq!(site.post("note", "", id, "x").0, 202);
         eventually("the end", || site.message_state(id) == "delivered");
     };
-    deliver("m1");
+    submit_and_wait("m1");
     let first = old.seen()[0].connection;
     assert!(matches!(site.request(add("a", new.address)), Err(ClientError::Refused(_))), "the name is taken");
     assert!(
@@ -143,27 +148,32 @@
     );
     site.order(remove("a"));
     site.order(add("b", old.address));
-    deliver("m2");
-    assert_ne!(old.seen()[1].connection, first, "another id has connections of its own");
+    submit_and_wait("m2");
+    assert_ne!(old.seen()[1].connection, first, "an endpoint with another name has its own connections");
     site.order(remove("b"));
     site.order(add("a", new.address));
-    deliver("m3");
+    submit_and_wait("m3");
     assert_eq!((old.ids().len(), new.ids()), (2, vec!["m3".to_string()]));
     site.order(remove("a"));
     site.order(add("a", new.address));
-    deliver("m4");
-    assert_ne!(new.seen()[0].connection, new.seen()[1].connection, "removed and added is another one");
+    submit_and_wait("m4");
+    assert_ne!(
+        new.seen()[0].connection,
+        new.seen()[1].connection,
+        "an endpoint that was removed and added is a new one"
+    );
 }
 
 #[test]
-fn an_endpoint_removed_with_calls_out_and_a_queue_lets_the_calls_end_and_the_queue_wait() {
+fn removing_an_endpoint_lets_its_calls_finish_and_its_queue_wait() {
     let (server, mut site) = one_endpoint(|_| Reply::Later(MS(700), 200));
     assert_eq!(site.post("update", "k", "m1", "x").0, 202);
     eventually("the call", || server.ids().len() == 1);
     assert_eq!(site.post("update", "k", "m2", "x").0, 202);
     let done = site.order(remove("a"));
     assert_eq!(done.calls, 1);
-    // No endpoint is left: what is held waits, and what is new is taken on as long as the partner is remembered.
+    // No endpoint is left: held messages wait, and new ones are accepted as long as the partner is
+    // remembered, which is until the restart.
     eventually("the call ends", || site.message_state("m1") == "delivered");
     sleep(MS(300));
     assert_eq!((server.ids().len(), site.message_state("m2")), (1, "held".into()));
@@ -173,12 +183,12 @@
     assert_eq!(site.post("update", "k", "m3", "x").0, 503, "after a restart there is nothing to send it to");
     let next = Server::start(|_| OK);
     site.order(add("b", next.address));
-    eventually("the queue goes on", || site.message_state("m2") == "delivered");
+    eventually("the queue continues", || site.message_state("m2") == "delivered");
     assert_eq!(next.ids(), ["m2"]);
 }
 
 #[test]
-fn a_paused_partner_gets_nothing_and_loses_nothing_over_a_restart() {
+fn a_paused_partner_gets_no_calls_and_loses_no_messages_in_a_restart() {
     let (server, mut site) = one_endpoint(|_| OK);
     site.order(ControlCommand::Pause { partner: "p".into() });
     for n in 0..5 {
@@ -197,23 +207,23 @@
     assert_eq!(site.endpoints()["a"].state, "paused");
     let done = site.order(ControlCommand::Resume { endpoint: None, partner: Some("p".into()) });
     assert_eq!((done.changed, done.held), (true, 5));
-    eventually("all go", || server.ids().len() == 5);
+    eventually("all are delivered", || server.ids().len() == 5);
     assert_eq!(server.ids(), ["m0", "m1", "m2", "m3", "m4"]);
 }
 
 #[test]
-fn orders_racing_from_two_connections_all_count_once() {
+fn concurrent_orders_from_two_connections_each_count_once() {
     let (server, mut site) = one_endpoint(|_| OK);
     let ports: Vec<SocketAddr> = (0..20).map(|_| Server::start(|_| OK).address).collect();
     thread::scope(|scope| {
-        for half in 0..2 {
+        for parity in 0..2 {
             let (site, ports) = (&site, &ports);
             scope.spawn(move || {
                 let mut client = site.client();
                 for (n, address) in ports.iter().enumerate() {
-                    // Both add every endpoint; each drains its half.
+                    // Both connections add every endpoint; each drains half of them.
                     client.request(add(&format!("e{n}"), *address)).unwrap();
-                    if n % 2 == half {
+                    if n % 2 == parity {
                         client.request(drain(&format!("e{n}"))).unwrap();
                     }
                 }
@@ -230,15 +240,16 @@
     site.restart();
     check(&site);
     assert_eq!(site.post("note", "", "m1", "x").0, 202);
-    eventually("the one that is left", || server.ids() == ["m1"]);
+    eventually("the remaining endpoint is used", || server.ids() == ["m1"]);
 }
 
-/// The later statement wins, and an unchanged file is none.
+/// The later statement wins; a site file that has not changed is not a new statement.
 #[test]
-fn a_site_file_that_contradicts_the_orders_wins_only_where_it_has_changed() {
+fn a_site_file_overrides_orders_only_where_it_has_changed() {
     let servers: Vec<_> = (0..4).map(|_| Server::start(|_| OK)).collect();
-    let plan = SiteConfig::with_endpoints(&[("p", "a", servers[0].address), ("p", "b", servers[1].address)]);
-    let mut site = SiteProcess::start(&plan);
+    let config =
+        SiteConfig::with_endpoints(&[("p", "a", servers[0].address), ("p", "b", servers[1].address)]);
+    let mut site = SiteProcess::start(&config);
     site.order(drain("a"));
     site.order(remove("b"));
     site.order(add("c", servers[2].address));
@@ -263,38 +274,39 @@
     assert_eq!(names(&site), ["a", "c"]);
 }
 
-/// A bad control client is answered or dropped, and nobody else notices.
+/// A control client that sends invalid input gets an error or is disconnected, without effect on others.
 #[test]
-fn control_clients_that_send_nonsense_or_nothing_harm_nobody() {
+fn invalid_and_idle_control_clients_do_not_affect_others() {
     let (_server, mut site) = one_endpoint(|_| OK);
-    let mut half = RawControlClient::connect(&site);
-    half.write(br#"{"v":1,"ask":"sta"#);
+    let mut partial = RawControlClient::connect(&site);
+    partial.write(br#"{"v":1,"ask":"sta"#);
     let silent = RawControlClient::connect(&site);
-    let mut odd = RawControlClient::connect(&site);
+    let mut client = RawControlClient::connect(&site);
     let code = |raw: &mut RawControlClient, line: &[u8]| {
         raw.write(line);
         raw.line().unwrap()["error"]["code"].as_str().unwrap().to_string()
     };
-    assert_eq!(code(&mut odd, b"\xff\xfe\n"), "unreadable");
-    assert_eq!(code(&mut odd, b"{}\n"), "version");
-    assert_eq!(code(&mut odd, b"{\"v\":99,\"ask\":\"status\"}\n"), "version");
-    assert_eq!(code(&mut odd, b"{\"v\":1,\"ask\":\"fly\"}\n"), "unreadable");
-    assert_eq!(code(&mut odd, b"{\"v\":1,\"ask\":\"resume\"}\n"), "unreadable");
-    odd.write(b"{\"v\":1,\"id\":5,\"ask\":\"status\"}\n");
-    let answer = odd.line().unwrap();
+    assert_eq!(code(&mut client, b"\xff\xfe\n"), "unreadable");
+    assert_eq!(code(&mut client, b"{}\n"), "version");
+    assert_eq!(code(&mut client, b"{\"v\":99,\"ask\":\"status\"}\n"), "version");
+    assert_eq!(code(&mut client, b"{\"v\":1,\"ask\":\"fly\"}\n"), "unreadable");
+    assert_eq!(code(&mut client, b"{\"v\":1,\"ask\":\"resume\"}\n"), "unreadable");
+    client.write(b"{\"v\":1,\"id\":5,\"ask\":\"status\"}\n");
+    let answer = client.line().unwrap();
     assert!(answer["id"] == 5 && answer["status"]["pid"] == site.pid(), "{answer}");
-    let mut long = RawControlClient::connect(&site);
-    // It is cut off long before the end: what it has not read may come as a reset instead of the answer.
-    let whole = long.write(&vec![b'x'; 10 << 20]);
-    assert!(!whole || long.line().is_none_or(|l| l["error"]["code"] == "too_long"));
-    half.write(b"tus\"}\n");
-    assert!(half.line().unwrap()["status"].is_object());
+    let mut long_line = RawControlClient::connect(&site);
+    // The connection is closed long before the end of the line. Since input is unread, the client may see a reset instead of the
+    // response.
+    let whole = long_line.write(&vec![b'x'; 10 << 20]);
+    assert!(!whole || long_line.line().is_none_or(|l| l["error"]["code"] == "too_long"));
+    partial.write(b"tus\"}\n");
+    assert!(partial.line().unwrap()["status"].is_object());
     drop(silent);
-    // More silent ones than there are places: an operator still gets in.
+    // More idle connections than the limit: an operator can still connect.
     let crowd: Vec<RawControlClient> = (0..100)
         .map(|_| {
             let mut raw = RawControlClient::connect(&site);
-            // It may be let go in the middle of it.
+            // The connection may be closed while it writes.
             let _ = (0..50).all(|_| raw.write(b"{\"v\":1,\"ask\":\"endpoints\"}\n"));
             raw
         })
@@ -303,7 +315,7 @@
     assert_eq!(site.status().taken, 0);
     assert_eq!(site.post("note", "", "m1", "x").0, 202);
     eventually("the end", || site.message_state("m1") == "delivered");
-    // Wide for slow machines.
+    // A wide limit, for slow machines.
     assert!(start.elapsed() < MS(20_000), "took {:?}", start.elapsed());
     drop(crowd);
     assert!(site.is_running());
@@ -322,17 +334,17 @@
 }
 
 #[test]
-fn a_state_folder_belongs_to_one_process_and_a_dead_ones_socket_is_taken_over() {
+fn a_state_folder_belongs_to_one_process_and_a_stale_socket_is_replaced() {
     let (_server, mut site) = one_endpoint(|_| OK);
     let before = std::fs::read(site.state_dir().join("membership")).unwrap();
     let second = site.run_command(&["serve", "--site", site.site_file().to_str().unwrap()]);
-    let told = String::from_utf8_lossy(&second.stderr).into_owned();
-    assert_eq!(second.status.code(), Some(1), "{told}");
-    assert!(told.contains(&format!("process {}", site.pid())), "{told}");
+    let output_text = String::from_utf8_lossy(&second.stderr).into_owned();
+    assert_eq!(second.status.code(), Some(1), "{output_text}");
+    assert!(output_text.contains(&format!("process {}", site.pid())), "{output_text}");
     assert_eq!(std::fs::read(site.state_dir().join("membership")).unwrap(), before);
-    assert_eq!(site.status().pid, site.pid(), "the first one goes on");
+    assert_eq!(site.status().pid, site.pid(), "the first process keeps running");
     site.kill();
-    assert!(site.socket().exists(), "a killed process leaves its socket");
+    assert!(site.socket().exists(), "a killed process leaves its socket file behind");
     assert_eq!(site.run_command(&["status"]).status.code(), Some(3));
     site.restart();
     assert_eq!(site.status().pid, site.pid());
@@ -341,16 +353,16 @@
 }
 
 #[test]
-fn commands_show_order_and_end_with_the_documented_codes() {
+fn commands_work_and_exit_with_the_documented_codes() {
     let (server, mut site) = one_endpoint(|_| Reply::Status(500, ""));
     assert_eq!(site.post("fee", "", "m1", "x").0, 202);
     eventually("the end", || site.message_state("m1") == "in_doubt");
-    let text = |words: &[&str]| {
-        let run = site.run_command(words);
-        let told = String::from_utf8_lossy(&run.stderr).into_owned();
-        (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned() + &told)
+    let text = |args: &[&str]| {
+        let run = site.run_command(args);
+        let output_text = String::from_utf8_lossy(&run.stderr).into_owned();
+        (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned() + &output_text)
     };
-    for (words, expected) in [
+    for (args, expected) in [
         (&["status"][..], "1 in doubt"),
         (&["partners"], "p "),
         (&["endpoints"], "127.0.0.1:"),
@@ -365,8 +377,8 @@
         (&["add", "p", "b", "127.0.0.1:9"], "done"),
         (&["remove", "b"], "done"),
     ] {
-        let (code, shown) = text(words);
-        assert!(code == 0 && shown.contains(expected), "{words:?}: {code} {shown}");
+        let (code, shown) = text(args);
+        assert!(code == 0 && shown.contains(expected), "{args:?}: {code} {shown}");
     }
     let status = serde_json::from_str::<serde_json::Value>(&text(&["status", "--json"]).1).unwrap();
     assert_eq!(status["status"]["in_doubt"], 1);
@@ -379,16 +391,16 @@
 }
 
 #[test]
-fn check_and_init_tell_all_that_is_wrong_and_write_what_is_right() {
+fn check_reports_every_problem_and_init_writes_a_valid_file() {
     let folder = tempfile::tempdir().unwrap();
-    let run = |words: &[&str]| {
-        let run = Command::new(PROGRAM).args(words).current_dir(folder.path()).env_clear().output().unwrap();
+    let run = |args: &[&str]| {
+        let run = Command::new(PROGRAM).args(args).current_dir(folder.path()).env_clear().output().unwrap();
         let lines = String::from_utf8_lossy(&run.stderr).lines().count();
         (run.status.code().unwrap(), lines)
     };
     assert_eq!(run(&["init"]), (0, 0));
     assert_eq!(run(&["check"]), (0, 0));
-    assert_eq!(run(&["init"]).0, 1, "a file that is there is somebody's work");
+    assert_eq!(run(&["init"]).0, 1, "an existing file is not overwritten");
     let text = std::fs::read_to_string(folder.path().join("site.toml")).unwrap();
     let wrong = text.replace(" = \"", " = \"?");
     std::fs::write(folder.path().join("wrong.toml"), wrong).unwrap();
@@ -401,94 +413,97 @@
     assert_eq!(run(&["check", "absent.toml"]), (2, 1));
 }
 
-/// Whoever is told that something is full is told when to come again, and a handed back message may come again
-/// under its id.
+/// A refusal for lack of capacity carries a `Retry-After`, and a refused message may be submitted again under its id.
 #[test]
-fn a_full_house_tells_when_to_come_again() {
+fn refusals_for_lack_of_capacity_carry_a_retry_after() {
     let server = Server::start(|_| Reply::Silence);
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
-    plan.limits = "messages = 10";
-    let site = SiteProcess::start(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
+    config.limits = "messages = 10";
+    let site = SiteProcess::start(&config);
     let answers: Vec<(u16, String)> = (0..12).map(|n| site.post("note", "", &format!("m{n}"), "x")).collect();
-    let taken = answers.iter().take_while(|a| a.0 == 202).count();
-    assert!((4..10).contains(&taken), "some room is left for partners without a backlog: {answers:?}");
+    let accepted = answers.iter().take_while(|a| a.0 == 202).count();
+    assert!(
+        (4..10).contains(&accepted),
+        "some capacity is reserved for partners without a backlog: {answers:?}"
+    );
     assert!(
-        answers[taken..].iter().all(|(status, head)| *status == 503 && head.contains("retry-after:")),
+        answers[accepted..].iter().all(|(status, head)| *status == 503 && head.contains("retry-after:")),
         "{answers:?}"
     );
-    assert!((0..taken).all(|n| site.message_state(&format!("m{n}")) == "held"), "what was taken on stays");
+    assert!((0..accepted).all(|n| site.message_state(&format!("m{n}")) == "held"), "accepted messages stay");
     assert_eq!(site.status().handed_back, 0);
-    // A refused one is unknown, and comes under its id once there is room.
-    let id = format!("m{taken}");
+    // A refused message is unknown, and is accepted under its id once there is capacity.
+    let id = format!("m{accepted}");
     assert_eq!(site.message_state(&id), "unknown");
     server.behave(|_| OK);
-    eventually("there is room", || site.post("note", "", &id, "x").0 == 202);
+    eventually("there is capacity", || site.post("note", "", &id, "x").0 == 202);
 }
 
-/// An update that may have taken effect is handed back: brought again while its partner remembers the key it is taken on,
-/// brought later it would take effect twice, and is refused for good. Over a restart too.
+/// An update that may have taken effect is handed back. Submitted again while its partner remembers the idempotency key, it is
+/// accepted; later it could take effect twice, so it is refused permanently. This also holds after a restart.
 #[test]
-fn what_may_have_run_is_taken_on_again_only_while_its_partner_remembers_it() {
+fn a_message_that_may_have_run_is_accepted_again_only_while_its_key_is_remembered() {
     for (remembered, memory, late) in [("20s", 20_000_000, false), ("8s", 8_000_000, true)] {
-        // The first call takes effect and its connection ends without an answer; then its partner is paused.
-        let withdrawn = Arc::new(AtomicBool::new(false));
-        let seen = withdrawn.clone();
+        // The first call takes effect and its connection closes without a response; then the partner is paused.
+        let reject_updates = Arc::new(AtomicBool::new(false));
+        let seen = reject_updates.clone();
         let server = Server::start(move |request| match request.id() {
             "u1" if seen.load(Ordering::SeqCst) => Reply::Status(410, ""),
             "u1" => Reply::Close,
             _ => OK,
         });
-        let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
-        plan.update_deadline = "2s";
-        plan.remembered = remembered.into();
-        let mut site = SiteProcess::start(&plan);
+        let mut config = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
+        config.update_deadline = "2s";
+        config.remembered = remembered.into();
+        let mut site = SiteProcess::start(&config);
         assert_eq!(site.post("update", "k", "u1", "x").0, 202);
         eventually("it has been called", || server.ids().contains(&"u1".to_string()));
         site.order(ControlCommand::Pause { partner: "p".into() });
-        eventually("its time is up", || site.message_state("u1") != "held");
+        eventually("its deadline has passed", || site.message_state("u1") != "held");
         let end = site.get("/v1/messages/u1").1;
         if late && end["state"] == "in_doubt" {
-            // The machine was so slow that no time was left: it may not come again either.
+            // On a slow machine no time may be left: then it may not be submitted again either.
             assert_eq!(site.post("update", "k", "u1", "x").0, 409);
             continue;
         }
         assert_eq!(end["state"], "handed_back", "{end}");
         let (until, first) =
             (end["harmless_until"].as_u64().unwrap(), end["attempts"][0]["at"].as_u64().unwrap());
-        assert_eq!(until, first + memory - 1_000_000, "a second less than it remembers");
+        assert_eq!(until, first + memory - 1_000_000, "one second less than the partner remembers the key");
         if late {
             sleep(Duration::from_micros(memory));
         }
         site.kill();
         site.restart();
         site.order(ControlCommand::Resume { partner: Some("p".into()), endpoint: None });
-        eventually("the house is empty", || site.status().held == 0);
-        withdrawn.store(true, Ordering::SeqCst);
+        eventually("no message is held", || site.status().held == 0);
+        reject_updates.store(true, Ordering::SeqCst);
         assert_eq!(site.post("update", "k", "u1", "x").0, if late { 409 } else { 202 });
         if !late {
-            assert!(site.message("u1").unwrap().expires <= until, "it goes out no later than that");
-            // Withdrawn there: this attempt has not run, but the first hand-in's may have.
-            eventually("it is withdrawn", || site.message_state("u1") != "held");
+            assert!(site.message("u1").unwrap().expires <= until, "it is not sent after that time");
+            // Rejected with 410: this attempt has not run, but the one of the first submission may have.
+            eventually("the partner has rejected it", || site.message_state("u1") != "held");
             assert_eq!(site.message_state("u1"), "in_doubt");
         }
     }
 }
 
-/// A client that brings a handed back update again, after waits on both sides of its partner's memory and over a kill: by
-/// the partner's books it takes effect once. `FOLDTRACK_WAITS=0,5,15,60` has the full waits (seconds).
+/// A client submits a handed back update again, after waits shorter and longer than its partner remembers the key, and after a
+/// kill. By the partner's call records, it takes effect once. `FOLDTRACK_WAITS=0,5,15,60` is the full set of waits (seconds).
 #[test]
-fn however_long_a_client_waits_an_update_takes_effect_once() {
+fn a_resubmitted_update_takes_effect_once_after_any_wait() {
     let waits = std::env::var("FOLDTRACK_WAITS").unwrap_or("0,3,12".into());
     let waits: Vec<u64> = waits.split(',').map(|wait| wait.parse().unwrap()).collect();
     let memory = if waits.iter().any(|w| *w > 12) { 20 } else { 8 };
     thread::scope(|scope| {
         for wait in waits {
-            scope.spawn(move || waits_and_comes_again(Duration::from_secs(wait), memory));
+            scope.spawn(move || resubmit_after(Duration::from_secs(wait), memory));
         }
     });
 }
 
-fn waits_and_comes_again(wait: Duration, memory: u64) {
+/// Submits an update, waits, submits it again and checks that it took effect once.
+fn resubmit_after(wait: Duration, memory: u64) {
     let conduct = Conduct {
         failing: 1.0,
         kinds: vec![foldtrack_standin::Kind::ResetAfter],
@@ -496,12 +511,12 @@
         ..Conduct::default()
     };
     let partner = Partner::start(5, conduct);
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.update_deadline = "2s";
-    plan.remembered = format!("{memory}s");
-    let mut site = SiteProcess::start(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.update_deadline = "2s";
+    config.remembered = format!("{memory}s");
+    let mut site = SiteProcess::start(&config);
     assert_eq!(site.post("update", "k", "u1", "class=update;").0, 202);
-    eventually("it is over", || site.message_state("u1") != "held");
+    eventually("it has an outcome", || site.message_state("u1") != "held");
     let end = site.get("/v1/messages/u1").1;
     partner.conduct(|c| c.failing = 0.0);
     sleep(wait);
@@ -512,18 +527,18 @@
     match end["harmless_until"].as_u64() {
         Some(until) if answer == 202 => assert!(now < until + 1_000_000, "{wait:?}: {end}"),
         Some(until) => assert!(answer == 409 && now >= until, "{wait:?}: {answer}, {end}"),
-        // A slow machine: there was no time left for it at its end.
+        // On a slow machine no time may have been left at its end.
         None => assert!(answer == 409 && end["state"] == "in_doubt", "{wait:?}: {answer}, {end}"),
     }
-    eventually("it is over again", || site.message_state("u1") != "held");
+    eventually("it has an outcome again", || site.message_state("u1") != "held");
     let verdict = judge([&partner.books()]);
     assert_eq!((verdict.effects, verdict.twice.len()), (1, 0), "{wait:?}: {:?}", partner.books().calls);
 }
 
-/// The sender is killed, and then the forwarder, while a file is handed in: run again, it hands in the rest, and
+/// `foldtrack send` is killed, and later the forwarder, while a file is submitted. Run again, the command submits the rest, and
 /// nothing twice.
 #[test]
-fn a_file_is_handed_in_once_however_often_it_is_interrupted() {
+fn a_file_is_submitted_once_despite_interruptions() {
     let partner = Partner::start(3, Conduct::default());
     let mut site = SiteProcess::start(&SiteConfig::with_endpoints(&[("p", "a", partner.address())]));
     let file = site.folder.path().join("in.jsonl");
@@ -542,12 +557,12 @@
         command.stderr(Stdio::null()).stdout(Stdio::piped()).spawn().unwrap()
     };
     let mut first = start();
-    eventually("some are handed in", || partner.calls() > 100);
+    eventually("some messages are submitted", || partner.calls() > 100);
     first.kill().unwrap();
     first.wait().unwrap();
     let mut second = start();
     let before = partner.calls();
-    eventually("some more are handed in", || {
+    eventually("more messages are submitted", || {
         partner.calls() > before + 100 || second.try_wait().unwrap().is_some()
     });
     site.kill();
@@ -558,12 +573,13 @@
     let books = partner.books();
     let verdict = judge([&books]);
     assert!(verdict.twice.is_empty() && verdict.out_of_order.is_empty(), "{verdict:?}");
-    // What was out when the forwarder was killed may be in doubt, and may never have come; all else is delivered.
+    // Calls in flight when the forwarder was killed may be in doubt and may never have arrived; all other messages are delivered.
     let ids: BTreeSet<&str> = books.calls.iter().map(|c| c.id.as_str()).collect();
-    let told = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
-    let ends: Vec<serde_json::Value> = told.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
+    let output_text = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
+    let ends: Vec<serde_json::Value> =
+        output_text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     let named: BTreeSet<&str> = ends.iter().map(|end| end["id"].as_str().unwrap()).collect();
-    assert_eq!((ends.len(), named.len()), (count, count), "each line has one end\n{table}");
+    assert_eq!((ends.len(), named.len()), (count, count), "each line has exactly one outcome\n{table}");
     for end in &ends {
         let id = end["id"].as_str().unwrap();
         assert!(end["state"] == "in_doubt" || end["state"] == "delivered" && ids.contains(id), "{end}");
@@ -574,39 +590,40 @@
 }
 
 #[test]
-fn lines_that_cannot_be_handed_in_are_told_and_the_others_are() {
+fn invalid_lines_are_reported_and_the_others_are_submitted() {
     let (server, site) = one_endpoint(|_| OK);
     let file = site.folder.path().join("in.jsonl");
     let lines = "{\"class\":\"fee\",\"partner\":\"p\"}\n{oops\n\n{\"class\":\"x\",\"partner\":\"p\"}\n\
                  {\"class\":\"fee\",\"partner\":\"q\"}\n{\"class\":\"fee\",\"partner\":\"p\",\"bdy\":1}\n";
     std::fs::write(&file, lines).unwrap();
     let run = site.run_command(&["send", file.to_str().unwrap()]);
-    let told = String::from_utf8_lossy(&run.stderr).into_owned();
-    assert_eq!(run.status.code(), Some(1), "{told}");
+    let output_text = String::from_utf8_lossy(&run.stderr).into_owned();
+    assert_eq!(run.status.code(), Some(1), "{output_text}");
     for number in [2, 3, 4, 5, 6] {
-        assert!(told.contains(&format!("line {number}: ")), "{told}");
+        assert!(output_text.contains(&format!("line {number}: ")), "{output_text}");
     }
     assert_eq!(server.ids().len(), 1);
-    // The file has changed since: the ledger is another batch's.
+    // The file has changed since, so its ledger belongs to another batch.
     std::fs::write(&file, "{}\n").unwrap();
     assert_eq!(site.run_command(&["send", file.to_str().unwrap()]).status.code(), Some(2));
 }
 
 #[test]
-fn the_demo_keeps_every_rule() {
+fn the_demo_violates_no_rule() {
     let run = Command::new(PROGRAM).args(["demo", "--messages", "200", "--rate", "200"]).output().unwrap();
     let shown = String::from_utf8_lossy(&run.stdout).into_owned();
     assert!(run.status.success() && shown.contains("took effect twice"), "{shown}");
     assert!(!shown.contains("BROKEN"), "{shown}");
 }
 
-/// With `durability = "machine"` every answer, call and end waits for a sync; they share it, and all ends the same.
+/// With `durability = "machine"`, every response, call and outcome waits for a sync to disk. They share syncs, and the outcomes
+/// are the same.
 #[test]
-fn what_waits_for_the_disk_is_answered_sent_and_told_all_the_same() {
+fn messages_are_accepted_delivered_and_reported_with_machine_durability() {
     let partner = Partner::start(5, Conduct { answers: (MS(0), MS(1)), ..Conduct::default() });
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
-    plan.durability = "machine";
-    let mut site = SiteProcess::start(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
+    config.durability = "machine";
+    let mut site = SiteProcess::start(&config);
     thread::scope(|scope| {
         for worker in 0..16 {
             let site = &site;
@@ -622,15 +639,15 @@
         }
     });
     eventually("all ends", || site.status().delivered == 240);
-    // On a slow machine some may have been sent again, to a partner that knows their keys.
+    // On a slow machine some messages may be sent again; the partner recognises their keys.
     let verdict = judge([&partner.books()]);
     assert!(verdict.effects == 240 && verdict.is_clean(), "{verdict:?}");
-    let told = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
-    assert_eq!(told.lines().count(), 240);
+    let output_text = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
+    assert_eq!(output_text.lines().count(), 240);
     site.kill();
     site.restart();
     assert_eq!((site.status().held, site.message_state("m3-4")), (0, "delivered".into()));
-    // Nothing goes out against an order that came while its call waited for the disk.
+    // A call that waits for the disk is not sent if its endpoint has been drained in the meantime.
     let calls = partner.calls();
     site.order(drain("a"));
     assert_eq!(site.post("fee", "", "late", "x").0, 202);
@@ -638,18 +655,18 @@
     assert_eq!((partner.calls(), site.message_state("late")), (calls, "held".into()));
 }
 
-/// The tools read beside the owner and without it, and tell damage with its place.
+/// `foldtrack journal` reads the journal while the forwarder runs and after it was killed, and reports the position of damage.
 #[test]
-fn a_journal_can_be_looked_into_and_damage_is_told() {
+fn the_journal_can_be_inspected_and_damage_is_reported() {
     let (server, mut site) = one_endpoint(|_| Reply::Silence);
     for n in 0..20 {
         assert_eq!(site.post("update", "k", &format!("m{n}"), "some body").0, 202);
     }
     eventually("the call", || server.ids().len() == 1);
-    let text = |words: &[&str]| {
-        let run = site.run_command(&[&["journal"], words].concat());
-        let told = String::from_utf8_lossy(&run.stderr).into_owned();
-        (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned() + &told)
+    let text = |args: &[&str]| {
+        let run = site.run_command(&[&["journal"], args].concat());
+        let output_text = String::from_utf8_lossy(&run.stderr).into_owned();
+        (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned() + &output_text)
     };
     let check = || {
         assert!(text(&["stat"]).1.contains("20 open"), "{}", text(&["stat"]).1);
@@ -661,8 +678,8 @@
     };
     check();
     site.kill();
-    let text = |words: &[&str]| {
-        let run = site.run_command(&[&["journal"], words].concat());
+    let text = |args: &[&str]| {
+        let run = site.run_command(&[&["journal"], args].concat());
         (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned())
     };
     let path = site.state_dir().join("journal/00000001");
@@ -670,11 +687,13 @@
     let at = bytes.windows(3).position(|w| w == b"m11").unwrap();
     bytes[at] ^= 1;
     std::fs::write(&path, &bytes).unwrap();
-    let (code, told) = text(&["verify"]);
+    let (code, output_text) = text(&["verify"]);
     assert!(
-        code == 1 && told.contains("journal/00000001: byte ") && told.contains("a restart skips it"),
-        "{told}"
+        code == 1
+            && output_text.contains("journal/00000001: byte ")
+            && output_text.contains("a restart skips it"),
+        "{output_text}"
     );
-    assert_eq!(std::fs::read(&path).unwrap(), bytes, "nothing was changed");
+    assert_eq!(std::fs::read(&path).unwrap(), bytes, "the journal was not modified");
     assert!(text(&["stat"]).1.contains("19 open"));
 }
--- a/tests/site/partners.rs
+++ b/tests/site/partners.rs
@@ -1,4 +1,4 @@
-//! Partners that were not written for foldtrack: their paths, answers, waits and limits, and proof of who calls.
+//! Partners with their own protocols: their paths, responses, requested waits and rate limits, and authentication.
 
 use super::site_process::*;
 use foldtrack_proof::{headers, AuthScheme, Secrets, SignedCall};
@@ -13,35 +13,38 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// A site whose one partner is spoken to by these lines.
-fn spoken_to(
+/// Starts a site whose only partner is configured by these lines.
+fn site_with_partner(
     lines: &str, behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static,
 ) -> (Arc<Server>, SiteProcess) {
     let server = Server::start(behaviour);
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
-    plan.partner = lines.to_string();
-    (server, SiteProcess::start(&plan))
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
+    config.partner = lines.to_string();
+    (server, SiteProcess::start(&config))
 }
 
+/// Submits a message that must be accepted.
 fn submit(site: &SiteProcess, class: &str, key: &str, id: &str) {
     let (status, _) = site.post(class, key, id, "{\"amount\":7}");
     assert_eq!(status, 202, "{id}");
 }
 
-fn ends_as(site: &SiteProcess, id: &str, state: &str) {
+/// Waits until a message is in a state.
+fn wait_for_state(site: &SiteProcess, id: &str, state: &str) {
     eventually(&format!("{id} is {state}"), || site.message_state(id) == state);
 }
 
+/// The calls for the message with this id.
 fn calls_of<'a>(seen: &'a [Request], id: &str) -> Vec<&'a Request> {
     seen.iter().filter(|r| r.path.ends_with(&format!("/{id}"))).collect()
 }
 
-/// What usual services answer: 2xx delivers, other 4xx and redirects end the message, 5xx may have run; and a line of the site's
-/// own counts before all that.
+/// Status codes have their usual meaning: 2xx is delivered, other 4xx and redirects end the message, and 5xx may have run. The
+/// site's own `answers` override this.
 #[test]
-fn answers_of_usual_services_mean_what_rfc_9110_says() {
+fn status_codes_are_interpreted_by_rfc_9110() {
     let lines = "speaks = \"http\"\npath = \"/v2/{class}/{id}\"\n[partner.p.answers]\n409 = \"delivered\"\n507 = \"has-not-run\"\n";
-    let (server, site) = spoken_to(lines, |request| {
+    let (server, site) = site_with_partner(lines, |request| {
         let name = request.path.rsplit('/').next().unwrap_or("").to_string();
         match name.split('-').next().unwrap_or("") {
             "202" => Reply::Status(202, ""),
@@ -50,7 +53,7 @@
             "409" => Reply::Status(409, ""),
             "422" => Reply::Status(422, ""),
             "500" => Reply::Status(500, ""),
-            // As if it had no room for it at first.
+            // Insufficient storage on the first call.
             "507" if request.at.elapsed() < MS(1) => Reply::Status(507, ""),
             _ => OK,
         }
@@ -63,12 +66,12 @@
         ("422-a", "given_up"),
         ("500-a", "in_doubt"),
     ] {
-        // A payment: what may have run can't be repeated, and is in doubt.
+        // A payment: an attempt that may have run cannot be repeated, so the message is in doubt.
         submit(&site, "fee", "", id);
         if id != "500-a" {
-            ends_as(&site, id, state);
+            wait_for_state(&site, id, state);
         }
-        assert!(calls_of(&server.seen(), id).len() <= 1, "{id} went twice");
+        assert!(calls_of(&server.seen(), id).len() <= 1, "{id} was sent twice");
     }
     let refused = site.message("422-a").unwrap();
     assert_eq!((refused.attempts[0].outcome.as_str(), refused.attempts[0].may_have_run), ("refused", false));
@@ -77,7 +80,7 @@
     assert_eq!((call.method.as_str(), call.path.as_str()), ("POST", "/v2/fee/202-a"));
     assert_eq!(call.headers["content-type"], "application/json");
     assert!(!call.headers.contains_key("x-deadline") && !call.headers.contains_key("x-request-id"));
-    // What has not run goes again, a payment too.
+    // An attempt that has not run is repeated, even for a payment.
     server.behave({
         let first = std::sync::atomic::AtomicBool::new(true);
         move |_| match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
@@ -86,23 +89,23 @@
         }
     });
     submit(&site, "fee", "", "507-a");
-    ends_as(&site, "507-a", "delivered");
+    wait_for_state(&site, "507-a", "delivered");
     assert_eq!(calls_of(&server.seen(), "507-a").len(), 2);
-    // Nothing is handed in again that was refused for good.
+    // A message that was refused permanently is not accepted again.
     assert_eq!(site.post("fee", "", "422-a", "x").0, 409);
 }
 
-/// `Retry-After` is a wait for the whole partner, in seconds and as a date.
+/// `Retry-After` applies to all messages of the partner, given in seconds or as a date.
 #[test]
-fn retry_after_is_heeded_for_every_message() {
+fn retry_after_applies_to_all_messages_of_the_partner() {
     let lines = "speaks = \"http\"\npath = \"/n/{id}\"\n";
     for date in [false, true] {
-        let (server, site) = spoken_to(lines, |_| OK);
+        let (server, site) = site_with_partner(lines, |_| OK);
         submit(&site, "note", "", "warm");
-        ends_as(&site, "warm", "delivered");
-        let (told, wait) = match date {
+        wait_for_state(&site, "warm", "delivered");
+        let (header, wait) = match date {
             false => ("Retry-After: 1.5\r\n".to_string(), MS(1_400)),
-            // A date has whole seconds: between two and three from now.
+            // A date has a resolution of one second: this one is between two and three seconds from now.
             true => {
                 let at = std::time::SystemTime::now() + Duration::from_secs(3);
                 (format!("Retry-After: {}\r\n", httpdate::fmt_http_date(at)), MS(1_500))
@@ -110,27 +113,28 @@
         };
         let first = std::sync::atomic::AtomicBool::new(true);
         server.behave(move |_| match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
-            true => Reply::Headers(429, told.clone()),
+            true => Reply::Headers(429, header.clone()),
             false => OK,
         });
         submit(&site, "note", "", "told");
-        eventually("it is told", || server.seen().len() == 2);
-        let from = Instant::now();
+        eventually("the wait is requested", || server.seen().len() == 2);
+        let since = Instant::now();
         for n in 0..5 {
             submit(&site, "fee", "", &format!("f{n}"));
         }
-        eventually("all go", || site.status().delivered == 7);
-        let early = server.seen().iter().skip(2).filter(|r| r.at < from + wait).count();
-        assert_eq!(early, 0, "sent while it was told to wait");
+        eventually("all are delivered", || site.status().delivered == 7);
+        let early = server.seen().iter().skip(2).filter(|r| r.at < since + wait).count();
+        assert_eq!(early, 0, "sent during the requested wait");
     }
 }
 
-/// Values of messages stay in their places, whatever they hold; and what can't be sent at all ends at once.
+/// Ids and keys are escaped, so that they cannot change the rest of the request. A message that cannot be sent at all ends at
+/// once.
 #[test]
-fn ids_and_keys_stay_in_their_places() {
+fn ids_and_keys_are_escaped_in_paths() {
     let lines =
         "speaks = \"http\"\npath = \"/n/{id}?c={class}\"\n[partner.p.headers]\nX-Source = \"site-{class}\"\n";
-    let (server, site) = spoken_to(lines, |_| OK);
+    let (server, site) = site_with_partner(lines, |_| OK);
     for (id, path) in [
         ("a/../b", "/n/a%2F..%2Fb?c=note"),
         ("x%2fy", "/n/x%252fy?c=note"),
@@ -141,21 +145,21 @@
     }
     assert!(server.seen().iter().all(|r| r.headers["x-source"] == "site-note"));
     let before = server.seen().len();
-    // A server would take it for a step upwards.
+    // A server would resolve this path segment to the parent.
     let begun = Instant::now();
     submit(&site, "note", "", "..");
     eventually("it has ended", || site.message("..").is_some_and(|m| m.state == "given_up"));
     assert!(begun.elapsed() < Duration::from_secs(10) && server.seen().len() == before);
 }
 
-/// A partner that tells a rate is called no faster, from its first answer on.
+/// A rate limit in a partner's responses is observed from the first response on.
 #[test]
-fn a_rate_that_answers_tell_is_kept_to() {
+fn a_rate_limit_in_responses_is_observed() {
     let lines = "speaks = \"http\"\npath = \"/n/{id}\"\n";
-    let told = "RateLimit-Policy: \"all\";q=10;w=1\r\nRateLimit: \"all\";r=5;t=1\r\n";
-    let (server, site) = spoken_to(lines, move |_| Reply::Status(200, told));
+    let expected = "RateLimit-Policy: \"all\";q=10;w=1\r\nRateLimit: \"all\";r=5;t=1\r\n";
+    let (server, site) = site_with_partner(lines, move |_| Reply::Status(200, expected));
     submit(&site, "note", "", "first");
-    ends_as(&site, "first", "delivered");
+    wait_for_state(&site, "first", "delivered");
     for n in 0..40 {
         submit(&site, "note", "", &format!("m{n}"));
     }
@@ -164,12 +168,13 @@
     let busiest = seen.iter().map(|from| {
         seen.iter().filter(|r| r.at >= from.at && r.at < from.at + Duration::from_secs(1)).count()
     });
-    // Ten a second and a little for chance; without the limit all forty go within a moment.
+    // Ten a second, with a tolerance; without the limit, all forty would be sent almost at once.
     assert!(busiest.max().unwrap() <= 22, "too fast");
     let partner = site.run_command(&["partners"]);
     assert!(partner.status.success());
 }
 
+/// A secret in a temporary file.
 struct SecretFile {
     _folder: TempDir,
     path: PathBuf,
@@ -184,7 +189,7 @@
         file
     }
 
-    /// Put in its place in one step, as an operator should.
+    /// Replaces the file atomically, as an operator should.
     fn set(&self, text: &str, mode: u32) {
         let new = self.path.with_extension("new");
         fs::write(&new, text).unwrap();
@@ -192,24 +197,25 @@
         fs::rename(&new, &self.path).unwrap();
     }
 
+    /// The site file's lines for a partner that uses this secret.
     fn lines(&self, speaks: &str, kind: &str) -> String {
         let path = self.path.display();
         format!("speaks = \"{speaks}\"\npath = \"/n/{{id}}\"\n[partner.p.proof]\nkind = \"{kind}\"\nsecret-file = \"{path}\"\n")
     }
 }
 
-/// A token is changed while messages go, and none is lost: the partner takes both for a while, as partners do.
+/// A token is rotated while messages are sent, and none is lost. The partner accepts both tokens for a while.
 #[test]
-fn a_token_changes_while_messages_go() {
+fn a_token_is_rotated_without_losing_messages() {
     let secret = SecretFile::with("first-token\n");
-    let (server, site) = spoken_to(&secret.lines("http", "bearer"), |request| {
+    let (server, site) = site_with_partner(&secret.lines("http", "bearer"), |request| {
         match request.headers.get("authorization").map(String::as_str) {
             Some("Bearer first-token" | "Bearer second-token") => OK,
             _ => Reply::Status(401, ""),
         }
     });
     let mut sent = 0;
-    let mut go_on = |from: Instant, until: &dyn Fn() -> bool| {
+    let mut submit_until = |from: Instant, until: &dyn Fn() -> bool| {
         while !until() {
             assert!(from.elapsed() < PATIENCE, "the new token is not used");
             submit(&site, "fee", "", &format!("f{sent}"));
@@ -217,77 +223,81 @@
             sleep(MS(10));
         }
     };
-    let with = |token: &str| server.seen().iter().any(|r| r.headers["authorization"].ends_with(token));
-    go_on(Instant::now(), &|| with("first-token"));
+    let used_token = |token: &str| server.seen().iter().any(|r| r.headers["authorization"].ends_with(token));
+    submit_until(Instant::now(), &|| used_token("first-token"));
     secret.set("second-token\n", 0o600);
-    go_on(Instant::now(), &|| with("second-token"));
-    // One that others may read is not taken, nor one that is no token; the last stays.
+    submit_until(Instant::now(), &|| used_token("second-token"));
+    // A file that others may read is rejected, and so is an invalid token; the previous token stays in use.
     for (text, mode) in [("third-token\n", 0o644), ("no token at all\n", 0o600)] {
         secret.set(text, mode);
-        let from = Instant::now();
-        go_on(from, &|| from.elapsed() > MS(2_500));
+        let since = Instant::now();
+        submit_until(since, &|| since.elapsed() > MS(2_500));
     }
     eventually("all are delivered", || site.status().delivered == sent);
-    assert!(!with("third-token") && !with("all"));
+    assert!(!used_token("third-token") && !used_token("all"));
     let last = server.seen().last().cloned().unwrap();
     assert_eq!(last.headers["authorization"], "Bearer second-token");
 }
 
-/// Every attempt is signed for its own moment, by both secrets during a change.
+/// Each attempt is signed with its own timestamp, and with both secrets during a rotation.
 #[test]
-fn a_webhook_is_signed_and_its_id_stays() {
+fn webhook_attempts_are_signed_and_keep_their_id() {
     let one = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw";
     let two = "whsec_AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=";
     let secret = SecretFile::with(&format!("{one}\n{two}\n"));
     let first = std::sync::atomic::AtomicBool::new(true);
-    let (server, site) = spoken_to(&secret.lines("webhook", "webhook"), move |_| {
+    let (server, site) = site_with_partner(&secret.lines("webhook", "webhook"), move |_| {
         match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
             true => Reply::Status(500, ""),
             false => Reply::Status(204, ""),
         }
     });
     submit(&site, "note", "", "n1");
-    ends_as(&site, "n1", "delivered");
+    wait_for_state(&site, "n1", "delivered");
     let seen = server.seen();
     assert_eq!(seen.len(), 2);
     for call in &seen {
         assert_eq!(call.headers["webhook-id"], "n1");
         let unix: u64 = call.headers["webhook-timestamp"].parse().unwrap();
         let secrets = Secrets::parse(&AuthScheme::Webhook, format!("{one}\n{two}").as_bytes()).unwrap();
-        let made = headers(
+        let expected = headers(
             &AuthScheme::Webhook,
             &secrets,
             SignedCall { id: "n1", timestamp: unix, body: &call.body },
         )
         .unwrap();
-        assert_eq!(call.headers["webhook-signature"], made[2].1.to_str().unwrap());
+        assert_eq!(call.headers["webhook-signature"], expected[2].1.to_str().unwrap());
         assert_eq!(call.headers["webhook-signature"].split(' ').count(), 2);
     }
-    // Its id would be taken for another id and time: it can't be signed, and ends at once.
+    // The signed text joins id and timestamp with a dot, so an id with a dot is ambiguous: it cannot be signed, and the message
+    // ends at once.
     submit(&site, "fee", "", "a.b");
     eventually("it has ended", || site.message_state("a.b") == "given_up");
     assert_eq!(server.seen().len(), 2);
 }
 
 #[test]
-fn a_secret_that_cannot_be_used_is_told_before_anything_is_taken_on() {
+fn an_unusable_secret_is_reported_before_messages_are_accepted() {
     let secret = SecretFile::with("hidden-token\n");
     let server = Server::start(|_| OK);
-    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
-    plan.partner = secret.lines("http", "bearer");
-    let site = SiteProcess::prepared(&plan);
+    let mut config = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
+    config.partner = secret.lines("http", "bearer");
+    let site = SiteProcess::prepared(&config);
     let starts = || {
         let output = site.run_command(&["serve", "--site", site.site_file().to_str().unwrap()]);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    for (text, mode, told) in [
+    for (text, mode, expected) in [
         ("hidden-token\n", 0o644, "mode 644 lets others at it"),
         ("hidden token\n", 0o600, "line 1: has characters that no token has"),
         ("\n", 0o600, "is empty"),
     ] {
         secret.set(text, mode);
         let (code, output) = starts();
-        assert!(code == Some(1) && output.contains(told) && output.contains("partner.p.proof"), "{output}");
+        assert!(
+            code == Some(1) && output.contains(expected) && output.contains("partner.p.proof"),
+            "{output}"
+        );
         assert!(!output.contains("hidden"), "{output}");
     }
     fs::remove_file(&secret.path).unwrap();
--- a/tests/site/site_process.rs
+++ b/tests/site/site_process.rs
@@ -1,4 +1,4 @@
-//! A forwarder with a site file of its own as a process, its partners on loopback, its clients and its operators.
+//! Test support: a forwarder as a process with its own site file, and the requests of its clients and operators.
 
 use foldtrack_control::{
     Client, ClientError, ControlCommand, ControlResponse, Endpoint, Message, OrderResult, Status,
@@ -14,17 +14,24 @@
 
 pub use foldtrack_standin::{eventually, PATIENCE};
 
+/// Path of the `foldtrack` program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_foldtrack");
 
-/// A site file whose partner `p` has these endpoints.
+/// The contents of a site file.
 pub struct SiteConfig {
+    /// Partner, name and address of each endpoint.
     pub endpoints: Vec<(&'static str, &'static str, SocketAddr)>,
+    /// Lines of `[limits]`.
     pub limits: &'static str,
+    /// Lines of `[admission]`.
     pub admission: &'static str,
+    /// Lines of `[ends]`.
     pub ends: &'static str,
+    /// `process` or `machine`.
     pub durability: &'static str,
+    /// Deadline of the class `update`.
     pub update_deadline: &'static str,
-    /// How long partners remember the key of an update.
+    /// How long partners remember the idempotency key of an update.
     pub remembered: String,
     /// Lines of `[calls]`.
     pub calls: &'static str,
@@ -33,6 +40,7 @@
 }
 
 impl SiteConfig {
+    /// A site file with these endpoints and default settings.
     pub fn with_endpoints(endpoints: &[(&'static str, &'static str, SocketAddr)]) -> SiteConfig {
         SiteConfig {
             endpoints: endpoints.to_vec(),
@@ -48,7 +56,7 @@
     }
 
     fn text(&self, listen: SocketAddr, state: &str) -> String {
-        // Other builds' programs may not know it.
+        // The section is left out where it is empty: programs of other builds, which benchmarks start, may not know it.
         let admission = match self.admission {
             "" => String::new(),
             lines => format!("[admission]\n{lines}\n"),
@@ -70,14 +78,15 @@
     }
 }
 
+/// A forwarder process with a temporary folder for its site file and state. It is killed on drop.
 pub struct SiteProcess {
     pub listen: SocketAddr,
     pub folder: TempDir,
     child: Child,
 }
 
-/// A free address that no other test uses: each has a host number of its own.
-fn own_address() -> SocketAddr {
+/// A free address that no other test uses: each has its own host number.
+fn unused_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let host = NEXT.fetch_add(1, Ordering::Relaxed);
     let part = std::process::id() as usize % 250;
@@ -86,42 +95,49 @@
 }
 
 impl SiteProcess {
-    pub fn start(plan: &SiteConfig) -> SiteProcess {
-        let mut site = SiteProcess::prepared(plan);
+    /// Starts a forwarder and waits until it is ready.
+    pub fn start(config: &SiteConfig) -> SiteProcess {
+        let mut site = SiteProcess::prepared(config);
         site.restart();
         site
     }
 
-    /// A site that is not running yet.
-    pub fn prepared(plan: &SiteConfig) -> SiteProcess {
-        let site = SiteProcess { listen: own_address(), child: idle(), folder: tempfile::tempdir().unwrap() };
-        site.write_site_file(plan);
+    /// A site whose forwarder has not been started.
+    pub fn prepared(config: &SiteConfig) -> SiteProcess {
+        let site = SiteProcess {
+            listen: unused_address(),
+            child: placeholder_process(),
+            folder: tempfile::tempdir().unwrap(),
+        };
+        site.write_site_file(config);
         site
     }
 
-    pub fn write_site_file(&self, plan: &SiteConfig) {
+    /// Writes the site file.
+    pub fn write_site_file(&self, config: &SiteConfig) {
         let state = self.state_dir();
-        std::fs::write(self.site_file(), plan.text(self.listen, state.to_str().unwrap())).unwrap();
+        std::fs::write(self.site_file(), config.text(self.listen, state.to_str().unwrap())).unwrap();
     }
 
+    /// Path of the site file.
     pub fn site_file(&self) -> PathBuf {
         self.folder.path().join("site.toml")
     }
 
-    /// How large the disk is for a site that has been started with this file.
+    /// The file that limits the disk space of the state folder. It takes effect if it exists when the forwarder starts.
     pub fn disk_limit_file(&self) -> PathBuf {
         self.folder.path().join("disk-budget")
     }
 
-    /// The disk is so large from now on.
+    /// Limits the disk space of the state folder from now on.
     pub fn set_disk_limit(&self, bytes: u64) {
-        // In one step: half a number would be another.
+        // Replaced atomically: a partly written number would be another limit.
         let next = self.folder.path().join("disk-budget.next");
         std::fs::write(&next, bytes.to_string()).unwrap();
         std::fs::rename(next, self.disk_limit_file()).unwrap();
     }
 
-    /// Bytes that the files of the state folder take, what is set aside for them included.
+    /// Bytes that the files of the state folder occupy, including preallocated space.
     pub fn disk_usage(&self) -> u64 {
         fn of(folder: &std::path::Path) -> u64 {
             use std::os::unix::fs::MetadataExt;
@@ -136,18 +152,22 @@
         of(&self.state_dir())
     }
 
+    /// Path of the state folder.
     pub fn state_dir(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 
+    /// Path of the control socket.
     pub fn socket(&self) -> PathBuf {
         self.state_dir().join("control.sock")
     }
 
+    /// Process id of the forwarder.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
+    /// Starts the process without waiting until it is ready.
     pub fn spawn(&mut self) {
         // A benchmark may start another build's program.
         let program = std::env::var_os("FOLDTRACK_PROGRAM").unwrap_or(PROGRAM.into());
@@ -159,93 +179,105 @@
         self.child = command.spawn().unwrap();
     }
 
+    /// Starts the process and waits until it is ready.
     pub fn restart(&mut self) {
         self.spawn();
         let health = "GET /healthz HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n";
-        let ready =
+        let is_ready =
             || exchange(self.listen, health.as_bytes()).is_some_and(|a| a.starts_with("HTTP/1.1 200"));
-        eventually("the forwarder is ready", ready);
+        eventually("the forwarder is ready", is_ready);
     }
 
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         self.child.wait().unwrap();
     }
 
+    /// Whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Runs a command on this site.
-    pub fn run_command(&self, words: &[&str]) -> Output {
+    /// Runs a `foldtrack` command for this site.
+    pub fn run_command(&self, args: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
-        command.args(words).env_clear().env("FOLDTRACK_SITE", self.site_file()).output().unwrap()
+        command.args(args).env_clear().env("FOLDTRACK_SITE", self.site_file()).output().unwrap()
     }
 
+    /// A connection to the control socket.
     pub fn client(&self) -> Client {
         Client::connect(&self.socket()).unwrap()
     }
 
+    /// Sends one control command on a new connection.
     pub fn request(&self, ask: ControlCommand) -> Result<ControlResponse, ClientError> {
         self.client().request(ask)
     }
 
+    /// Sends an order that must succeed.
     pub fn order(&self, ask: ControlCommand) -> OrderResult {
         match self.request(ask).unwrap() {
             ControlResponse::Done(done) => done,
-            told => panic!("{told:?}"),
+            response => panic!("{response:?}"),
         }
     }
 
+    /// The status of the forwarder.
     pub fn status(&self) -> Status {
         match self.request(ControlCommand::Status).unwrap() {
             ControlResponse::Status(status) => *status,
-            told => panic!("{told:?}"),
+            response => panic!("{response:?}"),
         }
     }
 
+    /// The endpoints by name.
     pub fn endpoints(&self) -> BTreeMap<String, Endpoint> {
         match self.request(ControlCommand::Endpoints).unwrap() {
             ControlResponse::Endpoints(all) => all.into_iter().map(|e| (e.name.clone(), e)).collect(),
-            told => panic!("{told:?}"),
+            response => panic!("{response:?}"),
         }
     }
 
+    /// The history of a message, if it is known.
     pub fn message(&self, id: &str) -> Option<Message> {
         match self.request(ControlCommand::Message { message: id.into() }) {
             Ok(ControlResponse::Message(message)) => Some(*message),
-            Ok(told) => panic!("{told:?}"),
+            Ok(response) => panic!("{response:?}"),
             Err(_) => None,
         }
     }
 
+    /// The state of a message; `unknown` if it is not known.
     pub fn message_state(&self, id: &str) -> String {
         self.message(id).map_or("unknown".into(), |m| m.state)
     }
 
-    /// Hands a message in, and gives the status of the answer and its head.
+    /// Submits a message to the partner `p`. Returns the status and the response in lower case; status 0 if there was no
+    /// response.
     pub fn post(&self, class: &str, key: &str, id: &str, body: &str) -> (u16, String) {
         self.post_to("p", class, key, id, body)
     }
 
+    /// Submits a message to a partner.
     pub fn post_to(&self, partner: &str, class: &str, key: &str, id: &str, body: &str) -> (u16, String) {
-        let answer =
+        let response =
             exchange(self.listen, &message_request(partner, class, key, id, body)).unwrap_or_default();
-        (answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0), answer.to_lowercase())
+        (response.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0), response.to_lowercase())
     }
 
-    /// Asks the listener, and gives the status and the JSON.
+    /// Sends a GET request to the listener, and returns the status and the JSON body.
     pub fn get(&self, path: &str) -> (u16, Value) {
         let request = format!("GET {path} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n");
-        let answer = exchange(self.listen, request.as_bytes()).unwrap_or_default();
-        let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
-        let status = answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+        let response = exchange(self.listen, request.as_bytes()).unwrap_or_default();
+        let body = response.split_once("\r\n\r\n").map_or("", |(_, body)| body);
+        let status = response.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
         (status, serde_json::from_str(body).unwrap_or(Value::Null))
     }
 }
 
-fn idle() -> Child {
-    // Stands for a process until the first one starts.
+/// A placeholder until the forwarder's process is started.
+fn placeholder_process() -> Child {
     Command::new("true").spawn().unwrap()
 }
 
@@ -256,6 +288,7 @@
     }
 }
 
+/// The HTTP request that submits a message.
 pub fn message_request(partner: &str, class: &str, key: &str, id: &str, body: &str) -> Vec<u8> {
     format!(
         "POST /{class}/{key} HTTP/1.1\r\nHost: f\r\nConnection: close\r\nX-Request-Id: {id}\r\nX-Partner: {partner}\r\n\
@@ -265,31 +298,33 @@
     .into_bytes()
 }
 
-/// Sends bytes on a new connection and gives what comes back until it is closed; nothing if it broke.
+/// Sends bytes on a new connection and returns everything received until it is closed; `None` if the connection failed.
 pub fn exchange(to: SocketAddr, bytes: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     stream.write_all(bytes).ok()?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).ok()?;
-    Some(String::from_utf8_lossy(&answer).into_owned())
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).ok()?;
+    Some(String::from_utf8_lossy(&response).into_owned())
 }
 
-/// A raw connection to the control line.
+/// A connection to the control socket that sends and receives raw lines.
 pub struct RawControlClient(BufReader<std::os::unix::net::UnixStream>);
 
 impl RawControlClient {
+    /// Connects to a site's control socket.
     pub fn connect(site: &SiteProcess) -> RawControlClient {
         let stream = std::os::unix::net::UnixStream::connect(site.socket()).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         RawControlClient(BufReader::new(stream))
     }
 
+    /// Writes bytes; false if the connection was closed.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.0.get_mut().write_all(bytes).is_ok()
     }
 
-    /// The next line, or nothing if the connection has ended.
+    /// The next line as JSON; `None` if the connection was closed.
     pub fn line(&mut self) -> Option<Value> {
         let mut line = String::new();
         self.0.read_line(&mut line).ok().filter(|n| *n > 0)?;
