--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -1,5 +1,5 @@
-//! `foldtrack demo`: a forwarder on a new site, partners with common failures and several thousand messages of all
-//! classes; each delivery rule is checked against the partners' own call records.
+//! `foldtrack demo`: a forwarder on a new site, partners with common failures and several thousand
+//! messages of all classes; each delivery rule is checked against the partners' own call records.
 
 use super::{fleet, print, show, CommandError, CommandResult, EXIT_FAILED};
 use crate::lock::lock_ignoring_poison;
@@ -30,7 +30,8 @@
     /// Messages per second
     #[arg(long, default_value_t = 400, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     rate: u64,
-    /// Run this many forwarders as peers, with a network partition between them, instead of one with failing partners
+    /// Run this many forwarders as peers, with a network partition between them, instead of one
+    /// with failing partners
     #[arg(long, value_parser = clap::value_parser!(u64).range(3..=9))]
     forwarders: Option<u64>,
 }
@@ -164,8 +165,8 @@
     conclude(&status, &partner_stats, &outcomes, &call_records, &sent, start.elapsed())
 }
 
-/// One client: it sends one message at a time on a persistent connection. All messages of a key come from the same
-/// client, in order, and go to the same partner.
+/// One client: it sends one message at a time on a persistent connection. All messages of a key
+/// come from the same client, in order, and go to the same partner.
 fn submit(worker: u64, demo: &Demo, listen: SocketAddr, start: Instant, sent: &Sent) {
     let mut random = fastrand::Rng::with_seed(demo.seed.wrapping_add(1000 + worker));
     let mut connection = Exchange::new(listen, CLIENT_TIMEOUT);
@@ -244,7 +245,8 @@
     }
 }
 
-/// Prints the final report: the outcomes reported by the forwarder, checked against the partners' call records.
+/// Prints the final report: the outcomes reported by the forwarder, checked against the partners'
+/// call records.
 fn conclude(
     status: &Status, partners: &[PartnerStats], outcomes: &BTreeMap<String, Vec<String>>,
     call_records: &[(&str, Books)], sent: &Sent, elapsed: Duration,
--- a/src/bin/foldtrack/cli/emulate.rs
+++ b/src/bin/foldtrack/cli/emulate.rs
@@ -26,7 +26,8 @@
     /// Number of forwarders, instead of the scenario's
     #[arg(long)]
     forwarders: Option<u32>,
-    /// A policy to run; may be repeated. The others are compared with the first; `module` is the program's own
+    /// A policy to run; may be repeated. The others are compared with the first; `module` is the
+    /// program's own
     #[arg(long = "policy", default_values = ["module", "one-try", "back-off", "aimd", "even-part"])]
     policies: Vec<String>,
     /// Print one JSON object per run
@@ -98,7 +99,8 @@
     }
 }
 
-/// A table of means with their 95% confidence intervals, and of the paired differences to the first policy by seed.
+/// A table of means with their 95% confidence intervals, and of the paired differences to the first
+/// policy by seed.
 fn report(all: &[Row], policies: &[String]) -> String {
     let of = |policy: &String| all.iter().filter(|r| r.policy == *policy).collect::<Vec<_>>();
     let first = policies.first().map(of).unwrap_or_default();
--- a/src/bin/foldtrack/cli/ends.rs
+++ b/src/bin/foldtrack/cli/ends.rs
@@ -1,5 +1,5 @@
-//! `foldtrack ends`: fetches message outcomes and acknowledges them once they have been written. For sites without a
-//! client that does so.
+//! `foldtrack ends`: fetches message outcomes and acknowledges them once they have been written.
+//! For sites without a client that does so.
 
 use super::{load, print, CommandError, CommandResult, EXIT_FAILED};
 use crate::connections::Connection;
--- a/src/bin/foldtrack/cli/fleet.rs
+++ b/src/bin/foldtrack/cli/fleet.rs
@@ -1,4 +1,5 @@
-//! `foldtrack fleet`: runs several forwarders as processes, with the faults that a scenario describes.
+//! `foldtrack fleet`: runs several forwarders as processes, with the faults that a scenario
+//! describes.
 
 use super::{print, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use clap::Subcommand;
@@ -18,8 +19,9 @@
 
 #[derive(Subcommand)]
 pub(super) enum Fleet {
-    /// Runs a scenario on real processes and checks the delivery rules against the records of partners and clients. The
-    /// exit code is 0 only if no rule was violated and enough messages were accepted; the last line is one JSON object
+    /// Runs a scenario on real processes and checks the delivery rules against the records of
+    /// partners and clients. The exit code is 0 only if no rule was violated and enough messages
+    /// were accepted; the last line is one JSON object
     Run {
         /// Number of forwarders
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=16))]
@@ -119,7 +121,8 @@
     report.map_err(|e| CommandError(EXIT_FAILED, e))
 }
 
-/// Runs a scenario, prints the report and, on failure, searches for the shortest scenario that fails.
+/// Runs a scenario, prints the report and, on failure, searches for the shortest scenario that
+/// fails.
 fn run(plan: &Play, json: bool, shrink: bool) -> CommandResult {
     if !json {
         print(&format!("{}: {}\n", plan.name, plan.story.about))?;
--- a/src/bin/foldtrack/cli/journal.rs
+++ b/src/bin/foldtrack/cli/journal.rs
@@ -1,5 +1,5 @@
-//! `foldtrack journal`: inspects a journal, while a forwarder uses it or afterwards. It only reads, and takes no lock
-//! that a running forwarder could wait for.
+//! `foldtrack journal`: inspects a journal, while a forwarder uses it or afterwards. It only reads,
+//! and takes no lock that a running forwarder could wait for.
 
 use super::{load, print, show, CommandError, CommandResult, EXIT_FAILED, EXIT_REFUSED};
 use base64::prelude::{Engine, BASE64_STANDARD};
@@ -10,7 +10,8 @@
 use std::io::ErrorKind;
 use std::path::PathBuf;
 
-/// Maximum number of attempts to read the journal. A running forwarder may remove a segment during an attempt.
+/// Maximum number of attempts to read the journal. A running forwarder may remove a segment during
+/// an attempt.
 const MAX_READ_ATTEMPTS: u32 = 20;
 
 #[derive(Args)]
@@ -104,7 +105,8 @@
     ))
 }
 
-/// The state of an open message as text. It is also printed as JSON, where programs may depend on the wording.
+/// The state of an open message as text. It is also printed as JSON, where programs may depend on
+/// the wording.
 fn message_state(message: &RecoveredMessage) -> &'static str {
     match (message.delivered, message.notice, message.attempts.last()) {
         (true, ..) => "delivered, to be told",
--- a/src/bin/foldtrack/cli/keys.rs
+++ b/src/bin/foldtrack/cli/keys.rs
@@ -1,5 +1,6 @@
-//! `foldtrack keys`: lists the certificates and secrets used with each partner and when they expire, as the site file
-//! names them. No secret is shown; a secret is read only to check that it is readable and valid.
+//! `foldtrack keys`: lists the certificates and secrets used with each partner and when they
+//! expire, as the site file names them. No secret is shown; a secret is read only to check that it
+//! is readable and valid.
 
 use super::{load, print, show, CommandError, CommandResult, EXIT_FAILED};
 use foldtrack_proof::{AuthScheme, Secrets};
@@ -56,8 +57,8 @@
     }
 }
 
-/// Describes the certificate of a file that expires first: subject, issuer, expiry and pin. An error if it is expired
-/// or not yet valid. `unix` is the current time in seconds.
+/// Describes the certificate of a file that expires first: subject, issuer, expiry and pin. An
+/// error if it is expired or not yet valid. `unix` is the current time in seconds.
 fn describe_first_to_expire(file: &Path, unix: i64) -> Result<String, String> {
     let (text, _) = crate::partner_protocol::read_protected_file(file)?;
     let all = certificate::parse_pem(&text)?;
--- a/src/bin/foldtrack/cli/load.rs
+++ b/src/bin/foldtrack/cli/load.rs
@@ -10,7 +10,8 @@
 pub(super) enum Load {
     /// Sends messages at a given rate through a forwarder to simulated partners
     Run(LoadArgs),
-    /// Runs each failure share and rate of the plan, both with a forwarder and with a plain client that retries
+    /// Runs each failure share and rate of the plan, both with a forwarder and with a plain client
+    /// that retries
     Sweep(LoadArgs),
 }
 
--- a/src/bin/foldtrack/cli/mod.rs
+++ b/src/bin/foldtrack/cli/mod.rs
@@ -1,7 +1,7 @@
 //! The command line interface.
 //!
-//! Exit codes: 0 success, 1 the command failed, 2 the arguments or the site file are invalid, 3 no forwarder runs on
-//! the state folder, 4 the forwarder refused the order.
+//! Exit codes: 0 success, 1 the command failed, 2 the arguments or the site file are invalid, 3 no
+//! forwarder runs on the state folder, 4 the forwarder refused the order.
 
 mod demo;
 mod emulate;
@@ -31,8 +31,8 @@
 const EXIT_NOT_RUNNING: u8 = 3;
 const EXIT_REFUSED: u8 = 4;
 
-/// Forwards outbound messages to partners: each is delivered as its class allows, in order where required, and a
-/// payment never twice
+/// Forwards outbound messages to partners: each is delivered as its class allows, in order where
+/// required, and a payment never twice
 #[derive(Parser)]
 #[command(
     name = "foldtrack",
@@ -52,8 +52,8 @@
         /// The site file
         #[arg(long, default_value = "site.toml")]
         site: PathBuf,
-        /// Simulates a full disk: the journal and the stored outcomes may use no more bytes in the state folder than
-        /// this file says. The file is read again whenever space is needed
+        /// Simulates a full disk: the journal and the stored outcomes may use no more bytes in the
+        /// state folder than this file says. The file is read again whenever space is needed
         #[arg(long, value_name = "FILE")]
         disk_budget: Option<PathBuf>,
         /// For tests: shifts the wall clock by this many seconds, forward or back
@@ -68,7 +68,8 @@
         /// For tests: runs every clock of the process faster by this factor
         #[arg(long, value_name = "FACTOR", default_value_t = 1.0, hide = true)]
         clock_rate: f64,
-        /// Exits when standard input is closed, so that the forwarder ends with the process that started it
+        /// Exits when standard input is closed, so that the forwarder ends with the process that
+        /// started it
         #[arg(long, hide = true)]
         end_with_input: bool,
     },
@@ -78,7 +79,8 @@
         #[arg(default_value = "site.toml")]
         site: PathBuf,
     },
-    /// Lists the certificates and secrets used with each partner and when they expire; no secret is shown
+    /// Lists the certificates and secrets used with each partner and when they expire; no secret is
+    /// shown
     Keys {
         /// The site file
         #[arg(default_value = "site.toml", env = "FOLDTRACK_SITE")]
@@ -141,7 +143,8 @@
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// Stops new calls to a partner; messages for it are still accepted and wait, up to their deadlines
+    /// Stops new calls to a partner; messages for it are still accepted and wait, up to their
+    /// deadlines
     Pause {
         /// The partner
         partner: String,
@@ -172,9 +175,11 @@
     Ends(ends::Ends),
     /// Inspects the journal of a state folder, read-only
     Journal(journal::Journal),
-    /// Demonstrates a forwarder with failing partners, and checks the delivery rules against the partners' call records
+    /// Demonstrates a forwarder with failing partners, and checks the delivery rules against the
+    /// partners' call records
     Demo(demo::Demo),
-    /// Load test: sends messages at a given rate to simulated partners with given failures, and reports the outcomes
+    /// Load test: sends messages at a given rate to simulated partners with given failures, and
+    /// reports the outcomes
     #[command(subcommand)]
     Load(load::Load),
     /// Lists the clients by address, with refused requests and blocks
--- a/src/bin/foldtrack/cli/partner.rs
+++ b/src/bin/foldtrack/cli/partner.rs
@@ -1,5 +1,6 @@
-//! `foldtrack partner try`: tests the connection to a partner step by step, as the forwarder makes it, and shows the
-//! request that would be sent. Nothing is sent without `--send`. A running forwarder and its journal are not involved.
+//! `foldtrack partner try`: tests the connection to a partner step by step, as the forwarder makes
+//! it, and shows the request that would be sent. Nothing is sent without `--send`. A running
+//! forwarder and its journal are not involved.
 
 use super::{load, print, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use crate::connections::Connection;
@@ -28,7 +29,8 @@
 
 #[derive(Subcommand)]
 enum PartnerCommand {
-    /// Tests connection and TLS step by step and shows the request that would be sent; sends it only with --send
+    /// Tests connection and TLS step by step and shows the request that would be sent; sends it
+    /// only with --send
     Try(TryArgs),
 }
 
--- a/src/bin/foldtrack/cli/peers.rs
+++ b/src/bin/foldtrack/cli/peers.rs
@@ -1,4 +1,5 @@
-//! `foldtrack state`: the operator orders in force on a site, and the differences between two forwarders.
+//! `foldtrack state`: the operator orders in force on a site, and the differences between two
+//! forwarders.
 
 use super::{load, print, show, CommandError, CommandResult, ControlArgs, EXIT_FAILED, EXIT_USAGE};
 use clap::Subcommand;
@@ -11,8 +12,8 @@
 pub(super) enum State {
     /// Shows the orders given on any forwarder of the site, and who gave them
     Show(ControlArgs),
-    /// Compares two forwarders, each given by its site file, its state folder, or a file written by `state show --json`.
-    /// The exit code is 1 if they differ
+    /// Compares two forwarders, each given by its site file, its state folder, or a file written by
+    /// `state show --json`. The exit code is 1 if they differ
     Diff {
         /// The first forwarder
         one: PathBuf,
--- a/src/bin/foldtrack/cli/send.rs
+++ b/src/bin/foldtrack/cli/send.rs
@@ -1,8 +1,9 @@
-//! `foldtrack send`: submits messages from a file of JSON lines, resumes after an interruption, and reports the outcomes.
+//! `foldtrack send`: submits messages from a file of JSON lines, resumes after an interruption, and
+//! reports the outcomes.
 //!
-//! A ledger next to the file records the batch and the accepted lines. A line's default id consists of the batch and the
-//! line number, so a line that was accepted just before an interruption is submitted again under the same id, and the
-//! forwarder recognises the duplicate.
+//! A ledger next to the file records the batch and the accepted lines. A line's default id consists
+//! of the batch and the line number, so a line that was accepted just before an interruption is
+//! submitted again under the same id, and the forwarder recognises the duplicate.
 
 use super::{load, print, show, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use crate::connections::Connection;
@@ -30,7 +31,8 @@
 
 /// Maximum length of an input line. A body has 64 KiB at most.
 const MAX_LINE_BYTES: u64 = 256 * 1024;
-/// How long the forwarder may be unreachable, for example during a restart, before the command gives up.
+/// How long the forwarder may be unreachable, for example during a restart, before the command
+/// gives up.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Minimum delay before a request is retried, and the interval between polls for outcomes.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -119,8 +121,8 @@
 }
 
 impl Ledger {
-    /// Opens the ledger of an input file, or creates one. A ledger with another checksum belongs to other content and is
-    /// an error.
+    /// Opens the ledger of an input file, or creates one. A ledger with another checksum belongs to
+    /// other content and is an error.
     fn open(path: Option<&Path>, checksum: u32) -> Result<Ledger, CommandError> {
         let new_batch = format!("{:016x}", RandomState::new().hash_one(std::process::id()));
         let Some(path) = path else {
@@ -131,7 +133,8 @@
         match std::fs::read(path) {
             Ok(bytes) => {
                 length = bytes.len();
-                // The last line may be incomplete. It is dropped, and its message is submitted again under the same id.
+                // The last line may be incomplete. It is dropped, and its message is submitted
+                // again under the same id.
                 for line in bytes.split_inclusive(|b| *b == b'\n').filter(|l| l.ends_with(b"\n")) {
                     complete_bytes += line.len();
                     match serde_json::from_slice(line) {
@@ -437,7 +440,8 @@
     }
 }
 
-/// Sends one request; keeps the connection if the response was read completely. `None` if there was no response.
+/// Sends one request; keeps the connection if the response was read completely. `None` if there was
+/// no response.
 async fn exchange(
     connection: &mut Option<Connection>, to: SocketAddr, request: Request<Full<Bytes>>,
 ) -> Option<(StatusCode, Duration, Bytes)> {
--- a/src/bin/foldtrack/cli/show.rs
+++ b/src/bin/foldtrack/cli/show.rs
@@ -1,5 +1,5 @@
-//! Formats responses as text: aligned columns and units. Control characters, such as those of a message id, are
-//! escaped so that they cannot reach the terminal.
+//! Formats responses as text: aligned columns and units. Control characters, such as those of a
+//! message id, are escaped so that they cannot reach the terminal.
 
 use foldtrack_control::{
     ClientStats, Clients, ControlResponse, Endpoint, Failure, Message, OrderResult, Partner, Peer, Peers,
@@ -33,8 +33,8 @@
         .collect()
 }
 
-/// A table with a header line; columns are as wide as needed, text is aligned left and numbers right. `none` is printed
-/// if there are no rows.
+/// A table with a header line; columns are as wide as needed, text is aligned left and numbers
+/// right. `none` is printed if there are no rows.
 pub(super) fn table(head: &[&str], rows: &[Vec<String>], none: &str) -> String {
     if rows.is_empty() {
         return format!("{none}\n");
@@ -221,8 +221,8 @@
     table(&head, &endpoints.iter().map(row).collect::<Vec<_>>(), "no endpoints")
 }
 
-/// An endpoint's connections: idle ones, those being opened ahead, the share of calls that found one ready, the duration
-/// of a handshake and the maximum idle time.
+/// An endpoint's connections: idle ones, those being opened ahead, the share of calls that found
+/// one ready, the duration of a handshake and the maximum idle time.
 fn connections(e: &Endpoint) -> String {
     let ahead = if e.dialling > 0 { format!("+{}", e.dialling) } else { String::new() };
     let (ready, handshake) = (100.0 * e.ready, format_number(e.handshake_ms));
--- a/src/bin/foldtrack/control.rs
+++ b/src/bin/foldtrack/control.rs
@@ -1,7 +1,8 @@
 //! Server side of the control socket.
 //!
-//! Control connections are served on their own thread and runtime, so that a slow client cannot delay the event
-//! loop. The event loop produces at most a few snapshots a second, however many clients ask for one.
+//! Control connections are served on their own thread and runtime, so that a slow client cannot
+//! delay the event loop. The event loop produces at most a few snapshots a second, however many
+//! clients ask for one.
 
 use crate::blocks::{Blocks, MAX_BLOCK_MS};
 use crate::descriptors::{DescriptorBudget, DescriptorPermit};
@@ -29,7 +30,8 @@
 use tokio::sync::{oneshot, Mutex, Notify};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Maximum number of control connections. Beyond it, the connection that has been idle longest is closed.
+/// Maximum number of control connections. Beyond it, the connection that has been idle longest is
+/// closed.
 const MAX_CONNECTIONS: usize = 32;
 /// How long a snapshot is reused before the event loop is asked for a new one.
 const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(200);
@@ -49,8 +51,8 @@
 /// How long the control thread stays alive without a connection.
 const IDLE_THREAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Binds the control socket. The caller holds the lock of the state folder, so an existing socket file belongs to
-/// a process that has ended.
+/// Binds the control socket. The caller holds the lock of the state folder, so an existing socket
+/// file belongs to a process that has ended.
 ///
 /// # Errors
 /// The path and the cause, when the old file cannot be removed or the socket cannot be bound.
@@ -60,8 +62,8 @@
         Err(e) if e.kind() != ErrorKind::NotFound => return Err(error_text(e)),
         _ => {}
     }
-    // Restricts the socket to its owner from the moment it exists. The umask applies to the whole process, but no
-    // other thread that creates files runs yet.
+    // Restricts the socket to its owner from the moment it exists. The umask applies to the whole
+    // process, but no other thread that creates files runs yet.
     let previous_umask = rustix::process::umask(rustix::fs::Mode::from_raw_mode(0o177));
     let bind_result = UnixListener::bind(path);
     rustix::process::umask(previous_umask);
@@ -70,8 +72,9 @@
     Ok(listener)
 }
 
-/// Starts the control server: it accepts connections on the current runtime and serves them on their own thread.
-/// `limits` returns the current descriptor limit and the number of client connections that it permits.
+/// Starts the control server: it accepts connections on the current runtime and serves them on
+/// their own thread. `limits` returns the current descriptor limit and the number of client
+/// connections that it permits.
 ///
 /// # Errors
 /// The socket could not be registered with the runtime.
@@ -109,7 +112,8 @@
     snapshot: Mutex<Option<Arc<Snapshot>>>,
     /// When the last order was carried out. Older snapshots are not shown.
     last_order: std::sync::Mutex<Option<Instant>>,
-    /// Open connections by number: the time of the last request, and the signal that closes the connection.
+    /// Open connections by number: the time of the last request, and the signal that closes the
+    /// connection.
     connections: std::sync::Mutex<BTreeMap<u64, (Instant, Arc<Notify>)>>,
     /// Passes accepted connections to the control thread, while there is one.
     thread: std::sync::Mutex<Option<UnboundedSender<StdStream>>>,
@@ -119,10 +123,12 @@
     let uid = rustix::process::geteuid().as_raw();
     loop {
         let accepted = listener.accept().await;
-        // The event loop runs on this thread: the pause limits the share that a stream of connections can take.
+        // The event loop runs on this thread: the pause limits the share that a stream of
+        // connections can take.
         sleep(ACCEPT_PAUSE).await;
         let Ok((stream, _)) = accepted else { continue };
-        // The socket's mode restricts access as well, but a descriptor may have been passed to another user.
+        // The socket's mode restricts access as well, but a descriptor may have been passed to
+        // another user.
         let allowed = stream.peer_cred().is_ok_and(|peer| peer.uid() == uid || peer.uid() == 0);
         let Ok(stream) = stream.into_std() else { continue };
         if allowed {
@@ -131,8 +137,9 @@
     }
 }
 
-/// Passes a connection to the control thread, and starts the thread if there is none. A process with one thread is
-/// some percent faster than one with two, so the thread exists only while there are control connections.
+/// Passes a connection to the control thread, and starts the thread if there is none. A process
+/// with one thread is some percent faster than one with two, so the thread exists only while there
+/// are control connections.
 fn dispatch(stream: StdStream, server: &Arc<ControlServer>) {
     let mut thread = lock_ignoring_poison(&server.thread);
     let rejected = match thread.as_ref() {
@@ -160,7 +167,8 @@
     }
 }
 
-/// Body of the control thread: serves connections until there has been none for `IDLE_THREAD_TIMEOUT`.
+/// Body of the control thread: serves connections until there has been none for
+/// `IDLE_THREAD_TIMEOUT`.
 async fn serve_connections(mut streams: UnboundedReceiver<StdStream>, server: Arc<ControlServer>) {
     for number in 0.. {
         let stream = loop {
@@ -189,8 +197,8 @@
 }
 
 impl ControlServer {
-    /// Registers a connection. If the connection limit or the descriptor budget is exhausted, closes the connection
-    /// that has been idle longest.
+    /// Registers a connection. If the connection limit or the descriptor budget is exhausted,
+    /// closes the connection that has been idle longest.
     fn register(&self, number: u64, close: &Arc<Notify>) -> DescriptorPermit {
         let mut connections = lock_ignoring_poison(&self.connections);
         let permit =
@@ -225,7 +233,8 @@
 
     /// A snapshot that is at most `SNAPSHOT_MAX_AGE` old and not older than the last order.
     async fn snapshot(&self) -> Option<Arc<Snapshot>> {
-        // While one connection requests a snapshot, the others wait for the lock and get the same one.
+        // While one connection requests a snapshot, the others wait for the lock and get the same
+        // one.
         let mut last = self.snapshot.lock().await;
         let oldest_allowed = *lock_ignoring_poison(&self.last_order);
         let fresh = |p: &&Arc<Snapshot>| {
@@ -252,7 +261,8 @@
         }
         server.record_request(number);
         for read_line in lines.push(&buffer[..count]) {
-            // Rate limit: a client that exceeds it is delayed, and its further requests stay in the socket buffer.
+            // Rate limit: a client that exceeds it is delayed, and its further requests stay in the
+            // socket buffer.
             let now = Instant::now();
             next_slot = next_slot.max(now - REQUEST_BURST * REQUEST_INTERVAL) + REQUEST_INTERVAL;
             sleep_until(next_slot - REQUEST_INTERVAL).await;
@@ -294,8 +304,8 @@
     timeout(WRITE_TIMEOUT, stream.write_all(reply.to_line().as_bytes())).await?
 }
 
-/// Serves a subscription: sends a snapshot whenever it has changed, until the client disconnects. A slow client gets
-/// fewer updates, each with the latest state.
+/// Serves a subscription: sends a snapshot whenever it has changed, until the client disconnects. A
+/// slow client gets fewer updates, each with the latest state.
 async fn serve_subscription(
     mut stream: UnixStream, id: Value, every: Duration, mut events: Option<Receiver<Event>>,
     server: &ControlServer,
@@ -451,9 +461,10 @@
     }
 }
 
-/// Blocks a network, or ends a block (`for_ms` is `None`). This runs here rather than in the event loop, because
-/// writing the file of blocks may take long. A block applies at once on this forwarder, whatever its peers respond;
-/// a block ends only after the event loop has confirmed it, which needs the reports of a quorum of peers.
+/// Blocks a network, or ends a block (`for_ms` is `None`). This runs here rather than in the event
+/// loop, because writing the file of blocks may take long. A block applies at once on this
+/// forwarder, whatever its peers respond; a block ends only after the event loop has confirmed it,
+/// which needs the reports of a quorum of peers.
 async fn block(server: &ControlServer, network: &str, for_ms: Option<u64>) -> ControlResponse {
     let network = match foldtrack_site::check::parse_network(network) {
         Ok(network) => network,
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -29,8 +29,8 @@
 /// Only the owner may access the state folder.
 const STATE_MODE: u32 = 0o700;
 
-/// Runs a site's forwarder until it is told to stop. With `disk_budget`, the file that simulates a full disk, the
-/// journal and the outcome store may use no more bytes than it says.
+/// Runs a site's forwarder until it is told to stop. With `disk_budget`, the file that simulates a
+/// full disk, the journal and the outcome store may use no more bytes than it says.
 ///
 /// # Errors
 /// Why the forwarder cannot start, with the file or setting concerned.
@@ -100,13 +100,14 @@
     })
 }
 
-/// A random seed that differs between processes and that no client can guess. A journal that is created with it
-/// uses it as its identity.
+/// A random seed that differs between processes and that no client can guess. A journal that is
+/// created with it uses it as its identity.
 fn seed(unix: u64) -> u64 {
     RandomState::new().hash_one((unix, std::process::id()))
 }
 
-/// Locks a state folder. The lock is held as long as the file is open, so it ends with the process in any case.
+/// Locks a state folder. The lock is held as long as the file is open, so it ends with the process
+/// in any case.
 ///
 /// # Errors
 /// Another process holds the lock (the text names its process id), or the lock file cannot be used.
@@ -193,7 +194,8 @@
         max_advised_wait: site.limits.longest_wait,
         classes: site.classes.iter().map(class).collect(),
         decay: Decay::Linear,
-        // The same values as in the first deployment; see docs/operators/site.md. Durations are in microseconds.
+        // The same values as in the first deployment; see docs/operators/site.md. Durations are in
+        // microseconds.
         rules: Rules {
             drain_grace: 2_000_000,
             cold_capacity_share: 0.16,
--- a/tests/site/admission.rs
+++ b/tests/site/admission.rs
@@ -1,5 +1,6 @@
-//! Connection floods against a forwarder process, while known clients submit at their usual rate from another address.
-//! `FOLDTRACK_FLOOD=10000` is the full number of connections; the clients then submit more messages.
+//! Connection floods against a forwarder process, while known clients submit at their usual rate
+//! from another address. `FOLDTRACK_FLOOD=10000` is the full number of connections; the clients
+//! then submit more messages.
 
 use super::flood_clients::{connect_from, flood, p99, submit, submit_to};
 use super::site_process::*;
@@ -126,8 +127,8 @@
     assert_eq!(site.run_command(&["block", "somewhere"]).status.code(), Some(4));
 }
 
-/// File descriptors run out while messages are being delivered: these messages still end, the control socket responds, and only
-/// new connections have to wait.
+/// File descriptors run out while messages are being delivered: these messages still end, the
+/// control socket responds, and only new connections have to wait.
 #[test]
 fn accepted_messages_end_when_descriptors_run_out() {
     let conduct = Conduct { answers: (Duration::from_secs(2), Duration::from_secs(2)), ..Conduct::default() };
@@ -153,7 +154,8 @@
         clients(&site).clients.iter().map(|c| c.connections).sum::<u32>() <= 30
     });
     drop(idle);
-    // The journal keeps working and reuses its space: the messages submitted now are several times its size.
+    // The journal keeps working and reuses its space: the messages submitted now are several times
+    // its size.
     let mut busy = connect_from("127.0.9.1", site.listen).unwrap();
     busy.set_read_timeout(Some(PATIENCE)).unwrap();
     let (body, mut answer) = ("x".repeat(20_000), [0; 512]);
@@ -188,8 +190,8 @@
     );
 }
 
-/// Control connections, clients and calls together need more descriptors than there are: each gets its share, and the process
-/// never exceeds its limit.
+/// Control connections, clients and calls together need more descriptors than there are: each gets
+/// its share, and the process never exceeds its limit.
 #[test]
 fn all_users_of_descriptors_together_stay_within_the_limit() {
     const LIMIT: usize = 104;
@@ -264,7 +266,8 @@
     assert!(line.asked > 1 && line.connections == 0, "{line:?}");
 }
 
-/// A hundred connections whose requests are refused and that retry at once do not delay other clients.
+/// A hundred connections whose requests are refused and that retry at once do not delay other
+/// clients.
 #[test]
 fn clients_that_retry_at_once_delay_nobody() {
     let partner = Partner::start(3, Conduct::default());
@@ -282,7 +285,8 @@
             scope.spawn(move || {
                 stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
                 while !stop.load(Ordering::Relaxed) {
-                    // Only one request of an address may be open at a time, so most of these are refused.
+                    // Only one request of an address may be open at a time, so most of these are
+                    // refused.
                     let asked = stream.write_all(&message_request("p", "note", "", "same", "x"));
                     if asked.is_err() || !matches!(stream.read(&mut [0; 512]), Ok(1..)) {
                         break;
--- a/tests/site/connections.rs
+++ b/tests/site/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to partners: they are reused only while that is safe, opened before they are needed, and closed for a drained
-//! endpoint.
+//! Connections to partners: they are reused only while that is safe, opened before they are needed,
+//! and closed for a drained endpoint.
 
 use super::site_process::*;
 use foldtrack_control::ControlCommand;
@@ -19,8 +19,9 @@
     std::env::var("FOLDTRACK_CALLS").map_or(120, |n| n.parse().unwrap())
 }
 
-/// Submits payments with gaps close to the partner's idle timeout, the worst case: 0.5 to 1.25 times the timeout, and every
-/// fifth time a tenth of it. Returns how many were written to a connection that the partner had dropped.
+/// Submits payments with gaps close to the partner's idle timeout, the worst case: 0.5 to 1.25
+/// times the timeout, and every fifth time a tenth of it. Returns how many were written to a
+/// connection that the partner had dropped.
 fn submit_near_idle_timeout(
     site: &SiteProcess, server: &Server, name: &str, idle: u64, closing: Closing,
 ) -> usize {
@@ -34,8 +35,8 @@
     server.behind.load(Ordering::SeqCst) - before
 }
 
-/// A partner drops idle connections after a time that it does not announce and that changes. A payment written to a dropped
-/// connection ends in doubt, so the forwarder must learn the timeout.
+/// A partner drops idle connections after a time that it does not announce and that changes. A
+/// payment written to a dropped connection ends in doubt, so the forwarder must learn the timeout.
 #[test]
 fn dropped_connections_are_not_written_to() {
     let server = Server::start(|_| OK);
@@ -44,14 +45,16 @@
     let site = SiteProcess::start(&config);
     let announced = submit_near_idle_timeout(&site, &server, "told", 60, Closing::Told);
     let sooner = submit_near_idle_timeout(&site, &server, "sooner", 30, Closing::Told);
-    // A silent close shows only when a message is sent, so a few are lost until the timeout is learned.
+    // A silent close shows only when a message is sent, so a few are lost until the timeout is
+    // learned.
     let silent = submit_near_idle_timeout(&site, &server, "silent", 50, Closing::Silent);
     let sent = 3 * calls();
     eventually("all have ended", || site.status().held == 0);
     let status = site.status();
     let connections = server.seen().iter().map(|r| r.connection).max().unwrap() + 1;
     println!("written to a dropped connection: {announced}, {sooner}, silent close {silent} of {sent} calls; {} in doubt, {connections} connections", status.in_doubt);
-    // A request that crosses with a close on the wire cannot be avoided, but it is rare. No payment is sent twice or lost.
+    // A request that crosses with a close on the wire cannot be avoided, but it is rare. No payment
+    // is sent twice or lost.
     assert!(announced + sooner <= 2 + sent as usize / 200, "{announced} {sooner}");
     assert!(silent <= 6 + calls() as usize / 100, "{silent}");
     assert!(status.in_doubt <= (announced + sooner + silent) as u64, "{status:?}");
@@ -93,8 +96,8 @@
     SiteProcess::start(&config)
 }
 
-/// A drain arrives while connections are being opened, both for calls and in advance. Nothing is written on them, however
-/// long they take.
+/// A drain arrives while connections are being opened, both for calls and in advance. Nothing is
+/// written on them, however long they take.
 #[test]
 fn a_drain_cancels_connections_being_opened() {
     let partner = slow_partner(MS(1_500));
@@ -114,14 +117,15 @@
     assert_eq!(partner.server.seen().len(), 3);
 }
 
-/// A partner requests a wait in response to one call while the handshake for another is in progress. The second call is
-/// withheld until the wait is over, and no attempt is counted for it.
+/// A partner requests a wait in response to one call while the handshake for another is in
+/// progress. The second call is withheld until the wait is over, and no attempt is counted for it.
 #[test]
 fn a_retry_after_during_a_handshake_withholds_the_call() {
     for handshake in [50, 200, 400] {
         let partner = slow_partner(MS(0));
         let site = start_site(&partner, "connect-timeout = \"10s\"\nopen-ahead = false");
-        // Delivered one after another: then more than one call may be in flight, and one connection is idle.
+        // Delivered one after another: then more than one call may be in flight, and one connection
+        // is idle.
         for n in 0..4 {
             assert_eq!(site.post("fee", "", &format!("m{n}"), "x").0, 202);
             eventually("it is delivered", || site.status().delivered > n);
@@ -133,7 +137,8 @@
         });
         assert_eq!(site.post("fee", "", "a", "x").0, 202);
         eventually("the first is in flight", || partner.server.seen().len() == 5);
-        // The second call needs a new connection, which is established after the partner has requested the wait.
+        // The second call needs a new connection, which is established after the partner has
+        // requested the wait.
         partner.front.delay(MS(handshake + 100));
         assert_eq!(site.post("fee", "", "b", "x").0, 202);
         let waiting_since = partner.server.seen()[4].at + answers;
@@ -148,7 +153,8 @@
     }
 }
 
-/// With slow handshakes, calls find connections that are already open; a drained endpoint keeps none.
+/// With slow handshakes, calls find connections that are already open; a drained endpoint keeps
+/// none.
 #[test]
 fn connections_are_opened_before_calls_need_them() {
     let partner = slow_partner(MS(100));
--- a/tests/site/encrypted.rs
+++ b/tests/site/encrypted.rs
@@ -48,7 +48,8 @@
     fn site_config(&self, extra_lines: &str) -> SiteConfig {
         let mut config = SiteConfig::with_endpoints(&[("p", "a", self.front.address)]);
         let roots = self.path("roots.pem").display().to_string();
-        // A connection that was opened in advance uses the keys of that time, and may be used as long as it is open.
+        // A connection that was opened in advance uses the keys of that time, and may be used as
+        // long as it is open.
         config.calls = "open-ahead = false";
         config.partner =
             format!("[partner.p.tls]\nserver-name = \"{NAME}\"\nroots = \"{roots}\"\n{extra_lines}");
@@ -70,7 +71,8 @@
     assert_eq!(site.post("fee", "", id, "x").0, 202, "{id}");
 }
 
-/// A message at a time when no attempt is in flight; an attempt in flight rightly counts as may have run.
+/// A message at a time when no attempt is in flight; an attempt in flight rightly counts as may
+/// have run.
 fn message_without_attempt_in_flight(site: &SiteProcess, id: &str) -> foldtrack_control::Message {
     let mut seen = None;
     eventually("no attempt is out", || {
@@ -112,8 +114,8 @@
     assert_eq!(partner.front.broken.load(Ordering::SeqCst), 0);
 }
 
-/// With an invalid certificate nothing has run, the cause is reported as text, and the payment is delivered once the certificate
-/// is valid.
+/// With an invalid certificate nothing has run, the cause is reported as text, and the payment is
+/// delivered once the certificate is valid.
 #[test]
 fn an_invalid_certificate_is_reported_and_the_attempt_has_not_run() {
     let other_authority = Authority::new("somebody else's");
@@ -152,7 +154,8 @@
     eventually("it is delivered", || site.message_state("large") == "delivered");
 }
 
-/// A certificate whose key is not pinned is rejected. During a rotation, the current and the next key are both pinned.
+/// A certificate whose key is not pinned is rejected. During a rotation, the current and the next
+/// key are both pinned.
 #[test]
 fn a_key_that_is_not_pinned_is_rejected() {
     let partner = TlsPartner::start(valid_certificate);
@@ -180,7 +183,8 @@
     assert_eq!(partner.server.seen().len(), 2);
 }
 
-/// A server that stalls at any byte of the handshake delays a call no longer than the connect timeout.
+/// A server that stalls at any byte of the handshake delays a call no longer than the connect
+/// timeout.
 #[test]
 fn a_stalled_handshake_times_out_and_the_attempt_has_not_run() {
     let partner = TlsPartner::start(valid_certificate);
@@ -199,7 +203,8 @@
     }
 }
 
-/// The client certificate and its key are rotated while payments are sent: none is lost, none is sent twice.
+/// The client certificate and its key are rotated while payments are sent: none is lost, none is
+/// sent twice.
 #[test]
 fn a_client_certificate_is_rotated_under_load() {
     let partner = TlsPartner::start(valid_certificate);
@@ -236,8 +241,9 @@
     ids.sort();
     ids.dedup();
     assert_eq!((ids.len() as u64, partner.server.seen().len() as u64), (sent, sent), "each once");
-    // Without a client certificate the partner rejects the connection after the client's part of the handshake, when the request
-    // has already been written: the cause is reported, and the attempt has not run.
+    // Without a client certificate the partner rejects the connection after the client's part of
+    // the handshake, when the request has already been written: the cause is reported, and the
+    // attempt has not run.
     let without = partner.site("");
     submit(&without, "w");
     eventually("the cause is reported", || {
@@ -285,7 +291,8 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("partner.p.tls: is missing"));
 }
 
-/// `partner try` tests a partner step by step. It sends a message only with `--send`, and shows no secret.
+/// `partner try` tests a partner step by step. It sends a message only with `--send`, and shows no
+/// secret.
 #[test]
 fn partner_try_sends_nothing_without_the_send_flag() {
     let partner = TlsPartner::start(valid_certificate);
--- a/tests/site/flood_clients.rs
+++ b/tests/site/flood_clients.rs
@@ -18,8 +18,8 @@
     Ok(socket.into())
 }
 
-/// What the connections of a flood send: nothing, half a head, half a body, a body sent slowly byte by byte, a protocol
-/// other than HTTP, and a complete request whose response is not read.
+/// What the connections of a flood send: nothing, half a head, half a body, a body sent slowly byte
+/// by byte, a protocol other than HTTP, and a complete request whose response is not read.
 const PAYLOADS: [&[u8]; 6] = [
     b"",
     b"POST /fee HT",
@@ -41,8 +41,8 @@
     }
 }
 
-/// Keeps `size` connections open, from the addresses in turn, and reopens those that are closed, until `stop` is set.
-/// Returns the number of connections opened.
+/// Keeps `size` connections open, from the addresses in turn, and reopens those that are closed,
+/// until `stop` is set. Returns the number of connections opened.
 pub fn flood(to: SocketAddr, addresses: &[String], size: usize, stop: &AtomicBool) -> usize {
     let (mut open, mut opened) = (Vec::new(), 0);
     while !stop.load(Ordering::Relaxed) {
@@ -70,8 +70,9 @@
     opened
 }
 
-/// Submits messages to the partner `p` one after another from a source address, each on a new connection. Returns the
-/// sorted durations of the accepted ones, and the number of messages that were not accepted.
+/// Submits messages to the partner `p` one after another from a source address, each on a new
+/// connection. Returns the sorted durations of the accepted ones, and the number of messages that
+/// were not accepted.
 pub fn submit(listen: SocketAddr, address: &str, messages: usize) -> (Vec<Duration>, usize) {
     submit_to("p", listen, address, messages)
 }
--- a/tests/site/kills.rs
+++ b/tests/site/kills.rs
@@ -1,5 +1,5 @@
-//! Kills the forwarder and fills its disk at random moments. `FOLDTRACK_KILLS` sets the number of rounds; manual runs use
-//! several hundred, with results in `docs/design/site.md`.
+//! Kills the forwarder and fills its disk at random moments. `FOLDTRACK_KILLS` sets the number of
+//! rounds; manual runs use several hundred, with results in `docs/design/site.md`.
 
 use super::site_process::*;
 use foldtrack_control::{Client, ControlCommand};
@@ -17,8 +17,8 @@
     std::env::var("FOLDTRACK_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-/// A drain is ordered under load and the process is killed 0 to 50 ms later. If the order was acknowledged, no new call
-/// goes to the endpoint, even after the restart.
+/// A drain is ordered under load and the process is killed 0 to 50 ms later. If the order was
+/// acknowledged, no new call goes to the endpoint, even after the restart.
 #[test]
 fn an_acknowledged_drain_survives_a_kill() {
     let (drained, other) = (Server::start(|_| OK), Server::start(|_| OK));
@@ -75,8 +75,8 @@
     println!("{acknowledged} drains were acknowledged before the kill");
 }
 
-/// The process is killed repeatedly under load. Every accepted message has exactly one outcome, and none that took effect
-/// is reported as given up or handed back.
+/// The process is killed repeatedly under load. Every accepted message has exactly one outcome, and
+/// none that took effect is reported as given up or handed back.
 #[test]
 fn outcomes_are_complete_and_correct_after_repeated_kills() {
     killed_under_load("process");
@@ -92,7 +92,8 @@
     under_load(site, partner, kill_rounds(8), 0, |site, feed, round| {
         sleep(Duration::from_micros(fastrand::u64(50_000..300_000)));
         if round % 2 == 0 {
-            // The kill falls between a fetch and the acknowledgement, which is part of the next fetch.
+            // The kill falls between a fetch and the acknowledgement, which is part of the next
+            // fetch.
             feed.fetch(site, 50);
         }
         site.kill();
@@ -100,9 +101,9 @@
     });
 }
 
-/// The disk fills repeatedly under load, in any state of the journal and the outcome store, and later has space again
-/// without a restart. In some rounds the process is killed while the disk is full, and restarts on the full disk. Held
-/// messages are still delivered.
+/// The disk fills repeatedly under load, in any state of the journal and the outcome store, and
+/// later has space again without a restart. In some rounds the process is killed while the disk is
+/// full, and restarts on the full disk. Held messages are still delivered.
 #[test]
 fn a_full_disk_loses_nothing_and_recovers_without_a_restart() {
     full_under_load("process");
@@ -165,7 +166,8 @@
 }
 
 impl OutcomeFeed {
-    /// Fetches and acknowledges some outcomes, as a client does. An outcome that is received twice must be identical.
+    /// Fetches and acknowledges some outcomes, as a client does. An outcome that is received twice
+    /// must be identical.
     fn fetch(&mut self, site: &SiteProcess, most: u32) -> usize {
         let (status, response) = site.get(&format!("/v1/ends?after={}&most={most}&wait_ms=0", self.after));
         if status != 200 {
@@ -182,8 +184,9 @@
     }
 }
 
-/// Four clients submit messages while faults are injected in rounds. Then every accepted message must have exactly one
-/// outcome, and it must agree with the partner's records. Returns how many messages were refused with a requested wait.
+/// Four clients submit messages while faults are injected in rounds. Then every accepted message
+/// must have exactly one outcome, and it must agree with the partner's records. Returns how many
+/// messages were refused with a requested wait.
 fn under_load(
     mut site: SiteProcess, partner: Partner, rounds: usize, padding: usize,
     mut inject_fault: impl FnMut(&mut SiteProcess, &mut OutcomeFeed, usize),
--- a/tests/site/load.rs
+++ b/tests/site/load.rs
@@ -56,8 +56,8 @@
     );
 }
 
-/// At 1200 messages a second, far above the partners' capacity, messages are refused at once with a requested wait, and hardly any accepted
-/// message is handed back.
+/// At 1200 messages a second, far above the partners' capacity, messages are refused at once with a
+/// requested wait, and hardly any accepted message is handed back.
 #[test]
 fn an_overload_is_refused_with_a_retry_after() {
     // Four concurrent calls of 20 ms: 200 a second for each partner, 400 in total.
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -1,4 +1,5 @@
-//! Tests of a forwarder process with its own site file: orders, stored outcomes, the control socket, restarts and kills.
+//! Tests of a forwarder process with its own site file: orders, stored outcomes, the control
+//! socket, restarts and kills.
 
 mod admission;
 mod connections;
@@ -58,7 +59,8 @@
     );
     let attempt = &ends["ends"][0]["attempts"][0];
     assert_eq!((&attempt["endpoint"], &attempt["outcome"]), (&"a".into(), &"ok".into()));
-    // A duplicate of a delivered message is still recognised after a restart, because outcomes are stored.
+    // A duplicate of a delivered message is still recognised after a restart, because outcomes are
+    // stored.
     let mut site = site;
     site.kill();
     site.restart();
@@ -71,8 +73,8 @@
     assert_eq!(site.get("/v1/ends?after=7").0, 400, "the cursor was never issued");
 }
 
-/// A request with a cursor acknowledges the outcomes up to it; others are returned again. A poll returns as soon as there is
-/// an outcome.
+/// A request with a cursor acknowledges the outcomes up to it; others are returned again. A poll
+/// returns as soon as there is an outcome.
 #[test]
 fn outcomes_can_be_polled_and_are_acknowledged_by_the_next_request() {
     let (_server, mut site) = one_endpoint(|_| OK);
@@ -274,7 +276,8 @@
     assert_eq!(names(&site), ["a", "c"]);
 }
 
-/// A control client that sends invalid input gets an error or is disconnected, without effect on others.
+/// A control client that sends invalid input gets an error or is disconnected, without effect on
+/// others.
 #[test]
 fn invalid_and_idle_control_clients_do_not_affect_others() {
     let (_server, mut site) = one_endpoint(|_| OK);
@@ -295,8 +298,8 @@
     let answer = client.line().unwrap();
     assert!(answer["id"] == 5 && answer["status"]["pid"] == site.pid(), "{answer}");
     let mut long_line = RawControlClient::connect(&site);
-    // The connection is closed long before the end of the line. Since input is unread, the client may see a reset instead of the
-    // response.
+    // The connection is closed long before the end of the line. Since input is unread, the client
+    // may see a reset instead of the response.
     let whole = long_line.write(&vec![b'x'; 10 << 20]);
     assert!(!whole || long_line.line().is_none_or(|l| l["error"]["code"] == "too_long"));
     partial.write(b"tus\"}\n");
@@ -413,7 +416,8 @@
     assert_eq!(run(&["check", "absent.toml"]), (2, 1));
 }
 
-/// A refusal for lack of capacity carries a `Retry-After`, and a refused message may be submitted again under its id.
+/// A refusal for lack of capacity carries a `Retry-After`, and a refused message may be submitted
+/// again under its id.
 #[test]
 fn refusals_for_lack_of_capacity_carry_a_retry_after() {
     let server = Server::start(|_| Reply::Silence);
@@ -439,12 +443,14 @@
     eventually("there is capacity", || site.post("note", "", &id, "x").0 == 202);
 }
 
-/// An update that may have taken effect is handed back. Submitted again while its partner remembers the idempotency key, it is
-/// accepted; later it could take effect twice, so it is refused permanently. This also holds after a restart.
+/// An update that may have taken effect is handed back. Submitted again while its partner remembers
+/// the idempotency key, it is accepted; later it could take effect twice, so it is refused
+/// permanently. This also holds after a restart.
 #[test]
 fn a_message_that_may_have_run_is_accepted_again_only_while_its_key_is_remembered() {
     for (remembered, memory, late) in [("20s", 20_000_000, false), ("8s", 8_000_000, true)] {
-        // The first call takes effect and its connection closes without a response; then the partner is paused.
+        // The first call takes effect and its connection closes without a response; then the
+        // partner is paused.
         let reject_updates = Arc::new(AtomicBool::new(false));
         let seen = reject_updates.clone();
         let server = Server::start(move |request| match request.id() {
@@ -481,15 +487,17 @@
         assert_eq!(site.post("update", "k", "u1", "x").0, if late { 409 } else { 202 });
         if !late {
             assert!(site.message("u1").unwrap().expires <= until, "it is not sent after that time");
-            // Rejected with 410: this attempt has not run, but the one of the first submission may have.
+            // Rejected with 410: this attempt has not run, but the one of the first submission may
+            // have.
             eventually("the partner has rejected it", || site.message_state("u1") != "held");
             assert_eq!(site.message_state("u1"), "in_doubt");
         }
     }
 }
 
-/// A client submits a handed back update again, after waits shorter and longer than its partner remembers the key, and after a
-/// kill. By the partner's call records, it takes effect once. `FOLDTRACK_WAITS=0,5,15,60` is the full set of waits (seconds).
+/// A client submits a handed back update again, after waits shorter and longer than its partner
+/// remembers the key, and after a kill. By the partner's call records, it takes effect once.
+/// `FOLDTRACK_WAITS=0,5,15,60` is the full set of waits (seconds).
 #[test]
 fn a_resubmitted_update_takes_effect_once_after_any_wait() {
     let waits = std::env::var("FOLDTRACK_WAITS").unwrap_or("0,3,12".into());
@@ -535,8 +543,8 @@
     assert_eq!((verdict.effects, verdict.twice.len()), (1, 0), "{wait:?}: {:?}", partner.books().calls);
 }
 
-/// `foldtrack send` is killed, and later the forwarder, while a file is submitted. Run again, the command submits the rest, and
-/// nothing twice.
+/// `foldtrack send` is killed, and later the forwarder, while a file is submitted. Run again, the
+/// command submits the rest, and nothing twice.
 #[test]
 fn a_file_is_submitted_once_despite_interruptions() {
     let partner = Partner::start(3, Conduct::default());
@@ -573,7 +581,8 @@
     let books = partner.books();
     let verdict = judge([&books]);
     assert!(verdict.twice.is_empty() && verdict.out_of_order.is_empty(), "{verdict:?}");
-    // Calls in flight when the forwarder was killed may be in doubt and may never have arrived; all other messages are delivered.
+    // Calls in flight when the forwarder was killed may be in doubt and may never have arrived; all
+    // other messages are delivered.
     let ids: BTreeSet<&str> = books.calls.iter().map(|c| c.id.as_str()).collect();
     let output_text = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
     let ends: Vec<serde_json::Value> =
@@ -616,8 +625,8 @@
     assert!(!shown.contains("BROKEN"), "{shown}");
 }
 
-/// With `durability = "machine"`, every response, call and outcome waits for a sync to disk. They share syncs, and the outcomes
-/// are the same.
+/// With `durability = "machine"`, every response, call and outcome waits for a sync to disk. They
+/// share syncs, and the outcomes are the same.
 #[test]
 fn messages_are_accepted_delivered_and_reported_with_machine_durability() {
     let partner = Partner::start(5, Conduct { answers: (MS(0), MS(1)), ..Conduct::default() });
@@ -655,7 +664,8 @@
     assert_eq!((partner.calls(), site.message_state("late")), (calls, "held".into()));
 }
 
-/// `foldtrack journal` reads the journal while the forwarder runs and after it was killed, and reports the position of damage.
+/// `foldtrack journal` reads the journal while the forwarder runs and after it was killed, and
+/// reports the position of damage.
 #[test]
 fn the_journal_can_be_inspected_and_damage_is_reported() {
     let (server, mut site) = one_endpoint(|_| Reply::Silence);
--- a/tests/site/partners.rs
+++ b/tests/site/partners.rs
@@ -1,4 +1,5 @@
-//! Partners with their own protocols: their paths, responses, requested waits and rate limits, and authentication.
+//! Partners with their own protocols: their paths, responses, requested waits and rate limits, and
+//! authentication.
 
 use super::site_process::*;
 use foldtrack_proof::{headers, AuthScheme, Secrets, SignedCall};
@@ -39,8 +40,8 @@
     seen.iter().filter(|r| r.path.ends_with(&format!("/{id}"))).collect()
 }
 
-/// Status codes have their usual meaning: 2xx is delivered, other 4xx and redirects end the message, and 5xx may have run. The
-/// site's own `answers` override this.
+/// Status codes have their usual meaning: 2xx is delivered, other 4xx and redirects end the
+/// message, and 5xx may have run. The site's own `answers` override this.
 #[test]
 fn status_codes_are_interpreted_by_rfc_9110() {
     let lines = "speaks = \"http\"\npath = \"/v2/{class}/{id}\"\n[partner.p.answers]\n409 = \"delivered\"\n507 = \"has-not-run\"\n";
@@ -105,7 +106,8 @@
         wait_for_state(&site, "warm", "delivered");
         let (header, wait) = match date {
             false => ("Retry-After: 1.5\r\n".to_string(), MS(1_400)),
-            // A date has a resolution of one second: this one is between two and three seconds from now.
+            // A date has a resolution of one second: this one is between two and three seconds from
+            // now.
             true => {
                 let at = std::time::SystemTime::now() + Duration::from_secs(3);
                 (format!("Retry-After: {}\r\n", httpdate::fmt_http_date(at)), MS(1_500))
@@ -128,8 +130,8 @@
     }
 }
 
-/// Ids and keys are escaped, so that they cannot change the rest of the request. A message that cannot be sent at all ends at
-/// once.
+/// Ids and keys are escaped, so that they cannot change the rest of the request. A message that
+/// cannot be sent at all ends at once.
 #[test]
 fn ids_and_keys_are_escaped_in_paths() {
     let lines =
@@ -204,7 +206,8 @@
     }
 }
 
-/// A token is rotated while messages are sent, and none is lost. The partner accepts both tokens for a while.
+/// A token is rotated while messages are sent, and none is lost. The partner accepts both tokens
+/// for a while.
 #[test]
 fn a_token_is_rotated_without_losing_messages() {
     let secret = SecretFile::with("first-token\n");
@@ -227,7 +230,8 @@
     submit_until(Instant::now(), &|| used_token("first-token"));
     secret.set("second-token\n", 0o600);
     submit_until(Instant::now(), &|| used_token("second-token"));
-    // A file that others may read is rejected, and so is an invalid token; the previous token stays in use.
+    // A file that others may read is rejected, and so is an invalid token; the previous token stays
+    // in use.
     for (text, mode) in [("third-token\n", 0o644), ("no token at all\n", 0o600)] {
         secret.set(text, mode);
         let since = Instant::now();
@@ -269,8 +273,8 @@
         assert_eq!(call.headers["webhook-signature"], expected[2].1.to_str().unwrap());
         assert_eq!(call.headers["webhook-signature"].split(' ').count(), 2);
     }
-    // The signed text joins id and timestamp with a dot, so an id with a dot is ambiguous: it cannot be signed, and the message
-    // ends at once.
+    // The signed text joins id and timestamp with a dot, so an id with a dot is ambiguous: it
+    // cannot be signed, and the message ends at once.
     submit(&site, "fee", "", "a.b");
     eventually("it has ended", || site.message_state("a.b") == "given_up");
     assert_eq!(server.seen().len(), 2);
--- a/tests/site/site_process.rs
+++ b/tests/site/site_process.rs
@@ -1,4 +1,5 @@
-//! Test support: a forwarder as a process with its own site file, and the requests of its clients and operators.
+//! Test support: a forwarder as a process with its own site file, and the requests of its clients
+//! and operators.
 
 use foldtrack_control::{
     Client, ClientError, ControlCommand, ControlResponse, Endpoint, Message, OrderResult, Status,
@@ -56,7 +57,8 @@
     }
 
     fn text(&self, listen: SocketAddr, state: &str) -> String {
-        // The section is left out where it is empty: programs of other builds, which benchmarks start, may not know it.
+        // The section is left out where it is empty: programs of other builds, which benchmarks
+        // start, may not know it.
         let admission = match self.admission {
             "" => String::new(),
             lines => format!("[admission]\n{lines}\n"),
@@ -124,7 +126,8 @@
         self.folder.path().join("site.toml")
     }
 
-    /// The file that limits the disk space of the state folder. It takes effect if it exists when the forwarder starts.
+    /// The file that limits the disk space of the state folder. It takes effect if it exists when
+    /// the forwarder starts.
     pub fn disk_limit_file(&self) -> PathBuf {
         self.folder.path().join("disk-budget")
     }
@@ -253,8 +256,8 @@
         self.message(id).map_or("unknown".into(), |m| m.state)
     }
 
-    /// Submits a message to the partner `p`. Returns the status and the response in lower case; status 0 if there was no
-    /// response.
+    /// Submits a message to the partner `p`. Returns the status and the response in lower case;
+    /// status 0 if there was no response.
     pub fn post(&self, class: &str, key: &str, id: &str, body: &str) -> (u16, String) {
         self.post_to("p", class, key, id, body)
     }
@@ -298,7 +301,8 @@
     .into_bytes()
 }
 
-/// Sends bytes on a new connection and returns everything received until it is closed; `None` if the connection failed.
+/// Sends bytes on a new connection and returns everything received until it is closed; `None` if
+/// the connection failed.
 pub fn exchange(to: SocketAddr, bytes: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
