--- a/crates/clearance/src/lib.rs
+++ b/crates/clearance/src/lib.rs
@@ -1,11 +1,13 @@
-//! Whether a call that was decided on may still go. A connection that comes up late, a sync of the journal or a notice
-//! stand between the decision and the first byte: news that comes meanwhile may forbid it. No sockets, no clock.
+//! Last check before the first byte of a call. Between the decision and the first byte lie a
+//! connection that takes time to establish, a sync of the journal or a notice to acknowledge;
+//! information that arrives meanwhile may forbid the call. This crate uses no sockets and no clock.
 //!
-//! This decides nothing anew. It knows what the decision no longer covers, and is asked at the last moment: by then a partner
-//! may have told another call to wait, may have been found out, or the endpoint may have been told to drain. Whoever reads
-//! such news writes it here at once, and not by way of the loop's queue.
+//! It makes no new decisions. It holds what the scheduler's decision does not cover yet: meanwhile
+//! a partner may have told another call to wait, the scheduler may have detected an outage, or the
+//! endpoint may have been drained. Whoever reads such information records it here immediately,
+//! without going through the event loop's queue.
 //!
-//! [`Lanes`] belongs to the loop; a [`Clearance`] goes with each call.
+//! The event loop owns [`Lanes`]; each call carries a [`Clearance`].
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,16 +16,17 @@
 /// A point in time, in microseconds of the process's clock.
 pub type Micros = u64;
 
-/// What is told waits, and found out, as a whole.
+/// The scope to which requested waits and detected outages apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Way {
     /// All endpoints of a destination.
     Destination(u32),
-    /// One endpoint, where a destination's are routes apart.
+    /// A single endpoint of a destination whose endpoints have separate limits.
     Route(u32),
 }
 
-/// What is known of one [`Way`], shared by the calls on it. Points in time only grow: no news takes back older news.
+/// Requested wait and latest outage of a [`Way`], shared by the calls on it. Both times only
+/// increase: an update never undoes a later one.
 #[derive(Debug, Default)]
 pub struct Lane {
     wait_until: AtomicU64,
@@ -31,69 +34,71 @@
 }
 
 impl Lane {
-    /// An answer has told to send nothing before then.
+    /// Records that a partner has asked to send nothing before this time.
     pub fn told_to_wait(&self, until: Micros) {
         self.wait_until.fetch_max(until, Ordering::Relaxed);
     }
 
-    /// The module has found it out (down, silent, hung, failing) at this time: what it decided on before rests on what was
-    /// held true then.
+    /// Records that the scheduler has detected an outage (down, silent, hung, failing) at this
+    /// time. Earlier decisions rest on outdated information.
     pub fn found_out(&self, at: Micros) {
         self.found_out.fetch_max(at, Ordering::Relaxed);
     }
 
-    /// Nothing is sent before then.
+    /// Nothing may be sent before this time.
     pub fn wait_until(&self) -> Micros {
         self.wait_until.load(Ordering::Relaxed)
     }
 }
 
-/// The lanes by their ways. Those that nothing refers to any more, and that bind nothing, are forgotten.
+/// The states of all routes. Entries that nothing refers to and that no longer restrict anything
+/// are dropped.
 #[derive(Debug, Default)]
 pub struct Lanes(BTreeMap<Way, Arc<Lane>>);
 
 impl Lanes {
-    /// The lane of a way. A wait outlives the endpoints of a destination: those that come later are bound by it too.
+    /// The state of a route. A requested wait outlives the endpoints of a destination: endpoints
+    /// that are added later are bound by it too.
     pub fn of(&mut self, way: Way) -> Arc<Lane> {
         self.0.entry(way).or_default().clone()
     }
 
-    /// Forgets what binds nothing. To be called now and then.
+    /// Drops entries that no longer restrict anything. To be called periodically.
     pub fn sweep(&mut self, now: Micros) {
         self.0.retain(|_, lane| Arc::strong_count(lane) > 1 || lane.wait_until() > now);
     }
 }
 
-/// What has come between a decision and its call.
+/// Why a call must not be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overtaken {
-    /// The endpoint drains, or has gone.
+    /// The endpoint is draining or has left.
     Closed,
-    /// Told to wait until then.
+    /// The partner has asked to wait.
     Waits {
-        /// The end of the wait.
+        /// When the wait ends.
         until: Micros,
     },
-    /// Found out since.
+    /// An outage was detected after the decision.
     FoundOut,
 }
 
-/// What a call is asked before its first byte.
+/// The check before a call's first byte.
 #[derive(Clone, Debug)]
 pub struct Clearance {
-    /// What its endpoint shares with others.
+    /// Requested wait and outages of the route, shared with other calls on it.
     pub lane: Arc<Lane>,
-    /// Set once nothing new is to be written to the endpoint.
+    /// Set once no new call may be written to the endpoint.
     pub closed: Arc<AtomicBool>,
-    /// When the call was decided on.
+    /// When the scheduler decided on the call.
     pub decided: Micros,
 }
 
 impl Clearance {
-    /// Whether the call may go now.
+    /// Whether the call may be made now.
     ///
     /// # Errors
-    /// What forbids it. A drain comes first: it holds for good.
+    /// Why it must not be made. A closed endpoint takes precedence because it is permanent.
     pub fn check(&self, now: Micros) -> Result<(), Overtaken> {
         if self.closed.load(Ordering::Relaxed) {
             return Err(Overtaken::Closed);
@@ -119,7 +124,7 @@
     }
 
     #[test]
-    fn waits_bind_a_destination_and_only_the_route_that_told_them_where_routes_are_apart() {
+    fn a_wait_applies_to_the_destination_or_to_one_endpoint_if_endpoints_are_independent() {
         let mut lanes = Lanes::default();
         let [a, b] = [10, 20].map(|at| clearance(&mut lanes, Way::Destination(1), at));
         let other = clearance(&mut lanes, Way::Destination(2), 10);
@@ -132,7 +137,7 @@
     }
 
     #[test]
-    fn what_was_decided_on_before_a_partner_was_found_out_does_not_go_and_a_trial_after_it_does() {
+    fn decisions_made_before_an_outage_are_rejected_and_a_later_trial_is_allowed() {
         let mut lanes = Lanes::default();
         let before = clearance(&mut lanes, Way::Destination(1), 10);
         let trial = clearance(&mut lanes, Way::Destination(1), 11);
@@ -143,7 +148,7 @@
     }
 
     #[test]
-    fn a_wait_outlives_the_endpoints_and_what_binds_nothing_is_forgotten() {
+    fn a_wait_outlives_its_endpoints_and_inactive_entries_are_dropped() {
         let mut lanes = Lanes::default();
         lanes.of(Way::Destination(1)).told_to_wait(100);
         for n in 0..1_000 {
@@ -160,9 +165,9 @@
     }
 
     proptest! {
-        /// Whatever is told in whatever order, nothing goes before the longest wait is over.
+        /// Whatever the order of updates, nothing is sent before the longest wait is over.
         #[test]
-        fn waits_only_lengthen(told in proptest::collection::vec(0..1_000u64, 1..20), now in 0..1_100u64) {
+        fn a_wait_is_never_shortened(told in proptest::collection::vec(0..1_000u64, 1..20), now in 0..1_100u64) {
             let mut lanes = Lanes::default();
             let call = clearance(&mut lanes, Way::Destination(1), 0);
             told.iter().for_each(|until| call.lane.told_to_wait(*until));
--- a/src/bin/foldtrack/clock.rs
+++ b/src/bin/foldtrack/clock.rs
@@ -1,51 +1,53 @@
-//! The one clock of the process, for all of its sides.
+//! The clock of the process, shared by all tasks.
 
 use hatchline::Micros;
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// What a rehearsal has made of the clocks, for all of the process: seconds that the wall clock is set by, and how many times
-/// as fast all of them run.
-static REHEARSED: OnceLock<(f64, f64)> = OnceLock::new();
+/// Clock simulation for the whole process: offset of the wall clock in seconds, and the factor by
+/// which all clocks run faster.
+static SIMULATION: OnceLock<(f64, f64)> = OnceLock::new();
 
-/// Monotonic microseconds for the module, and their relation to Unix time for the journal.
+/// Monotonic microseconds for the scheduler, and their relation to Unix time for the journal.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Instant,
     unix_start: Micros,
-    /// How many times as fast it runs: 1 but in a rehearsal.
+    /// Factor by which the clock runs faster: 1 unless simulated.
     rate: f64,
 }
 
 impl Clock {
-    /// The count starts here, so that times before the start can be named too.
-    const BASE: Micros = 1 << 40;
+    /// The value at the start of the process, so that earlier times can be represented too.
+    const START: Micros = 1 << 40;
 
+    /// Starts a clock, shifted and scaled if [`Clock::rehearse`] was called before.
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let (offset, rate) = REHEARSED.get().copied().unwrap_or((0.0, 1.0));
+        let (offset, rate) = SIMULATION.get().copied().unwrap_or((0.0, 1.0));
         let unix_start = (unix.as_micros() as i64).saturating_add((offset * 1e6) as i64).max(0);
         Clock { start: Instant::now(), unix_start: unix_start as Micros, rate }
     }
 
-    /// Has every clock that is made from now on set and run otherwise.
+    /// Shifts and scales all clocks that are created from now on: `offset` in seconds of the wall
+    /// clock, `rate` as a factor.
     ///
     /// # Errors
-    /// No clock can run so.
+    /// The offset or the rate is out of range.
     pub fn rehearse(offset: f64, rate: f64) -> Result<(), String> {
         if !(0.5..=2.0).contains(&rate) || !(-1e9..=1e9).contains(&offset) {
             return Err(format!(
-                "a clock set by {offset} s that runs {rate} times as fast: 0.5 to 2 times, 30 years at most"
+                "clock offset {offset} s and rate {rate}: the rate must be from 0.5 to 2, the offset 30 years at most"
             ));
         }
         if (offset, rate) != (0.0, 1.0) {
-            let _ = REHEARSED.set((offset, rate));
+            let _ = SIMULATION.set((offset, rate));
         }
         Ok(())
     }
 
-    /// A span of this clock.
+    /// Converts a real duration to microseconds of this clock.
     fn span(&self, real: Duration) -> Micros {
         if self.rate == 1.0 {
             return real.as_micros() as Micros;
@@ -53,35 +55,40 @@
         (real.as_micros() as f64 * self.rate) as Micros
     }
 
+    /// The time now.
     pub fn now(&self) -> Micros {
-        Self::BASE + self.span(self.start.elapsed())
+        Self::START + self.span(self.start.elapsed())
     }
 
-    /// Unix time.
+    /// The time now as Unix time in microseconds.
     pub fn unix_now(&self) -> Micros {
         self.unix(self.now())
     }
 
-    /// Since the start.
-    pub fn up(&self) -> Duration {
+    /// Real time since the start.
+    pub fn uptime(&self) -> Duration {
         self.start.elapsed()
     }
 
+    /// Converts a time to a tokio instant.
     pub fn instant(&self, at: Micros) -> Instant {
-        let span = at.saturating_sub(Self::BASE);
+        let span = at.saturating_sub(Self::START);
         let real = if self.rate == 1.0 { span } else { (span as f64 / self.rate).ceil() as Micros };
         self.start + Duration::from_micros(real)
     }
 
+    /// Converts a tokio instant to a time.
     pub fn micros(&self, at: Instant) -> Micros {
-        Self::BASE + self.span(at.saturating_duration_since(self.start))
+        Self::START + self.span(at.saturating_duration_since(self.start))
     }
 
+    /// Converts a time to Unix time in microseconds.
     pub fn unix(&self, at: Micros) -> Micros {
-        (self.unix_start + at).saturating_sub(Self::BASE)
+        (self.unix_start + at).saturating_sub(Self::START)
     }
 
+    /// Converts Unix time in microseconds to a time.
     pub fn since_unix(&self, unix: Micros) -> Micros {
-        (Self::BASE + unix).saturating_sub(self.unix_start)
+        (Self::START + unix).saturating_sub(self.unix_start)
     }
 }
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -1,4 +1,4 @@
-//! What the forwarder is told at its start: the environment and the configuration file.
+//! Configuration at startup: environment variables and the configuration file.
 
 use crate::asking::Source;
 use crate::clock::Clock;
@@ -22,35 +22,42 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
+/// What the event loop is started with.
 pub(crate) struct Config {
+    /// Address on which clients connect.
     pub listen: SocketAddr,
+    /// Path of the state folder.
     pub state: PathBuf,
+    /// Seed of the scheduler's random numbers and identity of a new journal.
     pub seed: u64,
+    /// Limit of file descriptors.
     pub sockets: usize,
-    /// Of the listener, for clients.
+    /// Connection slots of the listener.
     pub places: Arc<Places>,
     pub descriptors: Arc<Descriptors>,
+    /// Memory limit in bytes.
     pub memory_bytes: usize,
+    /// Size limit of the journal in bytes.
     pub disk_bytes: u64,
-    /// The disk counts as no larger: a rehearsal.
+    /// Simulated limit on the disk space in use.
     pub disk_budget: Option<Budget>,
     pub settings: Parsed,
-    /// How destinations are spoken to.
+    /// The wire protocol settings of each destination.
     pub speeches: Speeches,
     pub membership: Box<dyn Membership>,
-    /// The platform's taker of notices; none at a site of its own.
+    /// Address of discovery, which receives notices; none for a site file.
     pub discovery: Option<watch::Sender<SocketAddr>>,
-    /// An answer is given once its record is on stable storage.
+    /// Whether a reply waits until its record is on stable storage.
     pub durable: bool,
-    /// What only a site of its own has.
+    /// Only for a deployment with a site file.
     pub site: Option<SiteParts>,
 }
 
-/// What the loop of a site of its own has beside a platform's.
+/// What a deployment with a site file has in addition to one under a platform.
 pub(crate) struct SiteParts {
     pub site: Site,
     pub ends: Store,
-    /// The other forwarders, if it has any.
+    /// The peers of the site, if it has any.
     pub peers: Option<Setup>,
 }
 
@@ -69,40 +76,41 @@
 #[derive(Deserialize)]
 struct Limits {
     sockets: usize,
-    #[serde(default = "least_memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: f64,
     disk_mb: f64,
 }
 
-/// Where no limit is told, the least that a deployment has.
-fn least_memory() -> f64 {
+/// The smallest memory limit of a deployment in megabytes, used when none is configured.
+fn default_memory_mb() -> f64 {
     32.0
 }
 
-/// Under the platform every client comes through its front, whatever address that has: it is known, and takes turns with
-/// itself.
-fn behind_the_platform(places: usize) -> Admission {
+/// Under the platform every client connects through its proxy, whose address may be any: every
+/// address counts as known, and the proxy's connections take turns with each other.
+fn platform_admission(places: usize) -> Admission {
     let all = [IpNet::V4(Ipv4Net::default()), IpNet::V6(Ipv6Net::default())];
     Admission::behind_a_front(places, all.to_vec())
 }
 
-fn variable(name: &str) -> Result<String, String> {
+fn env_var(name: &str) -> Result<String, String> {
     env::var(name).map_err(|e| format!("{name}: {e}"))
 }
 
-fn read(path: &Path) -> Result<ConfigFile, String> {
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let text = std::fs::read(path).map_err(|e| told(&e))?;
-    serde_json::from_slice(&text).map_err(|e| told(&e))
+fn read_file(path: &Path) -> Result<ConfigFile, String> {
+    let describe = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let text = std::fs::read(path).map_err(|e| describe(&e))?;
+    serde_json::from_slice(&text).map_err(|e| describe(&e))
 }
 
-/// Where discovery is by the file as it stands now. The rest of a new file counts from the next start on.
-pub(crate) fn discovery(path: &Path) -> Result<SocketAddr, String> {
-    Ok(read(path)?.discovery)
+/// Reads discovery's address from the configuration file as it is now. Other changes to the file
+/// take effect at the next start.
+pub(crate) fn read_discovery_address(path: &Path) -> Result<SocketAddr, String> {
+    Ok(read_file(path)?.discovery)
 }
 
-/// An address from the environment, where it is set, else the one from the file.
-fn address(name: &str, from_file: SocketAddr) -> Result<SocketAddr, String> {
+/// The address in an environment env_var if it is set, otherwise the one from the file.
+fn address_from_env(name: &str, from_file: SocketAddr) -> Result<SocketAddr, String> {
     match env::var(name) {
         Ok(text) => text.parse().map_err(|e| format!("{name}: {text}: {e}")),
         Err(_) => Ok(from_file),
@@ -110,38 +118,38 @@
 }
 
 impl Config {
-    /// What the platform tells, and the path of its file.
-    pub fn of_platform() -> Result<(Config, PathBuf), String> {
-        let path = variable("BALANCER_CONFIG")?;
-        let file = read(Path::new(&path))?;
+    /// Reads the configuration of a platform deployment; returns it with the path of its file.
+    pub fn from_platform_env() -> Result<(Config, PathBuf), String> {
+        let path = env_var("BALANCER_CONFIG")?;
+        let file = read_file(Path::new(&path))?;
         let disk_bytes = file.limits.disk_mb * 1e6;
         if !(disk_bytes.is_finite() && disk_bytes > 0.0) {
-            return Err(format!("{path}: limits.disk_mb is no room"));
+            return Err(format!("{path}: limits.disk_mb must be a positive number"));
         }
         if file.settings.settings.classes.is_empty() || file.settings.settings.slots == 0 {
-            return Err(format!("{path}: settings without classes or without slots"));
+            return Err(format!("{path}: settings need at least one class and one slot"));
         }
         let (sockets, slots) = (file.limits.sockets, file.settings.settings.slots as usize);
         let places = half(sockets).max(1);
         let descriptors = Descriptors::new(sockets, places, slots);
         let seed =
             u64::from_str_radix(&file.seed, 16).map_err(|e| format!("{path}: seed {:?}: {e}", file.seed))?;
-        let senders = file.settings.settings.senders;
-        if senders == 0 {
-            eprintln!("{path}: settings.balancers is missing or 0: this forwarder counts as the only one");
+        let forwarder_count = file.settings.settings.senders;
+        if forwarder_count == 0 {
+            eprintln!("{path}: settings.balancers is missing or 0: assuming a single forwarder");
         }
         let source = match file.settings.settings.subscribe {
             true => Source::Shared,
             false => Source::OwnAgent,
         };
-        let grace = file.settings.settings.rules.drain_grace;
-        let discovery = watch::Sender::new(address("BALANCER_DISCOVERY", file.discovery)?);
+        let drain_grace = file.settings.settings.rules.drain_grace;
+        let discovery = watch::Sender::new(address_from_env("BALANCER_DISCOVERY", file.discovery)?);
         let config = Config {
-            listen: address("BALANCER_LISTEN", file.listen)?,
-            state: PathBuf::from(variable("BALANCER_STATE")?),
+            listen: address_from_env("BALANCER_LISTEN", file.listen)?,
+            state: PathBuf::from(env_var("BALANCER_STATE")?),
             seed,
             sockets,
-            places: Places::new(behind_the_platform(places), Clock::new(), descriptors.clone()),
+            places: Places::new(platform_admission(places), Clock::new(), descriptors.clone()),
             descriptors,
             memory_bytes: (file.limits.memory_mb * 1e6) as usize,
             disk_bytes: disk_bytes as u64,
@@ -150,10 +158,10 @@
             speeches: Speeches::platform(),
             membership: Box::new(Agent {
                 discovery: discovery.clone(),
-                known: file.known,
-                senders,
+                cached_list: file.known,
+                forwarder_count,
                 source,
-                grace,
+                drain_grace,
                 seed,
             }),
             discovery: Some(discovery),
--- a/src/bin/foldtrack/door.rs
+++ b/src/bin/foldtrack/door.rs
@@ -1,5 +1,6 @@
-//! The door to the loop: what its sides tell it, and what it answers. The loop's own files stand above this one,
-//! the sides below only it.
+//! The interface of the event loop: the events that other tasks send to it, and its replies. The
+//! modules in `node` may use the whole program; socket tasks reach the loop only through this
+//! module.
 
 use crate::connections::Connection;
 use crate::list::ServerList;
@@ -18,20 +19,21 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How far the process is from its end.
+/// Stage of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     Serving,
-    /// Told to end: answers close their connections.
+    /// SIGTERM was received: responses close their connections.
     Draining,
-    /// Nothing is accepted any more.
+    /// The listener accepts no more connections.
     Closing,
 }
 
-/// What a client is told.
+/// Reply to a submitted message.
 pub(crate) enum Answer {
     TakenOn(Receipt),
-    /// Handed in before: taken on then, or `over` with no more to come.
+    /// The id was submitted before: the message was accepted then, or is `over` and will not be
+    /// sent.
     Known {
         over: bool,
     },
@@ -40,7 +42,7 @@
     },
 }
 
-/// Tells the node, when it is dropped, whether the client's answer has been written.
+/// Reports to the event loop, when dropped, whether the reply to the client was written.
 pub(crate) struct Receipt {
     pub number: u64,
     pub inputs: Inputs,
@@ -53,11 +55,11 @@
     }
 }
 
-/// What happens to the node.
+/// An event for the event loop.
 pub(crate) enum Input {
     HandIn {
         message: Arc<message::Message>,
-        /// Its client is known: it may have the room that is kept.
+        /// Its client is known and may use the reserved part of the journal.
         known: bool,
         reply: oneshot::Sender<Answer>,
     },
@@ -66,7 +68,8 @@
         written: bool,
     },
     CallEnded(CallEnd),
-    /// A dial ahead of demand has ended, with a connection and how long it took, or without.
+    /// A connection opened ahead of demand: the connection and the time it took, or none if it
+    /// failed.
     Opened {
         target: TargetId,
         number: u64,
@@ -76,51 +79,52 @@
         list: ServerList,
         from: SocketAddr,
     },
-    /// Notices were answered with this status, or not at all.
+    /// The platform answered a batch of notices with this status, or not at all.
     Reported {
         numbers: Vec<u64>,
         status: Option<StatusCode>,
         to: SocketAddr,
     },
-    /// Discovery is there from now on.
+    /// Discovery has moved to this address.
     Discovery(SocketAddr),
     Terminate,
-    /// A datagram of another forwarder of the site.
+    /// A datagram from a peer.
     Datagram(Vec<u8>),
-    /// What was handed to the peers' store under this ticket, and before it, is on disk.
+    /// The peers' store has synced everything up to this ticket.
     PeersKept(u64),
-    /// What the disk has confirmed, or failed to.
+    /// A journal sync has finished or failed.
     Synced(Synced),
-    /// Of a site of its own: everything below.
+    /// A request of the HTTP API or the control socket, only with a site file.
     Site(Ask),
 }
 
-/// A sync that has been done, or has failed.
+/// A sync that has finished or failed.
 pub(crate) struct Synced {
     pub job: SyncJob,
     pub result: io::Result<()>,
 }
 
-/// What fronts of a site ask the node. Each has one answer.
+/// A request of the site's HTTP API or control socket. Each gets one reply.
 pub(crate) enum Ask {
-    /// Ends after a cursor, which acknowledges those up to it unless the client only peeks.
+    /// Outcomes after a cursor. Those up to the cursor are acknowledged unless the client only
+    /// peeks.
     Ends { after: Option<u64>, peek: bool, most: usize, reply: oneshot::Sender<io::Result<Fetched>> },
     /// What is known of a message.
     Message { id: String, reply: oneshot::Sender<Option<Message>> },
-    /// A picture of all.
+    /// A snapshot of status, partners, endpoints, failures and queues.
     Picture { reply: oneshot::Sender<Arc<Picture>> },
-    /// The other forwarders of the site; none where it has no others.
+    /// The peers of the site; none if it has no others.
     Peers { reply: oneshot::Sender<Option<Peers>> },
-    /// What was ordered and holds.
+    /// The facts that the peers have agreed on.
     State { reply: oneshot::Sender<Option<SiteState>> },
-    /// An order. The answer comes when it is on the disk.
+    /// An order. The reply is sent once it is stored.
     Order { order: Order, reply: oneshot::Sender<Result<Done, Error>> },
-    /// A network is blocked for so long, or let in again: what the others of the site are told. It holds here already, or is
-    /// ended here if nobody objects.
+    /// A network is to be blocked for this long, or unblocked, at the peers. A block already holds
+    /// here; an unblock takes effect here if no peer objects.
     Network { network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<Done, Error>> },
 }
 
-/// What there is to see at a moment.
+/// Snapshot of the forwarder's state for operators.
 #[derive(Debug)]
 pub(crate) struct Picture {
     pub at: Instant,
@@ -128,23 +132,24 @@
     pub partners: Vec<Partner>,
     pub endpoints: Vec<Endpoint>,
     pub failures: Vec<Failure>,
-    /// The longest of them.
+    /// The longest queues.
     pub queues: Vec<Queue>,
 }
 
-/// The way to the node. The queue has no bound of its own: each connection and each call has one input under
-/// way, and connections and calls are bounded.
+/// Sender of events to the loop. The channel is unbounded, but each connection and each call has at
+/// most one event in flight, and connections and calls are bounded.
 #[derive(Clone)]
 pub(crate) struct Inputs(UnboundedSender<Input>);
 
 impl Inputs {
+    /// Sends an event.
     pub fn send(&self, input: Input) {
-        // The node is gone only when the process ends.
+        // The loop is gone only when the process ends.
         let _ = self.0.send(input);
     }
 }
 
-/// The channel to a node that is yet to run.
+/// Creates the channel of an event loop that is about to start.
 pub(crate) fn channel() -> (Inputs, UnboundedReceiver<Input>) {
     let (sender, receiver) = mpsc::unbounded_channel();
     (Inputs(sender), receiver)
@@ -156,23 +161,26 @@
     pub number: u64,
     pub attempt: u32,
     pub target: TargetId,
+    /// When the call started.
     pub begun: Instant,
     pub outcome: Outcome,
-    /// Nothing is owed for the message any more.
+    /// Nothing more is owed for the message.
     pub over: bool,
-    /// The call's time was over when its end was seen: nobody here can tell whether an answer was written in it.
+    /// The call's deadline had passed when its end was seen: whether the partner wrote its answer
+    /// in time is unknown.
     pub late: bool,
-    /// The partner will never take it, or it can't be sent to this one.
+    /// The partner rejects the message permanently, or it cannot be sent to this partner.
     pub refused: bool,
-    /// Why there was no connection, for people; empty if there was one.
+    /// Why no connection could be made, for operators; empty if there was one.
     pub cause: String,
-    /// Nothing is to be sent to the destination until then.
+    /// Nothing may be sent to the destination before this time.
     pub wait_until: Option<Micros>,
+    /// The rate limits that the partner reported.
     pub report: Option<LimitReport>,
-    /// How long its connection had been idle before, if it was not a new one.
+    /// How long a reused connection had been idle; none for a new one.
     pub idle: Option<Duration>,
-    /// How long its connection took to be made, if it was a new one.
+    /// How long a new connection took to establish; none for a reused one.
     pub dialled: Option<Duration>,
-    /// Fit for the next call.
+    /// A connection that is fit for the next call.
     pub connection: Option<Connection>,
 }
--- a/src/bin/foldtrack/list.rs
+++ b/src/bin/foldtrack/list.rs
@@ -1,31 +1,34 @@
-//! The list of targets, in discovery's form.
+//! The list of targets in discovery's JSON format.
 
 use hatchline::Micros;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::net::SocketAddr;
 
+/// A full list, or the changes since a version.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(crate) struct ServerList {
     pub version: u64,
     #[serde(default)]
     pub full: bool,
-    #[serde(default, deserialize_with = "readable")]
-    pub servers: Vec<ServerLine>,
+    #[serde(default, deserialize_with = "skip_unreadable")]
+    pub servers: Vec<ServerEntry>,
 }
 
-/// Guards the rest of a list, drains among it, against a line that cannot be read.
-fn readable<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ServerLine>, D::Error> {
+/// Skips entries that cannot be parsed, so that one of them does not hide the rest of the list,
+/// drains included.
+fn skip_unreadable<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ServerEntry>, D::Error> {
     let lines = Vec::<Value>::deserialize(deserializer)?;
     let read = |line: Value| {
         let text = line.to_string();
-        serde_json::from_value(line).inspect_err(|e| eprintln!("discovery: {text} is passed over: {e}")).ok()
+        serde_json::from_value(line).inspect_err(|e| eprintln!("discovery: entry skipped: {text}: {e}")).ok()
     };
     Ok(lines.into_iter().filter_map(read).collect())
 }
 
+/// One target of the list.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct ServerLine {
+pub(crate) struct ServerEntry {
     pub id: String,
     pub addr: SocketAddr,
     #[serde(default)]
@@ -36,14 +39,17 @@
     pub state: ServerState,
     #[serde(default)]
     pub weight: f64,
-    /// Calls out to its destination at most. Discovery tells none; a site file may.
+    /// Maximum number of concurrent calls to the destination. Set from a site file; discovery does
+    /// not send it.
     #[serde(skip)]
     pub slots: Option<u32>,
-    /// Another forwarder was told to wait there until then. Discovery tells none.
+    /// Nothing is sent before this time, because another forwarder was told to wait. Discovery does
+    /// not send it.
     #[serde(skip)]
     pub hold_until: Micros,
 }
 
+/// State of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum ServerState {
--- a/src/bin/foldtrack/lock.rs
+++ b/src/bin/foldtrack/lock.rs
@@ -1,8 +1,9 @@
-//! Locks of this process.
+//! Locking of mutexes.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Takes a lock, also one whose holder has panicked: what these guard is whole between two statements.
+/// Locks a mutex even if a holder has panicked: the data under these mutexes is consistent between
+/// any two statements.
 pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -1,5 +1,5 @@
-//! One forwarder of outbound messages on real sockets: the decisions of `hatchline` between clients, targets
-//! and the platform.
+//! A forwarder of outbound messages: connects the decisions of `hatchline` with clients, targets
+//! and the platform over real sockets.
 #![warn(missing_docs)]
 
 mod asking;
@@ -40,23 +40,24 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::sleep;
 
-/// A configuration that cannot be read may be half written: it is read again so often, after such a pause.
-const TRIES: u32 = 5;
-const TRY_PAUSE: Duration = Duration::from_millis(50);
+/// Attempts to read a configuration file. It may be half written when it is read.
+const CONFIG_READ_ATTEMPTS: u32 = 5;
+/// Pause between two attempts.
+const CONFIG_READ_PAUSE: Duration = Duration::from_millis(50);
 
-/// Goes over to the discovery that the configuration names, each time that SIGHUP says that it is new.
-async fn reload(mut hangup: Signal, path: PathBuf, inputs: Inputs) {
+/// Moves to the discovery address in the configuration file on each SIGHUP.
+async fn follow_discovery_changes(mut hangup: Signal, path: PathBuf, inputs: Inputs) {
     while hangup.recv().await.is_some() {
-        let mut read = config::discovery(&path);
-        for _ in 1..TRIES {
+        let mut read = config::read_discovery_address(&path);
+        for _ in 1..CONFIG_READ_ATTEMPTS {
             if read.is_err() {
-                sleep(TRY_PAUSE).await;
-                read = config::discovery(&path);
+                sleep(CONFIG_READ_PAUSE).await;
+                read = config::read_discovery_address(&path);
             }
         }
         match read {
             Ok(address) => inputs.send(Input::Discovery(address)),
-            Err(error) => eprintln!("SIGHUP: discovery stays where it is: {error}"),
+            Err(error) => eprintln!("SIGHUP: discovery address not changed: {error}"),
         }
     }
 }
@@ -64,19 +65,19 @@
 async fn run(config: Config, path: PathBuf) -> Result<(), String> {
     let (inputs, receiver) = door::channel();
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    tokio::spawn(reload(hangup, path, inputs.clone()));
+    tokio::spawn(follow_discovery_changes(hangup, path, inputs.clone()));
     serve_until_told(config, inputs, receiver, &[SignalKind::terminate()]).await
 }
 
-/// Runs the loop, and ends it at one of these signals.
+/// Runs the event loop until one of these signals is received.
 async fn serve_until_told(
     config: Config, inputs: Inputs, receiver: UnboundedReceiver<Input>, ends: &[SignalKind],
 ) -> Result<(), String> {
     for kind in ends {
-        let mut told = signal(*kind).map_err(|e| format!("signals: {e}"))?;
+        let mut received = signal(*kind).map_err(|e| format!("signals: {e}"))?;
         let to_node = inputs.clone();
         tokio::spawn(async move {
-            while told.recv().await.is_some() {
+            while received.recv().await.is_some() {
                 to_node.send(Input::Terminate);
             }
         });
@@ -86,14 +87,14 @@
     end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
 
-/// One thread: the forwarder has one core.
+/// Creates a single-threaded runtime: the forwarder has one core.
 fn runtime() -> Result<Runtime, String> {
     Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())
 }
 
-/// As the platform starts it: without a word, all that it is told stands in the environment.
+/// Runs as a platform starts it: without arguments, configured by environment variables.
 fn serve_platform() -> ExitCode {
-    let end = Config::of_platform().and_then(|(config, path)| runtime()?.block_on(run(config, path)));
+    let end = Config::from_platform_env().and_then(|(config, path)| runtime()?.block_on(run(config, path)));
     match end {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -108,10 +109,10 @@
         return cli::main();
     }
     if std::env::var_os("BALANCER_CONFIG").is_none() {
+        eprintln!("foldtrack: BALANCER_CONFIG is not set. A platform sets it; to run a site of your own:");
         eprintln!(
-            "foldtrack: BALANCER_CONFIG is not set, by which a platform starts it; for a site of your own:"
+            "  foldtrack init site.toml && foldtrack serve --site site.toml     (see foldtrack --help)"
         );
-        eprintln!("  foldtrack init site.toml && foldtrack serve --site site.toml     (foldtrack --help tells more)");
         return ExitCode::FAILURE;
     }
     serve_platform()
--- a/src/bin/foldtrack/membership.rs
+++ b/src/bin/foldtrack/membership.rs
@@ -1,34 +1,42 @@
-//! Where the list of targets comes from: the platform's discovery, or a site's own file and orders.
+//! Sources of the list of targets: the platform's discovery, or a site file and operators' orders.
 
 use crate::door::Inputs;
-use crate::list::{ServerLine, ServerList, ServerState};
+use crate::list::{ServerEntry, ServerList, ServerState};
 use foldtrack_membership::{Change, Log, Order, State, Trouble};
 use foldtrack_site::Site;
 use std::fs::File;
 use std::io;
 
-/// A source of the list.
+/// A source of the list of targets.
 pub(crate) trait Membership {
-    /// The list to begin with.
-    fn known(&self) -> ServerList;
+    /// The list to start with, or the list after the latest order.
+    fn current_list(&self) -> ServerList;
 
-    /// Begins to tell news, where they come by themselves. Whether the start waits for the first of them.
-    fn watch(&self, inputs: &Inputs) -> bool;
+    /// Starts to watch for changes, if the source reports any. Returns whether startup waits for
+    /// the first of them.
+    fn start_updates(&self, inputs: &Inputs) -> bool;
 
-    /// Carries out an order, at a Unix time in microseconds: the list that follows is [`Membership::known`].
+    /// Carries out an order at a Unix time in microseconds. [`Membership::current_list`] then returns the
+    /// changed list.
+    ///
+    /// # Errors
+    /// The order is refused, or could not be written.
     fn order(&mut self, at: u64, order: &Order) -> Result<Change, Trouble>;
 
-    /// What an order would do, without doing it.
+    /// Validates an order without carrying it out.
+    ///
+    /// # Errors
+    /// The order would be refused.
     fn judge(&self, order: &Order) -> Result<Change, Trouble>;
 
-    /// What has been ordered so far, where there are orders.
+    /// The state that all orders have led to, if the source takes orders.
     fn state(&self) -> Option<&State>;
 
-    /// The file of the orders, to be synced before an order is acknowledged.
+    /// The log of orders, which is synced before an order is acknowledged.
     fn file(&self) -> io::Result<File>;
 }
 
-/// The list of a site: its file, changed by orders.
+/// The list of a site: its site file, changed by orders.
 #[derive(Debug)]
 pub(crate) struct SiteMembership {
     log: Log,
@@ -42,11 +50,11 @@
 }
 
 impl Membership for SiteMembership {
-    fn known(&self) -> ServerList {
+    fn current_list(&self) -> ServerList {
         let state = self.log.state();
         let line = |(name, endpoint): (&String, &foldtrack_membership::Endpoint)| {
             let partner = self.site.partners.iter().find(|p| p.name == endpoint.partner)?;
-            Some(ServerLine {
+            Some(ServerEntry {
                 id: name.clone(),
                 addr: endpoint.address,
                 zone: String::new(),
@@ -62,7 +70,7 @@
         ServerList { version: state.version(), full: true, servers }
     }
 
-    fn watch(&self, _: &Inputs) -> bool {
+    fn start_updates(&self, _: &Inputs) -> bool {
         false
     }
 
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -1,36 +1,40 @@
-//! A message on its way from a client to a target.
+//! A message between its client and its target.
 
 use bytes::Bytes;
 use hatchline::Micros;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// A message as it was handed in.
+/// A message as it was submitted.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
     pub id: String,
+    /// Index into the classes of the settings.
     pub class: usize,
     pub destination: u32,
+    /// Order key as text; messages with the same key are sent one at a time.
     pub key: String,
     pub idempotency_key: Option<String>,
     pub retry: Option<String>,
+    /// Deadline, in microseconds of the process's clock.
     pub expires: Micros,
     pub body: Bytes,
 }
 
 impl Message {
-    /// Bytes that it takes in the journal, about.
-    pub fn size(&self) -> usize {
+    /// Approximate size in bytes in the journal.
+    pub fn journal_size(&self) -> usize {
         let key = self.idempotency_key.as_ref().map_or(0, String::len);
         self.body.len() + self.id.len() + self.key.len() + key + 128
     }
 
+    /// The scheduler's form of the order key.
     pub fn order_key(&self) -> u64 {
         order_key(&self.key)
     }
 }
 
-/// The module's name for a key, 0 for none; two keys that share one only wait for each other.
+/// Hash of an order key, 0 for an empty one. Keys with the same hash only wait for each other.
 pub(crate) fn order_key(key: &str) -> u64 {
     if key.is_empty() {
         return 0;
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -1,6 +1,7 @@
-//! What a site of its own has beside the loop: kept ends, counts, and what people are shown.
+//! State that only a deployment with a site file has: stored outcomes, counters, and the data shown
+//! to operators.
 
-use super::Held;
+use super::HeldMessage;
 use crate::config::SiteParts;
 use crate::door::Answer;
 use foldtrack_control::Failure;
@@ -14,19 +15,22 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Failures that are kept to be shown.
-const FAILURES: usize = 500;
-/// Part of the memory limit that bodies of held messages may take: each is kept twice, here and in the journal.
-const HELD_PART: u64 = 4;
-/// Longest name of an endpoint.
-pub(crate) const LONGEST_NAME: usize = 64;
-/// Waits that refused clients are told: while the room is full, and while nobody fetches ends.
-const FULL_WAIT_MS: u64 = 500;
-const UNFETCHED_WAIT_MS: u64 = 2_000;
-
-/// Counts since the start.
+/// Number of recent failures kept for operators.
+const MAX_FAILURES: usize = 500;
+/// Bodies of held messages may use one part in this many of the memory limit: each is kept twice,
+/// in memory and in the journal.
+const HELD_MEMORY_DIVISOR: u64 = 4;
+/// Maximum length of a name in bytes.
+pub(crate) const MAX_NAME_BYTES: usize = 64;
+/// Retry delay told to refused clients while the forwarder is full.
+const FULL_RETRY_MS: u64 = 500;
+/// Retry delay told to refused clients while the store of outcomes is full because no client
+/// fetches them.
+const UNFETCHED_RETRY_MS: u64 = 2_000;
+
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
-pub(super) struct Counts {
+pub(super) struct Counters {
     pub taken: u64,
     pub refused: u64,
     pub delivered: u64,
@@ -34,151 +38,163 @@
     pub in_doubt: u64,
     pub handed_back: u64,
     pub failures: u64,
-    /// Delivered and failed attempts by partner's number.
+    /// Delivered messages and failed attempts, by the partner's number.
     pub by_partner: HashMap<u32, (u64, u64)>,
 }
 
-/// A partner by its number.
+/// What operators are shown of a partner beside its state.
 #[derive(Debug)]
-pub(super) struct PartnerFacts {
+pub(super) struct PartnerInfo {
     pub name: String,
     pub kind: String,
     pub rate: f64,
     pub slots: u32,
 }
 
-pub(super) struct Appliance {
+/// State of the event loop for a deployment with a site file.
+pub(super) struct SiteRuntime {
     pub name: String,
-    /// The state folder.
+    /// Path of the state folder.
     pub state: PathBuf,
     pub ends: Store,
-    /// Sequence number of the last end.
+    /// Publishes the sequence number of the latest outcome.
     pub ends_seen: watch::Sender<u64>,
-    pub partners: HashMap<u32, PartnerFacts>,
-    pub held_most: u64,
+    pub partners: HashMap<u32, PartnerInfo>,
+    /// Maximum bytes of held messages.
+    pub max_held_bytes: u64,
     pub held_bytes: u64,
-    /// Room in the store that the ends of held messages will take.
+    /// Bytes in the store reserved for the outcomes of held messages.
     reserved: u64,
     attempts: usize,
     longest_wait_ms: u64,
-    /// Ended while the answer that takes them on was under way: whether they were taken on is yet to be seen.
-    pub pending: BTreeMap<u64, (Held, Notice)>,
-    /// Messages whose ends are staged, how many of them the journal has been told of since the disk would not take
-    /// them, and when to try next.
-    pub ended: Vec<(u64, ends::Result)>,
-    pub behind_told: usize,
-    pub commit_from: Instant,
-    pub counts: Counts,
-    /// The latest at the end, each with its message's number.
+    /// Messages that ended while the reply that accepts them was being written: whether the client
+    /// received it is not known yet.
+    pub pending: BTreeMap<u64, (HeldMessage, Notice)>,
+    /// Messages whose outcomes are staged and not yet written.
+    pub staged: Vec<(u64, ends::Result)>,
+    /// How many of `staged` were recorded in the journal because the store could not write their
+    /// outcomes.
+    pub journaled_results: usize,
+    /// When to try to write the outcomes again.
+    pub commit_retry_at: Instant,
+    pub counts: Counters,
+    /// The most recent failures, the latest last, each with its message's number.
     pub failures: VecDeque<(u64, Failure)>,
     /// Endpoints that an order has closed, and when.
     pub closed: HashMap<String, Instant>,
-    pub longest_round: Duration,
-    pub journal_most: u64,
+    /// Longest iteration of the event loop since the last snapshot.
+    pub longest_iteration: Duration,
+    /// Maximum size of the journal in bytes.
+    pub max_journal_bytes: u64,
 }
 
-impl Appliance {
+impl SiteRuntime {
     pub fn new(parts: SiteParts, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
         let SiteParts { site, ends, .. } = parts;
         ends_seen.send_replace(ends.last());
-        let facts = |p: &foldtrack_site::Partner| PartnerFacts {
+        let info = |p: &foldtrack_site::Partner| PartnerInfo {
             name: p.name.clone(),
             kind: site.kinds[p.kind].name.clone(),
             rate: p.rate.unwrap_or(0.0),
             slots: p.slots.unwrap_or(0),
         };
-        Appliance {
+        SiteRuntime {
             ends,
             ends_seen,
-            partners: site.partners.iter().map(|p| (p.number(), facts(p))).collect(),
-            held_most: memory / HELD_PART,
+            partners: site.partners.iter().map(|p| (p.number(), info(p))).collect(),
+            max_held_bytes: memory / HELD_MEMORY_DIVISOR,
             held_bytes: 0,
             reserved: 0,
             attempts: site.limits.attempts as usize,
             longest_wait_ms: site.limits.longest_wait / 1000,
             pending: BTreeMap::new(),
-            ended: Vec::new(),
-            behind_told: 0,
-            commit_from: Instant::now(),
-            counts: Counts::default(),
+            staged: Vec::new(),
+            journaled_results: 0,
+            commit_retry_at: Instant::now(),
+            counts: Counters::default(),
             failures: VecDeque::new(),
             closed: HashMap::new(),
-            longest_round: Duration::ZERO,
-            journal_most: site.journal_room(),
+            longest_iteration: Duration::ZERO,
+            max_journal_bytes: site.journal_room(),
             name: site.name,
             state: site.state,
         }
     }
 
+    /// Name of a partner, or a placeholder once it has left the site file.
     pub fn partner_name(&self, number: u32) -> Cow<'_, str> {
         match self.partners.get(&number) {
             Some(partner) => Cow::Borrowed(&partner.name),
-            // It has left the site file since.
             None => Cow::Owned(format!("partner {number}")),
         }
     }
 
-    /// Room that a message's end may take.
-    fn room(&self, message: &crate::message::Message) -> u64 {
-        // Class and partner have names of 64 bytes at most.
-        End::room(message.id.len() + message.key.len() + 2 * LONGEST_NAME, self.attempts, LONGEST_NAME)
+    /// Maximum size in bytes of a message's outcome.
+    fn outcome_size(&self, message: &crate::message::Message) -> u64 {
+        // Names of classes and partners have at most 64 bytes.
+        End::room(message.id.len() + message.key.len() + 2 * MAX_NAME_BYTES, self.attempts, MAX_NAME_BYTES)
     }
 
-    /// Refuses a message that there is no room for, with a wait where that helps.
-    pub fn refuse(&mut self, message: &crate::message::Message, held: usize) -> Option<Answer> {
-        let bytes = self.held_bytes + message.size() as u64 > self.held_most;
+    /// Refuses a message that exceeds the memory limit or the capacity for outcomes, with a retry
+    /// delay.
+    pub fn capacity_refusal(&mut self, message: &crate::message::Message, held: usize) -> Option<Answer> {
+        let bytes = self.held_bytes + message.journal_size() as u64 > self.max_held_bytes;
         let coming = held as u64 + self.pending.len() as u64 + 1;
-        let ends = !self.ends.has_room(coming, self.reserved + self.room(message));
-        // Ends that this round has staged count as kept; what an earlier one could not write is trouble.
-        if !bytes && !ends && self.behind_told == 0 {
+        let ends = !self.ends.has_room(coming, self.reserved + self.outcome_size(message));
+        // Outcomes staged in this iteration count as written. Outcomes that an earlier iteration
+        // could not write mean that the store has failed.
+        if !bytes && !ends && self.journaled_results == 0 {
             return None;
         }
-        Some(self.full(if ends { UNFETCHED_WAIT_MS } else { 0 }))
+        Some(self.refusal(if ends { UNFETCHED_RETRY_MS } else { 0 }))
     }
 
-    /// The answer of a full house, with this wait or the usual one.
-    pub fn full(&mut self, wait_ms: u64) -> Answer {
+    /// The refusal while the forwarder is full, with this retry delay in milliseconds, or the
+    /// default if it is 0.
+    pub fn refusal(&mut self, wait_ms: u64) -> Answer {
         self.counts.refused += 1;
-        Answer::Refused { retry_in_ms: self.wait(wait_ms) }
+        Answer::Refused { retry_in_ms: self.retry_delay(wait_ms) }
     }
 
-    /// The wait that is told: this one, or the usual one where it is 0.
-    pub fn wait(&self, wait_ms: u64) -> u64 {
-        let wait_ms = if wait_ms == 0 { FULL_WAIT_MS } else { wait_ms };
+    /// The retry delay in milliseconds told to clients: this one, or the default if it is 0,
+    /// limited to the longest wait of the site.
+    pub fn retry_delay(&self, wait_ms: u64) -> u64 {
+        let wait_ms = if wait_ms == 0 { FULL_RETRY_MS } else { wait_ms };
         wait_ms.min(self.longest_wait_ms)
     }
 
-    /// A message is held from now on.
+    /// Counts a message as held.
     pub fn hold(&mut self, message: &crate::message::Message) {
-        self.held_bytes += message.size() as u64;
-        self.reserved += self.room(message);
+        self.held_bytes += message.journal_size() as u64;
+        self.reserved += self.outcome_size(message);
     }
 
-    /// A message is held no more: its end is kept, or it was not taken on.
-    pub fn let_go(&mut self, message: &crate::message::Message) {
-        self.held_bytes = self.held_bytes.saturating_sub(message.size() as u64);
-        self.reserved = self.reserved.saturating_sub(self.room(message));
+    /// No longer counts a message as held: its outcome is stored, or it was not accepted.
+    pub fn release(&mut self, message: &crate::message::Message) {
+        self.held_bytes = self.held_bytes.saturating_sub(message.journal_size() as u64);
+        self.reserved = self.reserved.saturating_sub(self.outcome_size(message));
     }
 
-    pub fn failed(&mut self, number: u64, partner: u32, failure: Failure) {
+    /// Records a failed attempt.
+    pub fn record_failure(&mut self, number: u64, partner: u32, failure: Failure) {
         self.counts.failures += 1;
         self.counts.by_partner.entry(partner).or_default().1 += 1;
         self.failures.push_back((number, failure));
-        if self.failures.len() > FAILURES {
+        if self.failures.len() > MAX_FAILURES {
             self.failures.pop_front();
         }
     }
 
-    /// What was done about the last failure of a message.
-    pub fn then(&mut self, number: u64, what: &str) {
+    /// Sets what was done about the latest failure of a message.
+    pub fn set_followup(&mut self, number: u64, what: &str) {
         if let Some((_, failure)) = self.failures.iter_mut().rev().find(|(n, _)| *n == number) {
             failure.then = what.to_string();
         }
     }
 }
 
-/// An outcome as it is kept with a message's attempts.
-pub(super) fn kept(outcome: Outcome) -> ends::Outcome {
+/// Converts an outcome to the form kept with a message's attempts.
+pub(super) fn attempt_outcome(outcome: Outcome) -> ends::Outcome {
     match outcome {
         Outcome::Ok => ends::Outcome::Ok,
         Outcome::Error => ends::Outcome::Error,
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -1,7 +1,7 @@
-//! What the module has decided is carried out, and how calls end.
+//! Carries out the scheduler's actions, and handles the end of calls.
 
-use super::appliance::kept;
-use super::{Node, Taken, Waiting};
+use super::appliance::attempt_outcome;
+use super::{Acceptance, Node, PendingSend};
 use crate::descriptors::Drawn;
 use crate::door::CallEnd;
 use crate::targets::{self, Call};
@@ -14,110 +14,120 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A send that has waited for longer than this is decided anew.
-const STALE_SEND: Micros = 50_000;
+/// A send that has waited for longer than this, in microseconds, is decided again.
+const MAX_SEND_WAIT_US: Micros = 50_000;
 
 impl Node {
-    pub(super) fn carry_out(&mut self, action: Action) {
+    /// Carries out one action of the scheduler.
+    pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, target, until } => {
                 let Some(held) = self.messages.get_mut(&id) else { return };
-                let (attempt, decided) = (held.attempts, self.clock.now());
-                held.waiting = Some(Waiting { attempt, target, until, decided });
+                let (attempt, decided_at) = (held.attempts, self.clock.now());
+                held.pending_send = Some(PendingSend { attempt, target, until, decided_at });
                 held.attempts += 1;
-                self.waiting.insert(id);
+                self.pending_sends.insert(id);
                 self.send(id);
             }
             Action::Cancel { id, attempt } => {
                 if let Some(cancel) = self.calls.remove(&(id, attempt)) {
-                    // A call that has just ended tells its own end.
+                    // If the call has just ended, its own end event is on its way and nothing
+                    // receives this.
                     let _ = cancel.send(());
-                } else if let Some(Waiting { target, .. }) =
-                    self.messages.get_mut(&id).and_then(|h| h.waiting.take())
+                } else if let Some(PendingSend { target, .. }) =
+                    self.messages.get_mut(&id).and_then(|h| h.pending_send.take())
                 {
-                    self.outcome(id, attempt, target, Outcome::NotSent, false);
+                    self.report_outcome(id, attempt, target, Outcome::NotSent, false);
                 }
             }
             Action::Refuse { id, retry_after } => {
-                self.end(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
+                self.end_message(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
             }
-            Action::Fail { id } => self.end(id, Notice::GivenUp),
+            Action::Fail { id } => self.end_message(id, Notice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
-            // Later than all that was decided on before, and no later than what is decided on next.
+            // Later than all earlier decisions, and no later than the next one.
             Action::FoundOut { target } => self.targets.found_out(target, self.clock.now()),
             Action::CloseIdle { target } => self.idle.close(target),
             Action::Log { text } => eprintln!("{text}"),
-            // The list is watched all the time; probes and talk are not for this kind of deployment.
+            // The list is always watched. Probes and messages between forwarders are not used in
+            // these deployments.
             Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::Tell { .. } => {}
         }
     }
 
-    /// Starts the call that the module has decided on, unless it has to wait: for the client to be told that the
-    /// message is taken on, or for the notice that ends an earlier message of its key, which is over only then.
+    /// Starts the call that the scheduler has decided on, unless it must wait: until the client has
+    /// been told that the message is accepted, or until the notice that ends an earlier message
+    /// with the same order key is acknowledged, because that message is finished only then.
     pub(super) fn send(&mut self, number: u64) {
-        let Some(held) = self.messages.get_mut(&number).filter(|h| matches!(h.taken, Taken::On)) else {
+        let Some(held) =
+            self.messages.get_mut(&number).filter(|h| matches!(h.acceptance, Acceptance::Confirmed))
+        else {
             return;
         };
         if self.notices.hold(held.message.order_key()) {
             return;
         }
-        self.waiting.remove(&number);
-        let Some(Waiting { attempt, target, until, decided }) = held.waiting.take() else { return };
-        // What was decided long ago may not be the best any more: the module decides anew.
-        if self.clock.now() > decided + STALE_SEND {
-            return self.outcome(number, attempt, target, Outcome::NotSent, false);
+        self.pending_sends.remove(&number);
+        let Some(PendingSend { attempt, target, until, decided_at }) = held.pending_send.take() else {
+            return;
+        };
+        // An old decision may no longer be the best one: the scheduler decides again.
+        if self.clock.now() > decided_at + MAX_SEND_WAIT_US {
+            return self.report_outcome(number, attempt, target, Outcome::NotSent, false);
         }
-        self.start(number, Waiting { attempt, target, until, decided });
+        self.start_call(number, PendingSend { attempt, target, until, decided_at });
     }
 
-    /// Guards against a notice that the platform is slow to take: a send that waits for it past its time would
-    /// have no outcome, and its message no end.
-    pub(super) fn expire_waiting(&mut self) {
+    /// Gives up sends that have waited past their time, for instance because the platform is slow
+    /// to acknowledge a notice. Otherwise the attempt would have no outcome and its message would
+    /// never finish.
+    pub(super) fn expire_pending_sends(&mut self) {
         let now = self.clock.now();
         let mut expired = Vec::new();
-        self.waiting.retain(|number| {
+        self.pending_sends.retain(|number| {
             let Some(held) = self.messages.get_mut(number) else { return false };
-            expired.extend(held.waiting.take_if(|w| w.until <= now).map(|waiting| (*number, waiting)));
-            held.waiting.is_some()
+            expired.extend(held.pending_send.take_if(|w| w.until <= now).map(|waiting| (*number, waiting)));
+            held.pending_send.is_some()
         });
-        for (number, Waiting { attempt, target, .. }) in expired {
-            self.outcome(number, attempt, target, Outcome::NotSent, false);
+        for (number, PendingSend { attempt, target, .. }) in expired {
+            self.report_outcome(number, attempt, target, Outcome::NotSent, false);
         }
     }
 
-    /// Starts a call; it goes out once its record stands in the journal.
-    fn start(&mut self, number: u64, decided: Waiting) {
-        let Waiting { attempt, target, until, decided } = decided;
+    /// Starts a call. Its first byte goes out once its record is in the journal.
+    fn start_call(&mut self, number: u64, send: PendingSend) {
+        let PendingSend { attempt, target, until, decided_at } = send;
         let Some(held) = self.messages.get(&number) else { return };
-        let (message, tries) = (held.message.clone(), held.tries);
-        let Some((address, zone, clearance)) = self.targets.begin_call(target, decided) else {
-            return self.outcome(number, attempt, target, Outcome::NotSent, false);
+        let (message, journaled_attempts) = (held.message.clone(), held.journaled_attempts);
+        let Some((address, zone, clearance)) = self.targets.begin_call(target, decided_at) else {
+            return self.report_outcome(number, attempt, target, Outcome::NotSent, false);
         };
-        // The same is asked again once its connection is up: what is known already needs no record.
+        // The same check is repeated once the connection is up. A call that is already known to be
+        // blocked needs no journal record.
         if let Err(why) = clearance.check(self.clock.now()) {
             self.targets.end_call(target);
-            return self.held_back(number, attempt, target, why);
+            return self.report_withheld(number, attempt, target, why);
         }
         let at = self.clock.unix(self.clock.now());
         let endpoint =
             if self.site.is_some() { self.targets.name(target).to_string() } else { String::new() };
-        let begun = Record::Try { attempt: tries, at, zone, endpoint };
+        let begun = Record::Try { attempt: journaled_attempts, at, zone, endpoint };
         let ticket = match self.journal.stage(number, &begun) {
             Ok(ticket) => ticket,
             Err(error) => {
-                eprintln!("journal: a call is not made: {error}");
+                eprintln!("journal: call not made: {error}");
                 self.targets.end_call(target);
-                return self.outcome(number, attempt, target, Outcome::NotSent, false);
+                return self.report_outcome(number, attempt, target, Outcome::NotSent, false);
             }
         };
         if let Some(held) = self.messages.get_mut(&number) {
-            held.tries += 1;
+            held.journaled_attempts += 1;
         }
-        self.attempt_begun(number, at, target);
+        self.record_attempt_start(number, at, target);
         let (cancel, cancelled) = oneshot::channel();
         self.calls.insert((number, attempt), cancel);
         let connection = self.idle.take(target);
-        let descriptor = if connection.is_none() { self.draw_for_a_call() } else { None };
+        let descriptor = if connection.is_none() { self.acquire_call_descriptor() } else { None };
         let speech = self.speeches.of(message.destination);
         let call = Call {
             number,
@@ -135,13 +145,14 @@
             settings: self.settings.clone(),
             reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
         };
-        self.durable.gathering.calls.push((ticket, call, cancelled));
-        self.open_ahead(target);
+        self.group_commit.collecting.calls.push((ticket, call, cancelled));
+        self.preconnect(target);
     }
 
-    /// A descriptor for a new connection. Where calls hold all that they may, the connection that has stood idle longest
-    /// makes room: it is one of theirs.
-    fn draw_for_a_call(&mut self) -> Option<Drawn> {
+    /// Acquires a descriptor for a new connection. If calls have used up their share, the
+    /// connection that has been idle longest is closed to free one, because idle connections count
+    /// against the same share.
+    fn acquire_call_descriptor(&mut self) -> Option<Drawn> {
         loop {
             let drawn = self.descriptors.draw(Party::Calls);
             if drawn.is_some() || !self.idle.drop_oldest() {
@@ -150,18 +161,19 @@
         }
     }
 
-    /// Opens connections to a target before calls ask for them, at a site that does.
-    pub(super) fn open_ahead(&mut self, target: TargetId) {
+    /// Opens connections to a target ahead of demand, if the site is configured to do so.
+    pub(super) fn preconnect(&mut self, target: TargetId) {
         let dials = self.idle.dials(target);
         if dials == 0 {
             return;
         }
-        let Some((address, destination)) = self.targets.open_at(target) else { return };
+        let Some((address, destination)) = self.targets.open_address(target) else { return };
         for _ in 0..dials {
-            // What calls need comes first: none of their idle connections gives way for one ahead.
+            // Calls come first: no idle connection is closed to make room for one opened ahead of
+            // demand.
             let Some(descriptor) = self.descriptors.draw(Party::Calls) else { return };
-            self.next_dial += 1;
-            let (number, speech) = (self.next_dial, self.speeches.of(destination));
+            self.next_preconnect += 1;
+            let (number, speech) = (self.next_preconnect, self.speeches.of(destination));
             let timeout = Duration::from_micros(self.settings.settings.connect_timeout);
             let dial =
                 targets::dial(target, number, address, speech, descriptor, timeout, self.inputs.clone());
@@ -170,19 +182,31 @@
         }
     }
 
-    pub(super) fn outcome(&mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool) {
-        self.handle(Event::Outcome { id, attempt, target, outcome, took: 0, ended, wait: 0, report: None });
+    /// Reports the outcome of an attempt that made no call.
+    pub(super) fn report_outcome(
+        &mut self, id: u64, attempt: u32, target: TargetId, outcome: Outcome, ended: bool,
+    ) {
+        self.notify_scheduler(Event::Outcome {
+            id,
+            attempt,
+            target,
+            outcome,
+            took: 0,
+            ended,
+            wait: 0,
+            report: None,
+        });
     }
 
-    /// A call that was not begun, since news has overtaken the decision. The module decides anew; it is told the wait with it,
-    /// which it may not have heard of yet.
-    fn held_back(&mut self, id: u64, attempt: u32, target: TargetId, why: Overtaken) {
+    /// Reports a call that was not made because newer information has overtaken the decision. The
+    /// scheduler decides again; the wait is passed on because it may not know it yet.
+    fn report_withheld(&mut self, id: u64, attempt: u32, target: TargetId, why: Overtaken) {
         let wait = match why {
             Overtaken::Waits { until } => until.saturating_sub(self.clock.now()),
             Overtaken::FoundOut | Overtaken::Closed => 0,
         };
-        let outcome = self.nothing_tried(id, Outcome::HeldBack);
-        self.handle(Event::Outcome {
+        let outcome = self.count_withheld(id, Outcome::HeldBack);
+        self.notify_scheduler(Event::Outcome {
             id,
             attempt,
             target,
@@ -194,13 +218,14 @@
         });
     }
 
-    /// A call that was held back uses up no try, and its number goes to the next attempt. But a message whose calls are held
-    /// back again and again uses up tries like any other: its records in the journal would grow without bound.
-    fn nothing_tried(&mut self, number: u64, outcome: Outcome) -> Outcome {
+    /// A call that was withheld uses up no attempt, and its number goes to the next one. Beyond the
+    /// limit of attempts it counts like any other: otherwise a message whose calls are withheld
+    /// again and again would add records to the journal without bound.
+    fn count_withheld(&mut self, number: u64, outcome: Outcome) -> Outcome {
         let most = self.settings.settings.max_attempts;
         match self.messages.get_mut(&number) {
-            Some(held) if outcome == Outcome::HeldBack && held.held_back < most => {
-                held.held_back += 1;
+            Some(held) if outcome == Outcome::HeldBack && held.withheld_calls < most => {
+                held.withheld_calls += 1;
                 held.attempts -= 1;
                 outcome
             }
@@ -209,74 +234,79 @@
         }
     }
 
+    /// Handles the end of a call: records it, returns its connection to the pool and reports the
+    /// outcome to the scheduler.
     pub(super) fn call_ended(&mut self, end: CallEnd) {
         self.calls.remove(&(end.number, end.attempt));
         self.idle.ended(end.target, end.idle, end.dialled, end.outcome);
-        self.attempt_ended(&end);
+        self.record_attempt_end(&end);
         let listed = self.targets.end_call(end.target);
         if let Some(connection) = end.connection.filter(|_| listed) {
             self.idle.put(end.target, connection);
         }
-        self.open_ahead(end.target);
-        // The others of a site hear of it whatever has become of the message.
+        self.preconnect(end.target);
+        // The wait is passed to the peers whatever has become of the message.
         if let Some((until, destination)) = end.wait_until.zip(self.targets.destination(end.target)) {
-            self.told_to_wait(destination, until.saturating_sub(self.clock.now()));
+            self.share_wait(destination, until.saturating_sub(self.clock.now()));
         }
-        let tries = self.messages.get(&end.number).map(|h| h.tries);
-        let held = tries.is_some();
-        let outcome = self.nothing_tried(end.number, end.outcome);
+        let journaled_attempts = self.messages.get(&end.number).map(|h| h.journaled_attempts);
+        let held = journaled_attempts.is_some();
+        let outcome = self.count_withheld(end.number, end.outcome);
         let given_up = match self.site {
-            // Withdrawn where it was to go, or refused for good: this attempt has had no effect.
+            // Withdrawn at its destination, or refused permanently: this attempt had no effect.
             Some(_) => end.outcome != Outcome::Ok,
-            // Its partner may have written the answer after the time was over, and the platform then waits for the message's end
-            // for ever: it is told one. For a message that is over a notice does no harm (PROTOCOL).
+            // The partner may have written its answer after the deadline. The platform then waits
+            // for the message's outcome indefinitely, so it is sent a notice. A notice for a
+            // message that is already finished does no harm (PROTOCOL).
             None => end.late,
         };
         if end.over && given_up {
-            self.end(end.number, Notice::GivenUp);
+            self.end_message(end.number, Notice::GivenUp);
         } else if end.over {
-            self.delivered(end.number);
+            self.end_delivered(end.number);
         } else if held {
-            // There is never more than one out.
-            let attempt = tries.unwrap_or(0).saturating_sub(1);
-            let fate = if kept(end.outcome).never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            self.record(end.number, &Record::TryEnded { attempt, fate });
+            // At most one attempt is in flight.
+            let attempt = journaled_attempts.unwrap_or(0).saturating_sub(1);
+            let fate =
+                if attempt_outcome(end.outcome).never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
+            self.stage_record(end.number, &Record::TryEnded { attempt, fate });
         }
         let now = self.clock.now();
-        self.handle(Event::Outcome {
+        self.notify_scheduler(Event::Outcome {
             id: end.number,
             attempt: end.attempt,
             target: end.target,
             outcome,
             took: now.saturating_sub(self.clock.micros(end.begun)),
             ended: end.over || !held,
-            // A wait runs from the answer's arrival, not from now.
+            // The wait runs from the arrival of the answer, not from now.
             wait: end.wait_until.map_or(0, |until| until.saturating_sub(now)),
             report: end.report,
         });
     }
 
-    /// Notes an attempt of a site's message for people to see.
-    fn attempt_begun(&mut self, number: u64, at: Micros, target: TargetId) {
+    /// Records the start of an attempt for operators.
+    fn record_attempt_start(&mut self, number: u64, at: Micros, target: TargetId) {
         let (Some(site), Some(held)) = (&mut self.site, self.messages.get_mut(&number)) else { return };
         if !held.history.is_empty() {
-            site.then(number, "sent again");
+            site.set_followup(number, "sent again");
         }
         let endpoint = self.targets.name(target).to_string();
         held.history.push(Attempt { at, until: 0, endpoint, outcome: ends::Outcome::Out });
     }
 
-    fn attempt_ended(&mut self, end: &CallEnd) {
+    /// Records the end of an attempt for operators, and its failure if it failed.
+    fn record_attempt_end(&mut self, end: &CallEnd) {
         let (Some(site), Some(held)) = (&mut self.site, self.messages.get_mut(&end.number)) else { return };
         if end.outcome == Outcome::HeldBack {
-            // Nothing was tried, and it speaks against nobody.
+            // No call was made, so nothing is recorded against the endpoint.
             held.history.pop();
             return;
         }
         let attempt = held.history.len() as u32;
         let Some(tried) = held.history.last_mut() else { return };
         tried.until = self.clock.unix(self.clock.now());
-        tried.outcome = if end.refused { ends::Outcome::Refused } else { kept(end.outcome) };
+        tried.outcome = if end.refused { ends::Outcome::Refused } else { attempt_outcome(end.outcome) };
         if end.outcome == Outcome::Ok {
             return;
         }
@@ -293,6 +323,6 @@
             then: "waits".into(),
             cause: end.cause.clone(),
         };
-        site.failed(end.number, message.destination, failure);
+        site.record_failure(end.number, message.destination, failure);
     }
 }
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -1,6 +1,7 @@
-//! Group commit: what must be in the journal before it is said or done waits here. A round's records are written in one
-//! stroke at its end. Where answers wait for stable storage, thousands share a sync: syncs run off the loop, one at a
-//! time; while one runs the next group gathers.
+//! Group commit: replies and calls wait here until the journal records they depend on are written.
+//! The records of an iteration are written together at its end. In durable mode thousands of
+//! operations share one sync. Syncs run outside the event loop, one at a time; the next group
+//! collects while one runs.
 
 use super::Node;
 use crate::door::{Answer, Input, Receipt, Synced};
@@ -14,16 +15,19 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What waits for the same write, or the same sync.
+/// Operations that wait for the same write or sync.
 #[derive(Default)]
 pub(super) struct Group {
-    /// Clients who are told that their message is taken on.
+    /// Clients to be told that their message is accepted.
     pub answers: Vec<(Ticket, u64, oneshot::Sender<Answer>)>,
-    /// Calls whose records must be there before their first byte goes: a payment must not be sent again after a power
-    /// cut because nothing tells of the first time.
+    /// Calls whose records must be stored before their first byte goes out. Without the record a
+    /// payment would be sent again after a power failure, because nothing would show that it was
+    /// sent before.
     pub calls: Vec<(Ticket, Call, oneshot::Receiver<()>)>,
-    /// Messages whose ends are told, and which the journal then forgets; and the last of these ends.
+    /// Messages whose outcomes become visible with this group, after which the journal forgets
+    /// them.
     pub ended: Vec<(u64, EndResult)>,
+    /// Sequence number of the last of these outcomes.
     pub last_end: u64,
 }
 
@@ -33,65 +37,68 @@
     }
 }
 
-/// The state of group commit.
-pub(super) struct Durable {
-    /// Answers, calls and ends wait for stable storage; if not, for the write alone.
-    pub syncs: bool,
-    pub gathering: Group,
-    under_way: Option<Group>,
+/// State of group commit.
+pub(super) struct GroupCommit {
+    /// Whether replies, calls and outcomes wait for stable storage, or only for the write.
+    pub waits_for_sync: bool,
+    /// The group that is collecting.
+    pub collecting: Group,
+    syncing: Option<Group>,
 }
 
-impl Durable {
-    pub fn new(syncs: bool) -> Durable {
-        Durable { syncs, gathering: Group::default(), under_way: None }
+impl GroupCommit {
+    pub fn new(waits_for_sync: bool) -> GroupCommit {
+        GroupCommit { waits_for_sync, collecting: Group::default(), syncing: None }
     }
 }
 
 impl Node {
-    /// Writes the round's records in one stroke. What rests on one that could not be written is not said or done; the
-    /// rest goes out, or waits for a sync.
+    /// Writes the records of this iteration together. Operations whose record could not be written
+    /// are undone; the others are released, or wait for a sync.
     pub(super) fn commit_journal(&mut self) {
         let unwritten = self.journal.commit();
         if !unwritten.is_empty() {
-            self.undo(unwritten);
+            self.fail_unwritten(unwritten);
         }
-        if !self.durable.syncs {
-            let group = std::mem::take(&mut self.durable.gathering);
+        if !self.group_commit.waits_for_sync {
+            let group = std::mem::take(&mut self.group_commit.collecting);
             self.release(group, true);
         }
     }
 
-    /// Guards against a disk that fills in the middle of a round: the messages whose records it did not take are
-    /// refused, and the calls not made, as if nobody had asked.
-    fn undo(&mut self, unwritten: Vec<Unwritten>) {
+    /// Handles a disk that fills up during an iteration: messages whose records were not written
+    /// are refused and their calls are not made, as if they had never been requested.
+    fn fail_unwritten(&mut self, unwritten: Vec<Unwritten>) {
         let mut lost: HashMap<Ticket, Unwritten> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
-        let gathering = &mut self.durable.gathering;
-        let (answers, calls) = (std::mem::take(&mut gathering.answers), std::mem::take(&mut gathering.calls));
+        let collecting = &mut self.group_commit.collecting;
+        let (answers, calls) =
+            (std::mem::take(&mut collecting.answers), std::mem::take(&mut collecting.calls));
         for (ticket, number, reply) in answers {
             match lost.remove(&ticket) {
                 Some(Unwritten { error, .. }) => {
-                    eprintln!("journal: a message is refused: {error}");
-                    let _ = reply.send(self.not_taken(number));
-                    self.withdraw(number);
+                    eprintln!("journal: message refused: {error}");
+                    let _ = reply.send(self.refusal_for(number));
+                    self.forget_message(number);
                 }
-                None => self.durable.gathering.answers.push((ticket, number, reply)),
+                None => self.group_commit.collecting.answers.push((ticket, number, reply)),
             }
         }
         for (ticket, call, cancelled) in calls {
             match lost.remove(&ticket) {
                 Some(Unwritten { error, .. }) => {
-                    eprintln!("journal: a call is not made: {error}");
-                    self.unmake_call(call);
+                    eprintln!("journal: call not made: {error}");
+                    self.take_back_call(call);
                 }
-                None => self.durable.gathering.calls.push((ticket, call, cancelled)),
+                None => self.group_commit.collecting.calls.push((ticket, call, cancelled)),
             }
         }
-        // The others are what a restart can do without.
+        // A restart works without the remaining records.
         lost.values().for_each(|u| eprintln!("journal: {}", u.error));
     }
 
-    /// Takes back a call that has no record: for a restart it was never begun, and so it must not be.
-    fn unmake_call(&mut self, call: Call) {
+    /// Takes back a call without a record. After a restart it would count as never made, so it must
+    /// not be made.
+    fn take_back_call(&mut self, call: Call) {
         let Call { number, attempt, target, connection, .. } = call;
         self.calls.remove(&(number, attempt));
         let listed = self.targets.end_call(target);
@@ -99,18 +106,18 @@
             self.idle.put(target, connection);
         }
         if let Some(held) = self.messages.get_mut(&number) {
-            held.tries -= 1;
+            held.journaled_attempts -= 1;
             held.history.pop();
         }
-        self.outcome(number, attempt, target, Outcome::NotSent, false);
+        self.report_outcome(number, attempt, target, Outcome::NotSent, false);
     }
 
-    /// Begins a sync for what has gathered, if none runs.
-    pub(super) fn begin_sync(&mut self) {
-        let durable = &mut self.durable;
-        if !durable.syncs
-            || durable.under_way.is_some()
-            || durable.gathering.is_empty() && !self.journal.wants_sync()
+    /// Starts a sync for the group that has collected, if none is running.
+    pub(super) fn start_sync(&mut self) {
+        let commit = &mut self.group_commit;
+        if !commit.waits_for_sync
+            || commit.syncing.is_some()
+            || commit.collecting.is_empty() && !self.journal.wants_sync()
         {
             return;
         }
@@ -119,60 +126,64 @@
             match ends.and_then(|ends| Ok((self.journal.sync_job()?, ends))) {
                 Ok(jobs) => jobs,
                 Err(error) => {
-                    // Out of descriptors: the group waits for the next round, and so does what was taken for it.
+                    // Out of file descriptors: the group waits for the next iteration, and so do
+                    // the files prepared for this sync.
                     self.site.iter_mut().for_each(|s| s.ends.not_synced());
-                    eprintln!("journal: a sync could not be begun: {error}");
+                    eprintln!("journal: cannot start a sync: {error}");
                     return;
                 }
             };
-        durable.under_way = Some(std::mem::take(&mut durable.gathering));
+        commit.syncing = Some(std::mem::take(&mut commit.collecting));
         let inputs = self.inputs.clone();
         tokio::task::spawn_blocking(move || {
-            // Ends first: a message must not be forgotten before its end is there.
+            // Outcomes are synced first: the journal must not forget a message before its outcome
+            // is stored.
             let result = ends.iter().try_for_each(File::sync_data).and_then(|()| job.run());
             inputs.send(Input::Synced(Synced { job, result }));
         });
     }
 
-    /// Says and does what has waited for a sync.
-    pub(super) fn synced(&mut self, synced: Synced) {
+    /// Releases the operations that waited for a sync.
+    pub(super) fn finish_sync(&mut self, synced: Synced) {
         let Synced { job, result } = synced;
-        let sound = result.is_ok();
+        let stored = result.is_ok();
         if let Err(error) = self.journal.synced(&job, result) {
-            eprintln!("journal: a sync has failed, its segments are not trusted again: {error}");
+            eprintln!("journal: sync failed, its segments are no longer trusted: {error}");
         }
-        if let Some(group) = self.durable.under_way.take() {
-            self.release(group, sound);
+        if let Some(group) = self.group_commit.syncing.take() {
+            self.release(group, stored);
         }
     }
 
-    /// Says and does what has waited, or not, where what it rests on may not be there.
-    fn release(&mut self, group: Group, sound: bool) {
+    /// Releases the operations of a group, or fails them if their records may not be stored.
+    fn release(&mut self, group: Group, stored: bool) {
         for (_, number, reply) in group.answers {
-            if sound {
+            if stored {
                 let receipt = Receipt { number, inputs: self.inputs.clone(), written: false };
-                // If the client has gone, the receipt is dropped here and says so.
+                // If the client has disconnected, the receipt is dropped here and reports that
+                // nothing was written.
                 let _ = reply.send(Answer::TakenOn(receipt));
             } else {
-                // It may be there after a power cut or not: the client keeps it, under the same id.
-                let _ = reply.send(self.not_taken(number));
-                self.record(number, &Record::Over);
-                self.withdraw(number);
+                // The record may or may not survive a power failure. The client keeps the message
+                // and may submit it again under the same id.
+                let _ = reply.send(self.refusal_for(number));
+                self.stage_record(number, &Record::Over);
+                self.forget_message(number);
             }
         }
         for (_, call, cancelled) in group.calls {
-            self.release_call(call, cancelled, sound);
+            self.release_call(call, cancelled, stored);
         }
         if group.last_end > 0 {
-            self.release_ends(group.ended, group.last_end, sound);
+            self.release_outcomes(group.ended, group.last_end, stored);
         }
     }
 
-    /// Starts a call that has waited, unless its time is over or it was called off. Whether news has overtaken it is asked by
-    /// the call itself.
-    fn release_call(&mut self, call: Call, mut cancelled: oneshot::Receiver<()>, sound: bool) {
-        let stands = cancelled.try_recv().is_err() && call.until > Instant::now();
-        if sound && stands {
+    /// Starts a call that has waited, unless its deadline has passed or it was cancelled. The call
+    /// itself checks whether newer information has overtaken the decision.
+    fn release_call(&mut self, call: Call, mut cancelled: oneshot::Receiver<()>, stored: bool) {
+        let still_valid = cancelled.try_recv().is_err() && call.until > Instant::now();
+        if stored && still_valid {
             tokio::spawn(targets::call(call, cancelled, self.inputs.clone()));
             return;
         }
@@ -181,19 +192,21 @@
         self.inputs.send(Input::CallEnded(end));
     }
 
-    fn release_ends(&mut self, ended: Vec<(u64, EndResult)>, last: u64, sound: bool) {
+    /// Makes outcomes visible to clients, and lets the journal forget their messages if the
+    /// outcomes are stored.
+    fn release_outcomes(&mut self, ended: Vec<(u64, EndResult)>, last: u64, stored: bool) {
         let Some(site) = &mut self.site else { return };
         site.ends.release(last);
         site.ends_seen.send_replace(site.ends.last());
         for (number, result) in ended {
-            if sound {
+            if stored {
                 if let Err(error) = self.journal.over_soon(number) {
                     eprintln!("journal: {error}");
                 }
             } else {
-                // Whether the end is there is not known: the journal keeps the message until a restart, with how it
-                // ended.
-                self.tell_journal(number, result);
+                // Whether the outcome is stored is unknown. The journal keeps the message and its
+                // result until a restart.
+                self.journal_result(number, result);
             }
         }
     }
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -1,10 +1,10 @@
-//! Messages end undelivered, and the platform is told.
+//! How messages end: stored outcomes for a site, notices to the platform.
 
-use super::{Held, Node, Taken};
+use super::{Acceptance, HeldMessage, Node};
 use crate::door::Answer;
 use crate::notices::Ending;
 use crate::platform;
-use crate::table::Known;
+use crate::table::SubmissionState;
 use foldtrack_ends::{EndRef, Result as EndResult};
 use foldtrack_journal::{Notice, Record};
 use hatchline::{Effect, Micros};
@@ -14,31 +14,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause after ends could not be written.
-const COMMIT_PAUSE: Duration = Duration::from_millis(200);
+/// Pause after a failed write of outcomes.
+const COMMIT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// A partner's memory counts as shorter by this, in microseconds: what is sent at its end arrives after it.
-pub(super) const MEMORY_MARGIN: Micros = 1_000_000;
+/// A partner's idempotency window counts as shorter by this many microseconds, because a call sent
+/// at its end arrives after it.
+pub(super) const DEDUP_MARGIN_US: Micros = 1_000_000;
 
 impl Node {
-    /// Writes what a restart can do without: lacking it, more counts as perhaps run than has.
-    pub(super) fn record(&mut self, number: u64, record: &Record) {
+    /// Stages a record that a restart can do without: if it is missing, more attempts count as
+    /// possibly executed.
+    pub(super) fn stage_record(&mut self, number: u64, record: &Record) {
         if let Err(error) = self.journal.stage(number, record) {
             eprintln!("journal: {error}");
         }
     }
 
-    /// Ends a message: in the answer to its client, if that still waits for one, else by a notice.
-    pub(super) fn end(&mut self, number: u64, notice: Notice) {
+    /// Ends a message: by the reply to its client if that is still waiting, otherwise by a notice.
+    pub(super) fn end_message(&mut self, number: u64, notice: Notice) {
         let Some(held) = self.messages.remove(&number) else { return };
-        if let Taken::Fresh(reply) = held.taken {
+        if let Acceptance::Undecided(reply) = held.acceptance {
             self.ids.remove(&held.message.id);
-            self.let_go_of_id(&held.message.id);
+            self.release_id(&held.message.id);
             let retry_in_ms = if let Notice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
             let answer = match &mut self.site {
                 Some(site) => {
-                    site.let_go(&held.message);
-                    site.full(retry_in_ms)
+                    site.release(&held.message);
+                    site.refusal(retry_in_ms)
                 }
                 None => Answer::Refused { retry_in_ms },
             };
@@ -46,54 +48,58 @@
             return;
         }
         if let Some(site) = &mut self.site {
-            if matches!(held.taken, Taken::Answering) {
+            if matches!(held.acceptance, Acceptance::Replying) {
                 site.pending.insert(number, (held, notice));
                 return;
             }
-            return self.ended_by(number, held, notice);
+            return self.end_undelivered(number, held, notice);
         }
-        self.ids.set(&held.message.id, Known::Ended);
-        self.record(number, &Record::Noticed(notice));
+        self.ids.set_state(&held.message.id, SubmissionState::Ended);
+        self.stage_record(number, &Record::Noticed(notice));
         let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
         self.notices.insert(number, ending);
     }
 
-    /// A message that a site has taken on ends undelivered.
-    pub(super) fn ended_by(&mut self, number: u64, held: Held, notice: Notice) {
+    /// Ends an accepted message of a site undelivered.
+    pub(super) fn end_undelivered(&mut self, number: u64, held: HeldMessage, notice: Notice) {
         let result = match notice {
             Notice::HandedBack { retry_in_ms } => {
-                let told = self.site.as_ref().map_or(retry_in_ms, |s| s.wait(retry_in_ms));
-                self.handed_back(&held, told)
+                let told = self.site.as_ref().map_or(retry_in_ms, |s| s.retry_delay(retry_in_ms));
+                self.handed_back_result(&held, told)
             }
             Notice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => EndResult::InDoubt,
-            // An attempt of an earlier hand-in may have run.
+            // An attempt of an earlier submission of this id may have been executed.
             Notice::GivenUp if self.harmless_until(&held.message.id).is_some() => EndResult::InDoubt,
             Notice::GivenUp => EndResult::GivenUp,
         };
-        self.keep_end(number, held, result);
+        self.stage_outcome(number, held, result);
     }
 
-    /// A message goes back to its client, who may bring it again much later, by the feed of ends. Where an attempt may
-    /// have run that does no harm only while its partner remembers the key: without time left for it, nobody can tell.
-    fn handed_back(&self, held: &Held, retry_in_ms: u64) -> EndResult {
+    /// The result of a message that is handed back: its client reads this in the feed of outcomes
+    /// and may submit the message again much later. If an attempt may have been executed, a repeat
+    /// is harmless only while the partner remembers the idempotency key. If no time is left for
+    /// that, the outcome is in doubt.
+    fn handed_back_result(&self, held: &HeldMessage, retry_in_ms: u64) -> EndResult {
         let message = &held.message;
         let class = self.settings.settings.classes.get(message.class);
         let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window);
-        // The partner may have known it since the first attempt that can have reached it, of whichever hand-in.
+        // The partner may have known the key since the first attempt that can have reached it, in
+        // any submission.
         let first = held.history.iter().find(|a| !a.outcome.never_ran()).map(|a| a.at);
         let own =
-            first.zip(window).map(|(at, window)| at.saturating_add(window).saturating_sub(MEMORY_MARGIN));
+            first.zip(window).map(|(at, window)| at.saturating_add(window).saturating_sub(DEDUP_MARGIN_US));
         let Some(until) = self.harmless_until(&message.id).into_iter().chain(own).min() else {
             return EndResult::HandedBack { retry_in_ms };
         };
-        let back = self.clock.unix(self.clock.now()) + 1_000 * retry_in_ms + MEMORY_MARGIN;
+        let back = self.clock.unix(self.clock.now()) + 1_000 * retry_in_ms + DEDUP_MARGIN_US;
         if back >= until {
             return EndResult::InDoubt;
         }
         EndResult::HandedBackUntil { retry_in_ms, until }
     }
 
-    /// Until when a message may come again that was handed back and may have run, Unix time in microseconds.
+    /// Until when a message that was handed back and may have been executed may be submitted again,
+    /// Unix time in microseconds.
     pub(super) fn harmless_until(&self, id: &str) -> Option<u64> {
         match self.site.as_ref()?.ends.look(id).ok().flatten()?.1.result {
             EndResult::HandedBackUntil { until, .. } => Some(until),
@@ -101,18 +107,20 @@
         }
     }
 
-    /// A message is delivered: nothing more is owed for it but, at a site of its own, that its client hears.
-    pub(super) fn delivered(&mut self, number: u64) {
+    /// Ends a message as delivered. Nothing more is owed under a platform; a site stores the
+    /// outcome for its client.
+    pub(super) fn end_delivered(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
         match self.site {
-            Some(_) => self.keep_end(number, held, EndResult::Delivered),
-            None => self.record(number, &Record::Over),
+            Some(_) => self.stage_outcome(number, held, EndResult::Delivered),
+            None => self.stage_record(number, &Record::Over),
         }
     }
 
-    /// Puts an end among those that this round keeps; see [`Node::commit_ends`].
-    fn keep_end(&mut self, number: u64, held: Held, result: EndResult) {
-        self.id_ended(&held.message.id, result);
+    /// Stages the outcome of a message; [`Node::commit_outcomes`] writes it at the end of the
+    /// iteration.
+    fn stage_outcome(&mut self, number: u64, held: HeldMessage, result: EndResult) {
+        self.report_id_ended(&held.message.id, result);
         let Some(site) = &mut self.site else { return };
         let message = &held.message;
         let class = self.settings.class_names.get(message.class).map_or("", String::as_str);
@@ -130,10 +138,10 @@
             counts.by_partner.entry(message.destination).or_default().0 += 1;
         }
         if held.attempts > 1 || result != EndResult::Delivered {
-            site.then(number, word);
+            site.set_followup(number, word);
         }
         let ended = self.clock.unix(self.clock.now());
-        // An end that goes must not leave a message behind that the journal believes to be open.
+        // Before an old outcome is dropped, the journal must know that its message is finished.
         if site.ends.drops(ended) {
             if let Err(error) = self.journal.flush() {
                 eprintln!("journal: {error}");
@@ -146,54 +154,55 @@
             class,
             partner: &partner,
             key: &message.key,
-            taken: held.since,
+            taken: held.arrived_at,
             ended,
             result,
             attempts: &held.history,
         };
-        site.let_go(message);
+        site.release(message);
         match result {
-            // It may be handed in again under its id.
+            // The client may submit it again under the same id.
             EndResult::HandedBack { .. } | EndResult::HandedBackUntil { .. } => self.ids.remove(&message.id),
-            EndResult::Delivered => self.ids.set(&message.id, Known::Taken),
-            _ => self.ids.set(&message.id, Known::Ended),
+            EndResult::Delivered => self.ids.set_state(&message.id, SubmissionState::Accepted),
+            _ => self.ids.set_state(&message.id, SubmissionState::Ended),
         }
         match site.ends.append(end) {
-            Ok(_) => site.ended.push((number, result)),
-            Err(error) => eprintln!("ends: the end of {:?} can't be kept: {error}", end.id),
+            Ok(_) => site.staged.push((number, result)),
+            Err(error) => eprintln!("ends: cannot store the outcome of message {:?}: {error}", end.id),
         }
     }
 
-    /// Writes the ends of this round, and then lets the journal forget their messages: in this order, so that no end
-    /// is lost whenever the process is killed. An end tells a restart that its message is over: the journal's record
-    /// can go with the next one.
-    pub(super) fn commit_ends(&mut self) {
+    /// Writes the outcomes of this iteration, and only then lets the journal forget their messages,
+    /// so that no outcome is lost if the process is killed in between. A restart takes a message
+    /// whose outcome is stored as finished, so the journal's own record can follow with the next
+    /// write.
+    pub(super) fn commit_outcomes(&mut self) {
         let Some(site) = &mut self.site else { return };
-        if !site.ends.is_behind() || site.commit_from > Instant::now() {
+        if !site.ends.is_behind() || site.commit_retry_at > Instant::now() {
             return;
         }
         match site.ends.commit() {
             Ok(()) => {
-                site.behind_told = 0;
-                let (ended, last) = (std::mem::take(&mut site.ended), site.ends.written());
-                self.durable.gathering.ended.extend(ended);
-                self.durable.gathering.last_end = last;
+                site.journaled_results = 0;
+                let (ended, last) = (std::mem::take(&mut site.staged), site.ends.written());
+                self.group_commit.collecting.ended.extend(ended);
+                self.group_commit.collecting.last_end = last;
             }
             Err(error) => {
-                eprintln!("ends: {} are not written yet: {error}", site.ended.len());
-                site.commit_from = Instant::now() + COMMIT_PAUSE;
-                // The journal may have room where the ends' folder has none.
-                let told: Vec<_> = site.ended[site.behind_told..].to_vec();
-                site.behind_told = site.ended.len();
+                eprintln!("ends: {} outcomes not written yet: {error}", site.staged.len());
+                site.commit_retry_at = Instant::now() + COMMIT_RETRY_PAUSE;
+                // The journal may have capacity when the file system of the outcomes has none.
+                let told: Vec<_> = site.staged[site.journaled_results..].to_vec();
+                site.journaled_results = site.staged.len();
                 for (number, result) in told {
-                    self.tell_journal(number, result);
+                    self.journal_result(number, result);
                 }
             }
         }
     }
 
-    /// Tells the journal how a message ended whose end may not be kept.
-    pub(super) fn tell_journal(&mut self, number: u64, result: EndResult) {
+    /// Records in the journal how a message ended whose outcome may not be stored.
+    pub(super) fn journal_result(&mut self, number: u64, result: EndResult) {
         let record = match result {
             EndResult::Delivered => Record::Delivered,
             EndResult::HandedBack { retry_in_ms } | EndResult::HandedBackUntil { retry_in_ms, .. } => {
@@ -201,11 +210,12 @@
             }
             EndResult::GivenUp | EndResult::InDoubt => Record::Noticed(Notice::GivenUp),
         };
-        self.record(number, &record);
+        self.stage_record(number, &record);
     }
 
-    /// Drops ends that are out of their bounds. None goes before the journal knows its message to be over.
-    pub(super) fn sweep_ends(&mut self) {
+    /// Drops outcomes that exceed the limits of age, count or size. The journal must know first
+    /// that their messages are finished.
+    pub(super) fn drop_expired_outcomes(&mut self) {
         let Some(site) = &mut self.site else { return };
         match self.journal.flush() {
             Ok(()) => site.ends.drop_old(self.clock.unix(self.clock.now()), 0),
@@ -213,31 +223,34 @@
         }
     }
 
-    pub(super) fn report_notices(&mut self) {
+    /// Sends the notices that are due to the platform.
+    pub(super) fn send_notices(&mut self) {
         let Some(discovery) = &self.discovery else { return };
         while let Some((numbers, lines)) = self.notices.next(self.clock.now()) {
             tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.inputs.clone()));
         }
     }
 
-    pub(super) fn reported(&mut self, numbers: Vec<u64>, status: Option<StatusCode>, to: SocketAddr) {
+    /// Handles the platform's answer to a batch of notices.
+    pub(super) fn notices_reported(&mut self, numbers: Vec<u64>, status: Option<StatusCode>, to: SocketAddr) {
         self.notices.came_back();
         if status != Some(StatusCode::NO_CONTENT) {
-            // Where discovery has moved meanwhile, they go to the new address at once.
+            // If discovery has moved meanwhile, the notices go to the new address at once.
             let stays = self.discovery.as_ref().is_some_and(|d| to == *d.borrow());
             if stays {
-                eprintln!("notices were not taken: {status:?}");
+                eprintln!("notices: not accepted by discovery: {status:?}");
             }
             return self.notices.again(numbers, self.clock.now(), stays);
         }
         let mut keys = HashSet::new();
         for number in numbers {
-            self.record(number, &Record::Over);
+            self.stage_record(number, &Record::Over);
             keys.extend(self.notices.remove(number).map(|ended| ended.order_key).filter(|key| *key != 0));
         }
         if !keys.is_empty() {
             let key = |n: &u64| self.messages.get(n).map_or(0, |h| h.message.order_key());
-            let free: Vec<u64> = self.waiting.iter().copied().filter(|n| keys.contains(&key(n))).collect();
+            let free: Vec<u64> =
+                self.pending_sends.iter().copied().filter(|n| keys.contains(&key(n))).collect();
             free.into_iter().for_each(|number| self.send(number));
         }
     }
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -1,9 +1,10 @@
-//! Messages come in: refused, or taken on, first in the journal and then in the answer.
+//! Submission of messages: each is refused, or recorded in the journal and then accepted in the
+//! reply.
 
-use super::{Held, Node, Taken, Waiting};
+use super::{Acceptance, HeldMessage, Node, PendingSend};
 use crate::door::Answer;
 use crate::message::Message;
-use crate::table::Known;
+use crate::table::SubmissionState;
 use foldtrack_ends::Result as EndResult;
 use foldtrack_journal::{Accepted, Record};
 use hatchline::{Event, Outcome};
@@ -11,31 +12,36 @@
 use tokio::sync::oneshot;
 
 impl Node {
-    pub(super) fn hand_in(&mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<Answer>) {
-        if let Some(known) = self.ids.look(&message.id) {
-            let _ = reply.send(Answer::Known { over: known != Known::Taken });
+    /// Handles a submitted message.
+    pub(super) fn submit(
+        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<Answer>,
+    ) {
+        if let Some(state) = self.ids.state(&message.id) {
+            let _ = reply.send(Answer::Known { over: state != SubmissionState::Accepted });
             return;
         }
-        if let Some(known) = self.ended_before(&message.id) {
-            let _ = reply.send(known);
+        if let Some(answer) = self.reply_from_outcome(&message.id) {
+            let _ = reply.send(answer);
             return;
         }
-        if let Some((message, reply)) = self.claim(message, known, reply) {
-            self.take_on(message, known, reply);
+        if let Some((message, reply)) = self.claim_id(message, from_known_client, reply) {
+            self.accept(message, from_known_client, reply);
         }
     }
 
-    /// Hands a message to the module that nobody else holds.
-    pub(super) fn take_on(&mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<Answer>) {
-        let message = self.within_memory(message);
-        if let Some(refused) = self.turned_away(&message, known) {
-            self.let_go_of_id(&message.id);
+    /// Passes a message to the scheduler. No other forwarder holds it.
+    pub(super) fn accept(
+        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<Answer>,
+    ) {
+        let message = self.limit_to_dedup_window(message);
+        if let Some(refused) = self.capacity_refusal(&message, from_known_client) {
+            self.release_id(&message.id);
             let _ = reply.send(refused);
             return;
         }
         let id = self.next_number;
         self.next_number += 1;
-        self.ids.insert(&message.id, id, Known::Open, self.clock.now() + self.remember());
+        self.ids.insert(&message.id, id, SubmissionState::Undecided, self.clock.now() + self.retention());
         let event = Event::Request {
             id,
             class: message.class as u32,
@@ -46,35 +52,45 @@
         if let Some(site) = &mut self.site {
             site.hold(&message);
         }
-        let held_size = message.size();
-        let (since, history) = (self.clock.unix(self.clock.now()), Vec::new());
-        let taken = Taken::Fresh(reply);
+        let held_size = message.journal_size();
+        let (arrived_at, history) = (self.clock.unix(self.clock.now()), Vec::new());
+        let acceptance = Acceptance::Undecided(reply);
         self.messages.insert(
             id,
-            Held { message, taken, since, history, attempts: 0, tries: 0, held_back: 0, waiting: None },
+            HeldMessage {
+                message,
+                acceptance,
+                arrived_at,
+                history,
+                attempts: 0,
+                journaled_attempts: 0,
+                withheld_calls: 0,
+                pending_send: None,
+            },
         );
         self.fresh_bytes += held_size;
         self.fresh.push(id);
-        self.handle(event);
+        self.notify_scheduler(event);
     }
 
-    /// The answer to a message that there is no room or no endpoint for.
-    fn turned_away(&mut self, message: &Message, known: bool) -> Option<Answer> {
-        if !self.targets.knows(message.destination) {
-            // Perhaps its targets are on their way in the list.
-            return Some(self.full_answer(message.destination));
+    /// The refusal of a message for which there is no capacity, or no endpoint.
+    fn capacity_refusal(&mut self, message: &Message, from_known_client: bool) -> Option<Answer> {
+        if !self.targets.knows_destination(message.destination) {
+            // Its targets may be in a list that has not arrived yet.
+            return Some(self.refusal(message.destination));
         }
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
-        let kept = if known { 0 } else { self.kept_room };
-        if full || !self.journal.has_room(self.fresh_bytes + message.size() + kept) {
-            return Some(self.full_answer(message.destination));
+        let reserved = if from_known_client { 0 } else { self.reserved_journal_bytes };
+        if full || !self.journal.has_room(self.fresh_bytes + message.journal_size() + reserved) {
+            return Some(self.refusal(message.destination));
         }
         let held = self.messages.len();
-        self.site.as_mut().and_then(|s| s.refuse(message, held))
+        self.site.as_mut().and_then(|s| s.capacity_refusal(message, held))
     }
 
-    /// A message that was handed back and may have run goes out only while its partner remembers it.
-    fn within_memory(&self, message: Arc<Message>) -> Arc<Message> {
+    /// Limits the deadline of a message that was handed back and may have been executed to the time
+    /// for which its partner remembers it.
+    fn limit_to_dedup_window(&self, message: Arc<Message>) -> Arc<Message> {
         match self.harmless_until(&message.id).map(|until| self.clock.since_unix(until)) {
             Some(until) if until < message.expires => {
                 let copy = Message { expires: until, ..Message::clone(&message) };
@@ -84,39 +100,45 @@
         }
     }
 
-    /// What a client is told of a message whose end is kept. One that was handed back may come again.
-    fn ended_before(&self, id: &str) -> Option<Answer> {
+    /// The reply to a message whose outcome is stored. One that was handed back may be submitted
+    /// again.
+    fn reply_from_outcome(&self, id: &str) -> Option<Answer> {
         let site = self.site.as_ref()?;
         let (_, end) = site.ends.look(id).ok().flatten()?;
         match end.result {
             EndResult::Delivered => Some(Answer::Known { over: false }),
             EndResult::GivenUp | EndResult::InDoubt => Some(Answer::Known { over: true }),
             EndResult::HandedBack { .. } => None,
-            // Its partner may have forgotten it: it could take effect twice.
+            // The partner may have forgotten the key: the message could take effect twice.
             EndResult::HandedBackUntil { until, .. } => {
                 (self.clock.unix(self.clock.now()) >= until).then_some(Answer::Known { over: true })
             }
         }
     }
 
-    /// The answer where there is no room, or no endpoint: to come again when the module expects room.
-    pub(super) fn full_answer(&mut self, destination: u32) -> Answer {
+    /// The refusal when there is no capacity or no endpoint, with the delay after which the
+    /// scheduler expects capacity.
+    pub(super) fn refusal(&mut self, destination: u32) -> Answer {
         let wait = self.brain.advice(destination).div_ceil(1000);
-        self.site.as_mut().map_or(Answer::Refused { retry_in_ms: 0 }, |s| s.full(wait))
+        self.site.as_mut().map_or(Answer::Refused { retry_in_ms: 0 }, |s| s.refusal(wait))
     }
 
-    /// The answer for a message that the journal did not take.
-    pub(super) fn not_taken(&mut self, number: u64) -> Answer {
+    /// The refusal of a message that could not be recorded in the journal.
+    pub(super) fn refusal_for(&mut self, number: u64) -> Answer {
         let destination = self.messages.get(&number).map_or(0, |h| h.message.destination);
-        self.full_answer(destination)
+        self.refusal(destination)
     }
 
-    /// Takes on what the module has not refused: first the journal, then the answer.
-    pub(super) fn answer_clients(&mut self) {
+    /// Records the messages that the scheduler has not refused; their clients get a reply once the
+    /// record is written.
+    pub(super) fn journal_accepted(&mut self) {
         self.fresh_bytes = 0;
         for number in std::mem::take(&mut self.fresh) {
             let Some(held) = self.messages.get_mut(&number) else { continue };
-            let Taken::Fresh(reply) = std::mem::replace(&mut held.taken, Taken::Answering) else { continue };
+            let Acceptance::Undecided(reply) = std::mem::replace(&mut held.acceptance, Acceptance::Replying)
+            else {
+                continue;
+            };
             let message = &held.message;
             let accepted = Accepted {
                 id: message.id.clone(),
@@ -129,55 +151,56 @@
                 body: message.body.to_vec(),
             };
             let accepted = match self.site {
-                Some(_) => Record::AcceptedAt { at: held.since, accepted },
+                Some(_) => Record::AcceptedAt { at: held.arrived_at, accepted },
                 None => Record::Accepted(accepted),
             };
             match self.journal.stage(number, &accepted) {
-                Ok(ticket) => self.durable.gathering.answers.push((ticket, number, reply)),
+                Ok(ticket) => self.group_commit.collecting.answers.push((ticket, number, reply)),
                 Err(error) => {
-                    eprintln!("journal: a message is refused: {error}");
-                    let _ = reply.send(self.not_taken(number));
-                    self.withdraw(number);
+                    eprintln!("journal: message refused: {error}");
+                    let _ = reply.send(self.refusal_for(number));
+                    self.forget_message(number);
                 }
             }
         }
     }
 
-    /// The client has its answer, and the message may go; or it has gone before, and nothing is taken on.
-    pub(super) fn answered(&mut self, number: u64, written: bool) {
+    /// Handles the end of a reply: once the client has it, the message may be sent. If the client
+    /// has disconnected before, the message is not accepted.
+    pub(super) fn reply_finished(&mut self, number: u64, written: bool) {
         if !written {
-            self.record(number, &Record::Over);
+            self.stage_record(number, &Record::Over);
             if let Some((held, _)) = self.site.as_mut().and_then(|s| s.pending.remove(&number)) {
                 self.ids.remove(&held.message.id);
-                self.let_go_of_id(&held.message.id);
-                self.site.iter_mut().for_each(|s| s.let_go(&held.message));
+                self.release_id(&held.message.id);
+                self.site.iter_mut().for_each(|s| s.release(&held.message));
             }
             self.notices.remove(number).inspect(|ending| self.ids.remove(&ending.id));
-            return self.withdraw(number);
+            return self.forget_message(number);
         }
         if let Some(site) = &mut self.site {
             site.counts.taken += 1;
             if let Some((held, notice)) = site.pending.remove(&number) {
-                return self.ended_by(number, held, notice);
+                return self.end_undelivered(number, held, notice);
             }
         }
         let Some(held) = self.messages.get_mut(&number) else { return };
-        held.taken = Taken::On;
+        held.acceptance = Acceptance::Confirmed;
         let message = held.message.clone();
-        self.ids.set(&message.id, Known::Taken);
-        self.id_taken(&message.id);
+        self.ids.set_state(&message.id, SubmissionState::Accepted);
+        self.report_id_accepted(&message.id);
         self.send(number);
     }
 
-    /// Forgets a message that was not taken on after all.
-    pub(super) fn withdraw(&mut self, number: u64) {
+    /// Forgets a message that was not accepted after all.
+    pub(super) fn forget_message(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
         self.ids.remove(&held.message.id);
-        self.let_go_of_id(&held.message.id);
-        self.site.iter_mut().for_each(|s| s.let_go(&held.message));
-        if let Some(Waiting { attempt, target, .. }) = held.waiting {
-            self.outcome(number, attempt, target, Outcome::NotSent, true);
+        self.release_id(&held.message.id);
+        self.site.iter_mut().for_each(|s| s.release(&held.message));
+        if let Some(PendingSend { attempt, target, .. }) = held.pending_send {
+            self.report_outcome(number, attempt, target, Outcome::NotSent, true);
         }
-        self.handle(Event::Lapsed { id: number });
+        self.notify_scheduler(Event::Lapsed { id: number });
     }
 }
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -1,5 +1,6 @@
-//! The loop that owns all state: the module, the messages and the journal. What sockets and timers tell
-//! comes in as [`Input`]s; what the module decides goes out, in its order.
+//! The event loop, which owns all mutable state: the scheduler, the messages and the journal.
+//! Socket and timer tasks send it [`Input`]s; it carries out the scheduler's actions in the order
+//! in which they were issued.
 
 mod appliance;
 mod calls;
@@ -24,9 +25,9 @@
 use crate::message::Message;
 use crate::notices::Notices;
 use crate::speech::Speeches;
-use crate::table::{Ids, Targets};
+use crate::table::{MessageIds, Targets};
 use crate::targets::{read_what_has_come, STOOD_STILL};
-use appliance::{Appliance, LONGEST_NAME};
+use appliance::{SiteRuntime, MAX_NAME_BYTES};
 use foldtrack_admission::Party;
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{Folder, Journal, Options};
@@ -41,57 +42,63 @@
 use tokio::sync::{oneshot, watch, Semaphore};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Inputs that one round takes in at most.
-const ROUND: usize = 1024;
-/// After SIGTERM: how long connections are still accepted, and by when the process has ended.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-const END_BY: Duration = Duration::from_millis(3300);
-/// How long the start waits for the list.
-const FIRST_LIST: Duration = Duration::from_millis(250);
-/// Time of a round that the journal's compaction takes at most, beside what a full room calls for at once.
-const JOURNAL_STEP: Duration = Duration::from_micros(300);
-const SWEEP: Duration = Duration::from_secs(1);
-/// Part of the memory limit that bodies which are being read may take.
-const BODIES_PART: usize = 4;
-/// Part of the journal's room that is kept for known clients.
-const KEPT_PART: usize = 8;
-/// Bytes of the memory limit for each id that is remembered.
-const MEMORY_PER_ID: usize = 1024;
+/// Maximum number of events handled in one iteration of the loop.
+const MAX_EVENTS_PER_ITERATION: usize = 1024;
+/// Time after SIGTERM until the listener stops accepting connections.
+const ACCEPT_GRACE: Duration = Duration::from_millis(500);
+/// Time after SIGTERM by which the process has ended.
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3300);
+/// Longest wait at startup for the first list of targets.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Longest time per iteration spent on journal compaction, apart from what must be compacted at
+/// once because the journal is full.
+const COMPACTION_TIME_LIMIT: Duration = Duration::from_micros(300);
+/// Interval between sweeps that drop expired outcomes, ids, targets and idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Request bodies being read may use one part in this many of the memory limit.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// One part in this many of the journal's capacity is reserved for known clients.
+const RESERVED_JOURNAL_DIVISOR: usize = 8;
+/// Bytes of the memory limit budgeted for each remembered message id.
+const MEMORY_BYTES_PER_ID: usize = 1024;
 
-/// How far the client has been told that its message is taken on.
-enum Taken {
-    /// Not at all: the module may refuse it yet.
-    Fresh(oneshot::Sender<Answer>),
-    /// The answer is on its way.
-    Answering,
-    /// Told.
-    On,
+/// Whether the client has been told that its message is accepted.
+enum Acceptance {
+    /// Not told: the scheduler may still refuse the message.
+    Undecided(oneshot::Sender<Answer>),
+    /// The reply is being written, or waits for the journal.
+    Replying,
+    /// The client has received the reply.
+    Confirmed,
 }
 
-/// A send that the module has decided on.
-struct Waiting {
+/// A send that the scheduler has decided on and that has not started yet.
+struct PendingSend {
     attempt: u32,
     target: TargetId,
     until: Micros,
-    decided: Micros,
+    decided_at: Micros,
 }
 
-struct Held {
+/// A message that is accepted, or may be, and has not ended.
+struct HeldMessage {
     message: Arc<Message>,
-    taken: Taken,
-    /// When it came, Unix time in microseconds.
-    since: Micros,
-    /// Its attempts for people to see, at a site of its own.
+    acceptance: Acceptance,
+    /// Arrival time, Unix time in microseconds.
+    arrived_at: Micros,
+    /// Attempts shown to operators; empty under a platform.
     history: Vec<Attempt>,
+    /// Attempts that the scheduler has decided on, less the calls that were withheld.
     attempts: u32,
-    /// Those of them that the journal has: some were decided on and never begun.
-    tries: u32,
-    /// Calls that were held back before their first byte, and used up no try.
-    held_back: u32,
-    /// A send that the module has decided on, but that must not go yet: see [`Node::send`].
-    waiting: Option<Waiting>,
+    /// Attempts recorded in the journal. Some that the scheduler decided on were never started.
+    journaled_attempts: u32,
+    /// Calls that were withheld before their first byte and used up no attempt.
+    withheld_calls: u32,
+    /// A send that was decided on and must wait; see [`Node::send`].
+    pending_send: Option<PendingSend>,
 }
 
+/// The event loop's state.
 struct Node {
     clock: Clock,
     brain: Brain,
@@ -99,48 +106,51 @@
     journal: Journal,
     inputs: Inputs,
     membership: Box<dyn Membership>,
-    /// The platform's taker of notices.
+    /// Address of discovery, which receives notices; none for a site file.
     discovery: Option<watch::Sender<SocketAddr>>,
-    /// What a site of its own has in its place.
-    site: Option<Box<Appliance>>,
-    /// The other forwarders of the site, if it has any.
-    peers: Option<Box<peers::Side>>,
-    /// What waits for the journal.
-    durable: durable::Durable,
-    /// A picture for people that is being made.
-    scan: picture::Scan,
-    /// Lists taken in. Their own versions begin anew where discovery moves.
-    lists: u32,
+    /// State that only a deployment with a site file has.
+    site: Option<Box<SiteRuntime>>,
+    /// The peers of the site, if it has any.
+    peers: Option<Box<peers::PeerState>>,
+    /// Work that waits for the journal.
+    group_commit: durable::GroupCommit,
+    /// A snapshot for operators that is being assembled.
+    scan: picture::SnapshotScan,
+    /// Number of target lists received. Discovery's own versions restart when it moves.
+    lists_received: u32,
     next_number: u64,
-    /// What is taken on, or may be, by number in the order of arrival.
-    messages: BTreeMap<u64, Held>,
-    /// Those of this round whose clients wait for an answer.
+    /// Messages that are accepted, or may be, by number; numbers grow in the order of arrival.
+    messages: BTreeMap<u64, HeldMessage>,
+    /// Messages of this iteration whose clients wait for a reply.
     fresh: Vec<u64>,
-    /// Bytes of these, which the journal does not know of yet.
+    /// Bytes of the messages in `fresh`, which the journal has not counted yet.
     fresh_bytes: usize,
     notices: Notices,
-    /// Those whose send has been decided on, but has not gone yet.
-    waiting: BTreeSet<u64>,
-    /// By message and attempt: what calls it off.
+    /// Messages whose send was decided on and has not started.
+    pending_sends: BTreeSet<u64>,
+    /// Cancellation of each call, by message and attempt.
     calls: BTreeMap<(u64, u32), oneshot::Sender<()>>,
     idle: IdleConnections,
     descriptors: Arc<Descriptors>,
     speeches: Speeches,
-    /// Dials ahead of demand so far.
-    next_dial: u64,
-    swept: Instant,
+    /// Number of connections opened ahead of demand so far.
+    next_preconnect: u64,
+    last_sweep: Instant,
     targets: Targets,
-    ids: Ids,
-    most_ids: usize,
-    /// Bytes of the journal's room that are kept for known clients.
-    kept_room: usize,
+    ids: MessageIds,
+    max_ids: usize,
+    /// Bytes of the journal's capacity that are reserved for known clients.
+    reserved_journal_bytes: usize,
     timers: BTreeSet<(Micros, u32)>,
     stage: watch::Sender<Stage>,
-    terminated: Option<Instant>,
+    terminated_at: Option<Instant>,
     actions: Vec<Action>,
 }
 
-/// Restores what the journal holds, then serves until it is told to end.
+/// Restores the messages of the journal, then serves until the process is told to end.
+///
+/// # Errors
+/// The journal or the list of targets cannot be opened, or the listener cannot be bound.
 pub(crate) async fn run(
     mut config: Config, inputs: Inputs, mut receiver: UnboundedReceiver<Input>,
 ) -> io::Result<()> {
@@ -160,8 +170,8 @@
         most: (slots / 4).max(2),
         age: Duration::from_micros(parts.site.calls.connection_age),
     });
-    let site = config.site.map(|parts| Appliance::new(parts, ends_seen, config.memory_bytes as u64));
-    let name = if site.is_some() { LONGEST_NAME } else { 0 };
+    let site = config.site.map(|parts| SiteRuntime::new(parts, ends_seen, config.memory_bytes as u64));
+    let name = if site.is_some() { MAX_NAME_BYTES } else { 0 };
     let options = Options {
         room: config.disk_bytes,
         attempts: max_attempts,
@@ -171,7 +181,8 @@
     };
     let disk = Folder::new(&config.state)?.within(config.disk_budget);
     let (journal, restored) = Journal::open_on(disk, options)?;
-    // Numbers of messages that are over may stand in kept ends: none is used twice.
+    // Stored outcomes may hold numbers of messages that the journal has forgotten. A number is
+    // never used twice.
     let highest = journal.highest().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
     let (stage, stage_seen) = watch::channel(Stage::Serving);
     let share = half(config.sockets);
@@ -185,73 +196,78 @@
         membership: config.membership,
         discovery: config.discovery,
         site: site.map(Box::new),
-        peers: others.map(|(peers, hands)| peers::Side::new(peers, hands)),
-        durable: durable::Durable::new(config.durable),
-        scan: picture::Scan::default(),
-        lists: 0,
+        peers: others.map(|(peers, hands)| peers::PeerState::new(peers, hands)),
+        group_commit: durable::GroupCommit::new(config.durable),
+        scan: picture::SnapshotScan::default(),
+        lists_received: 0,
         next_number: highest + 1,
         messages: BTreeMap::new(),
         fresh: Vec::new(),
         fresh_bytes: 0,
         notices: Notices::default(),
-        waiting: BTreeSet::new(),
+        pending_sends: BTreeSet::new(),
         calls: BTreeMap::new(),
         idle: IdleConnections::new(conn_idle, share.saturating_sub(slots).max(share / 4), keeping, clock),
         descriptors: config.descriptors,
         speeches: config.speeches,
-        next_dial: 0,
-        swept: Instant::now(),
+        next_preconnect: 0,
+        last_sweep: Instant::now(),
         targets: Targets::default(),
-        ids: Ids::default(),
-        most_ids: config.memory_bytes / MEMORY_PER_ID,
-        kept_room: config.disk_bytes as usize / KEPT_PART,
+        ids: MessageIds::default(),
+        max_ids: config.memory_bytes / MEMORY_BYTES_PER_ID,
+        reserved_journal_bytes: config.disk_bytes as usize / RESERVED_JOURNAL_DIVISOR,
         timers: BTreeSet::new(),
         stage,
-        terminated: None,
+        terminated_at: None,
         actions: Vec::new(),
     };
-    let news = node.membership.watch(&inputs);
-    node.list(node.membership.known(), if news { ListKind::Cached } else { ListKind::Full });
-    node.begin_peers();
+    let reports_updates = node.membership.start_updates(&inputs);
+    node.apply_list(
+        node.membership.current_list(),
+        if reports_updates { ListKind::Cached } else { ListKind::Full },
+    );
+    node.start_peers();
     let mut batch = Vec::new();
-    node.join_peers(&mut receiver, &mut batch).await;
+    node.wait_for_peers(&mut receiver, &mut batch).await;
     node.restore_all(restored);
-    node.recheck_ids();
-    if news {
-        batch.extend(timeout(FIRST_LIST, receiver.recv()).await.ok().flatten());
+    node.reconcile_ids();
+    if reports_updates {
+        batch.extend(timeout(FIRST_LIST_TIMEOUT, receiver.recv()).await.ok().flatten());
     }
     let listener = clients::listen(config.listen)?;
-    let bodies = Semaphore::new(config.memory_bytes / BODIES_PART);
-    let bodies_of_others = Semaphore::new(config.memory_bytes / BODIES_PART / 2);
+    let bodies = Semaphore::new(config.memory_bytes / BODY_MEMORY_DIVISOR);
+    let bodies_of_others = Semaphore::new(config.memory_bytes / BODY_MEMORY_DIVISOR / 2);
     let desk = Desk { settings, clock, inputs, stage: stage_seen, bodies, bodies_of_others, fronts, ready };
     tokio::spawn(clients::serve(listener, Arc::new(desk), config.places));
     while !node.has_ended() {
-        let begun = Instant::now();
-        node.round(&mut batch);
+        let started = Instant::now();
+        node.run_iteration(&mut batch);
         if let Some(site) = &mut node.site {
-            site.longest_round = site.longest_round.max(begun.elapsed());
+            site.longest_iteration = site.longest_iteration.max(started.elapsed());
         }
-        let stood = begun.elapsed() > STOOD_STILL;
-        let wake = node.wake_at();
+        let stalled = started.elapsed() > STOOD_STILL;
+        let wake = node.next_wakeup();
         tokio::select! {
             biased;
-            _ = receiver.recv_many(&mut batch, ROUND) => {}
+            _ = receiver.recv_many(&mut batch, MAX_EVENTS_PER_ITERATION) => {}
             () = sleep_until(wake) => {}
         }
-        // A round that was held up by the disk, or a timer that comes late: nothing is decided before answers that came
-        // meanwhile are read.
-        if stood || Instant::now() > wake + STOOD_STILL {
+        // The iteration was delayed by the disk, or the timer fired late. Answers that arrived
+        // meanwhile are read before the next decision.
+        if stalled || Instant::now() > wake + STOOD_STILL {
             read_what_has_come().await;
         }
     }
-    // Whoever has handed a message in that no round has seen is told so, not cut off: nothing owes it an end.
+    // Clients whose submission no iteration has seen get a reply instead of a closed connection:
+    // their messages were not accepted.
     drop(receiver);
     drop(batch);
     read_what_has_come().await;
     Ok(())
 }
 
-/// What clients of a site of its own may ask beside handing messages in.
+/// State of the HTTP API of a site: the sequence number of the latest outcome, and the names of the
+/// partners.
 fn fronts(config: &Config) -> (watch::Sender<u64>, Option<Fronts>) {
     let (ends_seen, seen) = watch::channel(0);
     let partners = config.site.as_ref().map(|parts| {
@@ -262,115 +278,118 @@
 }
 
 impl Node {
-    /// Takes in all that has happened, lets the module decide once, and carries out what it says.
-    fn round(&mut self, batch: &mut Vec<Input>) {
+    /// One iteration: handles the events, lets the scheduler decide once, and carries out its
+    /// actions.
+    fn run_iteration(&mut self, batch: &mut Vec<Input>) {
         for input in batch.drain(..) {
-            self.take_in(input);
+            self.handle_event(input);
         }
         self.step_peers();
-        self.expire_waiting();
+        self.expire_pending_sends();
         let now = self.clock.now();
         while let Some((_, token)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
-            self.handle(Event::Timer { token });
+            self.notify_scheduler(Event::Timer { token });
         }
         self.brain.decide(self.clock.now(), &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
-            self.carry_out(action);
+            self.execute(action);
         }
-        self.answer_clients();
-        self.commit_ends();
+        self.journal_accepted();
+        self.commit_outcomes();
         self.commit_journal();
-        self.step_journal();
-        self.begin_sync();
-        self.step_scan();
-        self.report_notices();
-        self.step_down();
-        if self.swept.elapsed() > SWEEP {
-            self.swept = Instant::now();
-            self.sweep_ends();
+        self.compact_journal();
+        self.start_sync();
+        self.continue_snapshot();
+        self.send_notices();
+        self.advance_shutdown();
+        if self.last_sweep.elapsed() > SWEEP_INTERVAL {
+            self.last_sweep = Instant::now();
+            self.drop_expired_outcomes();
             for target in self.idle.sweep() {
-                self.open_ahead(target);
+                self.preconnect(target);
             }
             for _ in 0..self.descriptors.over(Party::Calls) {
                 self.idle.drop_oldest();
             }
-            let (now, keep) = (self.clock.now(), self.remember());
-            self.ids.forget(now, self.most_ids);
-            for number in self.targets.forget(now, now - keep) {
+            let (now, keep) = (self.clock.now(), self.retention());
+            self.ids.forget(now, self.max_ids);
+            for number in self.targets.remove_stale(now, now - keep) {
                 self.idle.close(number);
             }
         }
     }
 
-    /// Goes on with the journal's compaction, for a little of each round.
-    fn step_journal(&mut self) {
-        if let Err(error) = self.journal.step(std::time::Instant::now() + JOURNAL_STEP) {
+    /// Compacts the journal for a short part of each iteration.
+    fn compact_journal(&mut self) {
+        if let Err(error) = self.journal.step(std::time::Instant::now() + COMPACTION_TIME_LIMIT) {
             eprintln!("journal: {error}");
         }
     }
 
-    /// How long what has gone is remembered: no message that knew it is held for longer.
-    fn remember(&self) -> Micros {
+    /// How long removed targets and ended messages are remembered: twice the longest deadline, so
+    /// that no message that could refer to them is still held.
+    fn retention(&self) -> Micros {
         2 * self.settings.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
-    fn handle(&mut self, event: Event) {
+    fn notify_scheduler(&mut self, event: Event) {
         self.brain.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn handle_event(&mut self, input: Input) {
         match input {
-            Input::HandIn { message, known, reply } => self.hand_in(message, known, reply),
-            Input::Answered { number, written } => self.answered(number, written),
+            Input::HandIn { message, known, reply } => self.submit(message, known, reply),
+            Input::Answered { number, written } => self.reply_finished(number, written),
             Input::CallEnded(end) => self.call_ended(end),
             Input::Opened { target, number, opened } => {
                 let open = self.targets.is_open(target);
                 self.idle.opened(target, number, opened.filter(|_| open));
             }
-            // What the old address has told late does not stand against the new one.
+            // A list that the previous address sent before discovery moved is ignored.
             Input::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
             Input::List { list, .. } => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
-                self.list(list, kind);
+                self.apply_list(list, kind);
             }
-            Input::Reported { numbers, status, to } => self.reported(numbers, status, to),
+            Input::Reported { numbers, status, to } => self.notices_reported(numbers, status, to),
             Input::Discovery(address) => {
                 if let Some(discovery) = &self.discovery {
                     discovery.send_replace(address);
                 }
                 self.notices.moved();
             }
-            Input::Site(ask) => self.asked(ask),
-            Input::Synced(synced) => self.synced(synced),
-            Input::Datagram(bytes) => self.datagram(&bytes),
-            Input::PeersKept(ticket) => self.peers_kept(ticket),
+            Input::Site(ask) => self.handle_request(ask),
+            Input::Synced(synced) => self.finish_sync(synced),
+            Input::Datagram(bytes) => self.handle_datagram(&bytes),
+            Input::PeersKept(ticket) => self.peer_records_stored(ticket),
             Input::Terminate => {
-                if self.terminated.is_none() {
-                    self.terminated = Some(Instant::now());
+                if self.terminated_at.is_none() {
+                    self.terminated_at = Some(Instant::now());
                     self.stage.send_replace(Stage::Draining);
-                    let by = self.clock.now() + END_BY.as_micros() as Micros;
-                    self.handle(Event::Stopping { by });
+                    let by = self.clock.now() + SHUTDOWN_LIMIT.as_micros() as Micros;
+                    self.notify_scheduler(Event::Stopping { by });
                     self.leave_peers();
                 }
             }
         }
     }
 
-    fn list(&mut self, list: ServerList, kind: ListKind) {
-        let place = |names: &[String], name: &str| {
+    /// Passes a list of targets to the scheduler, under target numbers that are never reused.
+    fn apply_list(&mut self, list: ServerList, kind: ListKind) {
+        let index = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).map_or(u32::MAX, |at| at as u32)
         };
         let mut endpoints = Vec::with_capacity(list.servers.len());
-        let mut named = HashSet::new();
+        let mut listed = HashSet::new();
         for line in list.servers {
-            let zone = place(&self.settings.zone_names, &line.zone);
-            let kind = place(&self.settings.kind_names, &line.kind);
+            let zone = index(&self.settings.zone_names, &line.zone);
+            let kind = index(&self.settings.kind_names, &line.kind);
             let apart = self.settings.settings.routes_apart.get(kind as usize).copied().unwrap_or(false);
-            let Some((target, replaced)) = self.targets.number(&line, zone, apart) else { continue };
-            named.insert(target);
+            let Some((target, replaced)) = self.targets.assign(&line, zone, apart) else { continue };
+            listed.insert(target);
             if let Some(target) = replaced {
-                // The same id elsewhere is another target.
+                // The same id at another address is a different target.
                 self.idle.close(target);
                 let (destination, state) = (line.cell, EndpointState::Gone);
                 endpoints.push(Endpoint { target, destination, state, ..Endpoint::default() });
@@ -391,22 +410,25 @@
             });
         }
         if kind != ListKind::Delta {
-            self.targets.only(&named);
+            self.targets.retain_listed(&listed);
         }
-        self.targets.see(self.clock.now());
-        self.lists += 1;
-        self.handle(Event::List { kind, version: self.lists, endpoints });
+        self.targets.mark_seen(self.clock.now());
+        self.lists_received += 1;
+        self.notify_scheduler(Event::List { kind, version: self.lists_received, endpoints });
     }
 
-    fn wake_at(&self) -> Instant {
-        // What was told to the module after it had decided is carried out at once, not with whatever happens next.
-        let undone = !self.actions.is_empty();
-        if undone || self.scan.is_running() || self.journal.is_owing() && !self.journal.wants_sync() {
+    /// When the next iteration is due if no event arrives.
+    fn next_wakeup(&self) -> Instant {
+        // Actions that were issued after the scheduler's last decision are carried out at once,
+        // without waiting for the next event.
+        let pending_actions = !self.actions.is_empty();
+        if pending_actions || self.scan.is_running() || self.journal.is_owing() && !self.journal.wants_sync()
+        {
             return Instant::now();
         }
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
         let reports = self.notices.due().map(|from| self.clock.instant(from));
-        let wakes = [timer, reports, self.next_step_down(), self.peers_due()];
-        wakes.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + SWEEP)
+        let wakes = [timer, reports, self.next_shutdown_step(), self.peers_next_due()];
+        wakes.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + SWEEP_INTERVAL)
     }
 }
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of a site's operators, and what its fronts ask.
+//! Operators' orders, and requests of the site's HTTP API and control socket.
 
 use super::Node;
 use crate::door::Ask;
@@ -11,66 +11,75 @@
 use tokio::time::Instant;
 
 impl Node {
-    pub(super) fn asked(&mut self, ask: Ask) {
+    /// Handles a request of the HTTP API or the control socket.
+    pub(super) fn handle_request(&mut self, ask: Ask) {
         match ask {
-            // Whoever asked may have gone.
-            Ask::Ends { after, peek, most, reply } => drop(reply.send(self.fetch(after, peek, most))),
-            Ask::Message { id, reply } => drop(reply.send(self.history(&id))),
-            Ask::Picture { reply } => self.picture(reply),
-            Ask::Order { order, reply } => self.order(order, reply),
-            Ask::Network { network, for_ms, reply } => self.network_among_peers(network, for_ms, reply),
-            Ask::Peers { .. } | Ask::State { .. } => self.asked_of_peers(ask),
+            // The requester may have disconnected.
+            Ask::Ends { after, peek, most, reply } => {
+                drop(reply.send(self.fetch_outcomes(after, peek, most)))
+            }
+            Ask::Message { id, reply } => drop(reply.send(self.message_history(&id))),
+            Ask::Picture { reply } => self.request_snapshot(reply),
+            Ask::Order { order, reply } => self.handle_order(order, reply),
+            Ask::Network { network, for_ms, reply } => self.publish_block(network, for_ms, reply),
+            Ask::Peers { .. } | Ask::State { .. } => self.handle_peer_request(ask),
         }
     }
 
-    fn fetch(&mut self, after: Option<u64>, peek: bool, most: usize) -> io::Result<Fetched> {
+    /// Reads outcomes after a cursor, and acknowledges those up to it unless the client only peeks.
+    fn fetch_outcomes(&mut self, after: Option<u64>, peek: bool, most: usize) -> io::Result<Fetched> {
         let now = self.clock.unix(self.clock.now());
-        let Some(site) = &mut self.site else { return Err(io::Error::other("no ends are kept here")) };
+        let Some(site) = &mut self.site else {
+            return Err(io::Error::other("this forwarder stores no outcomes"));
+        };
         if let Some(cursor) = after.filter(|_| !peek) {
             site.ends.acknowledge(cursor, now)?;
         }
         site.ends.fetch(after.unwrap_or(site.ends.acknowledged()), most)
     }
 
-    /// Carries out an order: first in the log, then in the list that the module goes by, and that within this round,
-    /// so that nothing new is decided against it. The answer waits for the disk, not the loop.
-    fn order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
+    /// Carries out an order: it is written to the log, and then applied to the scheduler's list of
+    /// targets in the same iteration, so that no later decision ignores it. The reply waits for the
+    /// sync, which runs outside the event loop.
+    fn handle_order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
         let now = self.clock.unix(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
             if self.speeches.shows_secrets(partner, *address) {
-                let text = format!("{partner} is spoken to without TLS, and {address} is not on this machine: its secret would go over the wire in plain text");
+                let text = format!("{partner} is called without TLS, and {address} is not on this machine: its secret would be sent in plain text");
                 return drop(reply.send(Err(error("refused", text))));
             }
         }
         if self.peers.is_some() {
-            return self.order_among_peers(order, reply);
+            return self.publish_order(order, reply);
         }
         let change = match self.membership.order(now, &order) {
             Ok(change) => change,
-            Err(why) => return drop(reply.send(Err(Self::trouble(&why)))),
+            Err(why) => return drop(reply.send(Err(Self::order_error(&why)))),
         };
         if change == Change::Done {
-            self.list(self.membership.known(), ListKind::Full);
+            self.apply_list(self.membership.current_list(), ListKind::Full);
         }
-        self.note_closed(&order);
-        let done = self.done(&order, change);
+        self.record_closed(&order);
+        let done = self.order_reply(&order, change);
         let file = self.membership.file();
         tokio::task::spawn_blocking(move || {
             let synced = file.and_then(|file| file.sync_data());
             let told = synced.map(|()| done).map_err(|e| {
-                error("not_kept", format!("the order holds, but may not outlive a power cut: {e}"))
+                error("not_kept", format!("the order is in force, but may not survive a power failure: {e}"))
             });
             reply.send(told)
         });
     }
 
-    pub(super) fn trouble(trouble: &Trouble) -> Error {
+    /// The control protocol's error for a failed order.
+    pub(super) fn order_error(error: &Trouble) -> Error {
         let code = if matches!(trouble, Trouble::Refused(_)) { "refused" } else { "not_kept" };
         Error { code: code.into(), text: trouble.to_string() }
     }
 
-    pub(super) fn note_closed(&mut self, order: &Order) {
+    /// Records when an order has closed endpoints.
+    pub(super) fn record_closed(&mut self, order: &Order) {
         let (Some(site), Some(state)) = (&mut self.site, self.membership.state()) else { return };
         site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.is_open(e)));
         let concerns = |name: &String, partner: &String| match order {
@@ -85,7 +94,8 @@
         }
     }
 
-    pub(super) fn done(&self, order: &Order, change: Change) -> Done {
+    /// The reply to an order that was carried out.
+    pub(super) fn order_reply(&self, order: &Order, change: Change) -> Done {
         let none = std::collections::BTreeMap::new();
         let state = self.membership.state();
         let endpoints = state.map_or(&none, |s| s.endpoints());
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -1,12 +1,13 @@
-//! What the forwarders of a site tell each other, carried out by the loop: orders go out as facts, and what holds by all
-//! facts is brought about here, by the same orders that an operator gives.
+//! Connects the event loop with the replicated state of a site's peers. Orders are published as
+//! facts; what the facts of all peers add up to is applied here through the same orders that an
+//! operator gives.
 
 use super::Node;
 use crate::door::{Answer, Ask, Input};
 use crate::list::ServerList;
 use crate::message::Message;
 use crate::peers::Hands;
-use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
+use foldtrack_control::{Done, Error, Peer, Peers as PeersView, SiteState, Statement};
 use foldtrack_ends::{End, Result as EndResult};
 use foldtrack_membership::{Change, EndpointState, Order, Trouble};
 use foldtrack_peers::claims::{key, Effect, Key, Verdict, Word as EndWord, REMEMBERED};
@@ -22,49 +23,55 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, Instant};
 
-/// Part of a hold that is added to it at the most.
-const HOLD_SPREAD: f64 = 0.25;
-/// What a client is told whose message is being claimed on another connection.
-const CLAIMING_WAIT_MS: u64 = 300;
-/// Ends that are read at once, at a start.
-const ENDS_AT_ONCE: usize = 500;
-/// Two ends of a block that are no further apart are the same one.
-const SAME_SPAN_MS: u64 = 1_000;
-/// Statements in one answer at most.
-const STATEMENTS: usize = 4_000;
-
-/// The other forwarders, as the loop has them.
-pub(super) struct Side {
+/// Upper bound of the random extra time added to a hold, as a share of the hold.
+const MAX_HOLD_JITTER: f64 = 0.25;
+/// Retry delay told to a client whose message is being claimed on another connection.
+const CLAIM_RETRY_MS: u64 = 300;
+/// Number of outcomes read at a time when ids are checked after a start.
+const OUTCOMES_PER_READ: usize = 500;
+/// Two expiry times of a block count as equal if they are no further apart than this.
+const EXPIRY_TOLERANCE_MS: u64 = 1_000;
+/// Maximum number of statements in one reply.
+const MAX_STATEMENTS: usize = 4_000;
+
+/// The event loop's view of the peers.
+pub(super) struct PeerState {
     peers: Peers,
     hands: Hands,
-    orders: HashMap<u64, Pending>,
+    pending_orders: HashMap<u64, PendingOrder>,
     next_order: u64,
-    /// Messages whose ids are being claimed, and their clients.
-    claiming: HashMap<Key, Claiming>,
+    /// Messages whose ids are being claimed, with the replies that their clients wait for.
+    pending_claims: HashMap<Key, PendingClaim>,
 }
 
-/// A message that has been handed in, and is not taken on before its id is this forwarder's.
-struct Claiming {
+/// A submitted message that is accepted only once its id is claimed for this forwarder.
+struct PendingClaim {
     message: Arc<Message>,
-    known: bool,
+    from_known_client: bool,
     reply: oneshot::Sender<Answer>,
 }
 
-/// An order whose operator waits.
-struct Pending {
-    /// None for one about a network, which is no member's.
+/// An order whose operator waits for the reply.
+struct PendingOrder {
+    /// None for a network: blocks are not part of the membership.
     order: Option<(Order, Change)>,
     reply: oneshot::Sender<Result<Done, Error>>,
 }
 
-impl Side {
-    pub fn new(peers: Peers, hands: Hands) -> Box<Side> {
-        Box::new(Side { peers, hands, orders: HashMap::new(), next_order: 1, claiming: HashMap::new() })
+impl PeerState {
+    pub fn new(peers: Peers, hands: Hands) -> Box<PeerState> {
+        Box::new(PeerState {
+            peers,
+            hands,
+            pending_orders: HashMap::new(),
+            next_order: 1,
+            pending_claims: HashMap::new(),
+        })
     }
 }
 
-/// An order as a statement.
-fn stated(order: &Order) -> (Subject, Word) {
+/// The fact that an order publishes: its subject and word.
+fn fact_of_order(order: &Order) -> (Subject, Word) {
     let endpoint = |name: &String| Subject::Endpoint(name.clone());
     let partner = |name: &String| Subject::Partner(name.clone());
     match order {
@@ -85,52 +92,55 @@
 }
 
 impl Node {
-    fn ms(&self) -> u64 {
+    /// Milliseconds of the process's clock, the unit of the peers' state machine.
+    fn now_ms(&self) -> u64 {
         self.clock.now() / 1000
     }
 
-    /// Before the loop runs: what this forwarder held true alone is stated, and what the ledger says is brought about.
-    pub(super) fn begin_peers(&mut self) {
-        let now = self.ms();
+    /// Called before the loop runs: publishes what was ordered while this forwarder ran alone, and
+    /// applies the ledger.
+    pub(super) fn start_peers(&mut self) {
+        let now = self.now_ms();
         let at = self.clock.unix(self.clock.now());
-        let imports = self.own_statements();
-        let Some(side) = &mut self.peers else { return };
-        // Of a block that outlived the process its own record tells what is left.
-        for (network, left) in side.hands.blocks.standing() {
-            side.peers.left(&Subject::Network(network.to_string()), left);
+        let imports = self.local_orders();
+        let Some(peer_state) = &mut self.peers else { return };
+        // A block that survived the process has its remaining time in its own record.
+        for (network, left) in peer_state.hands.blocks.standing() {
+            peer_state.peers.left(&Subject::Network(network.to_string()), left);
         }
-        if side.peers.ledger().is_empty() {
+        if peer_state.peers.ledger().is_empty() {
             for (subject, word) in imports {
-                if let Err(refusal) = side.peers.import(now, at, subject, word) {
-                    side.hands.tell("not_stated", &refusal.to_string());
+                if let Err(refusal) = peer_state.peers.import(now, at, subject, word) {
+                    peer_state.hands.tell("not_stated", &refusal.to_string());
                 }
             }
         }
-        let subjects = side.peers.ledger().subjects();
+        let subjects = peer_state.peers.ledger().subjects();
         for subject in subjects {
-            self.project(&subject);
+            self.apply_facts(&subject);
         }
         self.step_peers();
     }
 
-    /// Waits until this forwarder has what the others have, or has waited long enough: before that it would call what was
-    /// drained while it was away, and send again what an older copy of its folder holds to be unsent. What comes meanwhile
-    /// is kept for the loop.
-    pub(super) async fn join_peers(
-        &mut self, receiver: &mut UnboundedReceiver<Input>, later: &mut Vec<Input>,
+    /// Waits until this forwarder has caught up with its peers, or has waited long enough. Before
+    /// that it would call endpoints that were drained while it was away, and repeat messages that
+    /// are unsent only in an older copy of its state folder. Other events that arrive meanwhile are
+    /// kept for the loop.
+    pub(super) async fn wait_for_peers(
+        &mut self, receiver: &mut UnboundedReceiver<Input>, deferred: &mut Vec<Input>,
     ) {
         while self.peers.as_ref().is_some_and(|s| !s.hands.ready.load(Ordering::Relaxed)) {
-            let due = self.peers_due().unwrap_or_else(Instant::now);
+            let due = self.peers_next_due().unwrap_or_else(Instant::now);
             tokio::select! {
                 input = receiver.recv() => match input {
                     Some(
                         input @ (Input::Datagram(_)
                         | Input::PeersKept(_)
                         | Input::Site(Ask::Peers { .. } | Ask::State { .. })),
-                    ) => self.take_in(input),
+                    ) => self.handle_event(input),
                     Some(input) => {
                         let ends = matches!(input, Input::Terminate);
-                        later.push(input);
+                        deferred.push(input);
                         if ends {
                             return;
                         }
@@ -143,13 +153,13 @@
         }
     }
 
-    /// Whether this forwarder runs on an older copy of its folder.
-    pub(super) fn has_old_state(&self) -> bool {
+    /// Whether this forwarder runs on an older copy of its state folder.
+    pub(super) fn has_stale_folder(&self) -> bool {
         self.peers.as_ref().is_some_and(|s| s.peers.is_old_state())
     }
 
-    /// What orders have made of this forwarder's list, beside what its site file says.
-    fn own_statements(&self) -> Vec<(Subject, Word)> {
+    /// The orders that distinguish this forwarder's list from its site file, as facts.
+    fn local_orders(&self) -> Vec<(Subject, Word)> {
         let Some(state) = self.membership.state() else { return Vec::new() };
         let mut statements = Vec::new();
         for (name, endpoint) in state.endpoints() {
@@ -166,7 +176,7 @@
         let removed = state.site().endpoints.keys().filter(|name| !state.endpoints().contains_key(*name));
         statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), Word::Remove)));
         let paused = state.partners().iter().filter(|(_, p)| p.paused);
-        let blocks = self.peers.iter().flat_map(|side| side.hands.blocks.standing());
+        let blocks = self.peers.iter().flat_map(|peer_state| peer_state.hands.blocks.standing());
         let blocks = blocks.filter(|(_, left)| *left > 0);
         statements.extend(
             blocks.map(|(network, for_ms)| (Subject::Network(network.to_string()), Word::Close { for_ms })),
@@ -175,167 +185,182 @@
         statements
     }
 
-    /// Takes a datagram in; what follows from it is carried out with the round.
-    pub(super) fn datagram(&mut self, bytes: &[u8]) {
-        let now = self.ms();
-        let Some(side) = &mut self.peers else { return };
-        side.hands.taken_out();
-        side.peers.datagram(now, bytes);
+    /// Handles a datagram; the outputs follow in the same iteration.
+    pub(super) fn handle_datagram(&mut self, bytes: &[u8]) {
+        let now = self.now_ms();
+        let Some(peer_state) = &mut self.peers else { return };
+        peer_state.hands.taken_out();
+        peer_state.peers.datagram(now, bytes);
     }
 
-    pub(super) fn peers_kept(&mut self, ticket: u64) {
-        let now = self.ms();
-        if let Some(side) = &mut self.peers {
-            side.peers.kept(now, ticket);
+    /// Records up to this ticket are stored.
+    pub(super) fn peer_records_stored(&mut self, ticket: u64) {
+        let now = self.now_ms();
+        if let Some(peer_state) = &mut self.peers {
+            peer_state.peers.kept(now, ticket);
         }
     }
 
-    /// Tells the others that this forwarder goes.
+    /// Tells the peers that this forwarder is leaving.
     pub(super) fn leave_peers(&mut self) {
-        let now = self.ms();
-        if let Some(side) = &mut self.peers {
-            side.peers.leave(now);
+        let now = self.now_ms();
+        if let Some(peer_state) = &mut self.peers {
+            peer_state.peers.leave(now);
         }
     }
 
-    /// When something is to be done for the others next.
-    pub(super) fn peers_due(&self) -> Option<Instant> {
-        let side = self.peers.as_ref()?;
-        // One more, since a part of a millisecond is none.
-        Some(self.clock.instant((side.peers.due() + 1) * 1000))
+    /// When the peers' state machine is due next.
+    pub(super) fn peers_next_due(&self) -> Option<Instant> {
+        let peer_state = self.peers.as_ref()?;
+        // Rounded up to the next millisecond.
+        Some(self.clock.instant((peer_state.peers.due() + 1) * 1000))
     }
 
-    /// Does what is due, and carries out what the module says, before this round's decisions are made.
+    /// Runs the peers' state machine if it is due, and carries out its outputs before this
+    /// iteration's decisions.
     pub(super) fn step_peers(&mut self) {
-        let now = self.ms();
-        let Some(side) = &mut self.peers else { return };
-        if side.peers.due() <= now {
-            side.peers.tick(now);
+        let now = self.now_ms();
+        let Some(peer_state) = &mut self.peers else { return };
+        if peer_state.peers.due() <= now {
+            peer_state.peers.tick(now);
         }
-        let ready = side.peers.is_ready(now);
-        side.hands.ready.store(ready, Ordering::Relaxed);
-        for output in side.peers.outputs() {
-            let Some(side) = &mut self.peers else { return };
+        let ready = peer_state.peers.is_ready(now);
+        peer_state.hands.ready.store(ready, Ordering::Relaxed);
+        for output in peer_state.peers.outputs() {
+            let Some(peer_state) = &mut self.peers else { return };
             match output {
-                Output::Send(to, bytes) => side.hands.send(to, &bytes),
-                Output::Keep(ticket, records) => side.hands.keep(ticket, records),
-                Output::Changed(subject) => self.project(&subject),
+                Output::Send(to, bytes) => peer_state.hands.send(to, &bytes),
+                Output::Keep(ticket, records) => peer_state.hands.keep(ticket, records),
+                Output::Changed(subject) => self.apply_facts(&subject),
                 Output::KeepClaims(records) => {
-                    let (peers, hands) = (&side.peers, &mut side.hands);
+                    let (peers, hands) = (&peer_state.peers, &mut peer_state.hands);
                     hands.keep_claims(&records, || peers.standing_claims());
                 }
-                Output::ClaimsWhole(whole) => side.hands.claims_whole(whole, &side.peers.standing_claims()),
-                Output::Hold(partner, until) => self.hold(partner, until * 1000),
-                Output::Claim(key, verdict) => self.claimed(key, verdict),
-                Output::Aside(fact) => self.lay_aside(&fact),
-                Output::Settled(number, result) => self.settled(number, result),
-                Output::Event(event) => side.hands.tell(event.kind, &event.text),
+                Output::ClaimsWhole(whole) => {
+                    peer_state.hands.claims_whole(whole, &peer_state.peers.standing_claims())
+                }
+                Output::Hold(partner, until) => self.hold_partner(partner, until * 1000),
+                Output::Claim(key, verdict) => self.claim_settled(key, verdict),
+                Output::Aside(fact) => self.store_discarded_fact(&fact),
+                Output::Settled(number, result) => self.order_settled(number, result),
+                Output::Event(event) => peer_state.hands.tell(event.kind, &event.text),
             }
         }
     }
 
-    /// An order of an operator. What makes things safer holds at once; the opposite once a majority has told what it knows.
-    /// The answer comes when it is kept here and at another, or when that has been waited for long enough.
-    pub(super) fn order_among_peers(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let judged = self.membership.judge(&order);
-        let change = match judged {
+    /// Handles an operator's order. An order that closes something takes effect at once; one that
+    /// opens something takes effect once a majority has reported what it knows. The reply is sent
+    /// when the order is stored here and at one other peer, or after a timeout.
+    pub(super) fn publish_order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
+        let validated = self.membership.judge(&order);
+        let change = match validated {
             Ok(change) => change,
-            Err(trouble) => return drop(reply.send(Err(Self::trouble(&trouble)))),
+            Err(trouble) => return drop(reply.send(Err(Self::order_error(&trouble)))),
         };
         if change == Change::Already {
-            return drop(reply.send(Ok(self.done(&order, change))));
+            return drop(reply.send(Ok(self.order_reply(&order, change))));
         }
-        let (subject, word) = stated(&order);
-        self.state_among_peers(subject, word, Some((order, change)), reply);
+        let (subject, word) = fact_of_order(&order);
+        self.publish_fact(subject, word, Some((order, change)), reply);
     }
 
-    /// States a word for an operator who waits; `order` is none for one about a network, which is no member's.
-    fn state_among_peers(
+    /// Publishes a fact for an operator who waits for the reply. `order` is none for a network,
+    /// because blocks are not part of the membership.
+    fn publish_fact(
         &mut self, subject: Subject, word: Word, order: Option<(Order, Change)>,
         reply: oneshot::Sender<Result<Done, Error>>,
     ) {
-        let (now, at) = (self.ms(), self.clock.unix(self.clock.now()));
-        let Some(side) = &mut self.peers else { return };
-        let number = side.next_order;
-        side.next_order += 1;
-        let stated = if word.is_safer() {
-            side.peers.close(now, number, at, subject, word).map(drop)
+        let (now, at) = (self.now_ms(), self.clock.unix(self.clock.now()));
+        let Some(peer_state) = &mut self.peers else { return };
+        let number = peer_state.next_order;
+        peer_state.next_order += 1;
+        let published = if word.is_safer() {
+            peer_state.peers.close(now, number, at, subject, word).map(drop)
         } else {
-            side.peers.open(now, number, at, subject, word);
+            peer_state.peers.open(now, number, at, subject, word);
             Ok(())
         };
-        match stated {
+        match published {
             Ok(()) => {
-                side.orders.insert(number, Pending { order, reply });
+                peer_state.pending_orders.insert(number, PendingOrder { order, reply });
                 self.step_peers();
             }
-            // Here it holds all the same: nothing must go where an operator has said that nothing goes.
+            // It takes effect here all the same: nothing may be sent where an operator has
+            // forbidden it.
             Err(refusal) => {
                 if let Some((order, _)) = &order {
-                    self.carry_out_order(order);
+                    self.apply_local_order(order);
                 }
-                let text = format!("it holds at this forwarder alone: {refusal}");
+                let text = format!("it is in force at this forwarder only: {refusal}");
                 drop(reply.send(Err(Error { text, ..refused(&refusal) })));
             }
         }
     }
 
-    /// A network that is blocked here, or is to be let in again, is so at the others as well. A block holds at this one already.
-    pub(super) fn network_among_peers(
+    /// Publishes the block of a network, or its end, to the peers. A block already holds here.
+    pub(super) fn publish_block(
         &mut self, network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<Done, Error>>,
     ) {
-        let Some(side) = &self.peers else { return drop(reply.send(Ok(Done::default()))) };
+        let Some(peer_state) = &self.peers else { return drop(reply.send(Ok(Done::default()))) };
         let subject = Subject::Network(network);
         let word = match for_ms {
             Some(for_ms) => Word::Close { for_ms },
-            None if side.peers.verdict(&subject).closed.is_none() => {
+            None if peer_state.peers.verdict(&subject).closed.is_none() => {
                 return drop(reply.send(Ok(Done::default())));
             }
             None => Word::Open,
         };
-        self.state_among_peers(subject, word, None, reply);
+        self.publish_fact(subject, word, None, reply);
     }
 
-    /// Blocks a network here for as long as the others do, or lets it in again.
-    fn project_network(&mut self, subject: &Subject) {
-        let Some(side) = &self.peers else { return };
+    /// Blocks a network here for as long as the peers do, or unblocks it.
+    fn apply_network_facts(&mut self, subject: &Subject) {
+        let Some(peer_state) = &self.peers else { return };
         let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
-        let verdict = side.peers.verdict(subject);
+        let verdict = peer_state.peers.verdict(subject);
         if verdict.closed.is_none() {
-            if verdict.opened && side.hands.blocks.lift(&network) {
-                side.hands.blocks.keep_later();
+            if verdict.opened && peer_state.hands.blocks.lift(&network) {
+                peer_state.hands.blocks.keep_later();
             }
             return;
         }
-        let left = side.peers.closed_for(subject);
-        let standing = side.hands.blocks.standing();
-        if standing.iter().any(|(known, for_ms)| *known == network && for_ms.abs_diff(left) < SAME_SPAN_MS) {
+        let left = peer_state.peers.closed_for(subject);
+        let standing = peer_state.hands.blocks.standing();
+        if standing
+            .iter()
+            .any(|(known, for_ms)| *known == network && for_ms.abs_diff(left) < EXPIRY_TOLERANCE_MS)
+        {
             return;
         }
-        match side.hands.blocks.hold(network, left) {
-            Ok(()) => side.hands.blocks.keep_later(),
-            Err(problem) => self.tell("no_effect", &format!("{network} is not blocked here: {problem}")),
+        match peer_state.hands.blocks.hold(network, left) {
+            Ok(()) => peer_state.hands.blocks.keep_later(),
+            Err(problem) => {
+                self.report_event("no_effect", &format!("{network} is not blocked here: {problem}"))
+            }
         }
     }
 
-    fn settled(&mut self, number: u64, result: Result<Settled, Refusal>) {
-        let Some(pending) = self.peers.as_mut().and_then(|s| s.orders.remove(&number)) else { return };
-        let told = match result {
+    /// Replies to the operator whose order has settled.
+    fn order_settled(&mut self, number: u64, result: Result<Settled, Refusal>) {
+        let Some(pending) = self.peers.as_mut().and_then(|s| s.pending_orders.remove(&number)) else {
+            return;
+        };
+        let answer = match result {
             Ok(Settled { copies, others, .. }) => {
                 let done = match &pending.order {
-                    Some((order, change)) => self.done(order, *change),
+                    Some((order, change)) => self.order_reply(order, *change),
                     None => Done { changed: true, ..Done::default() },
                 };
                 Ok(Done { copies: copies as u32, others: others as u32, ..done })
             }
             Err(refusal) => Err(refused(&refusal)),
         };
-        // Whoever asked may have gone.
-        let _ = pending.reply.send(told);
+        // The operator may have disconnected.
+        let _ = pending.reply.send(answer);
     }
 
-    /// Keeps what was laid aside in a file, a line each.
-    fn lay_aside(&mut self, fact: &Fact) {
+    /// Appends a fact that was set aside to a file, one JSON object per line.
+    fn store_discarded_fact(&mut self, fact: &Fact) {
         let Some(state) = self.site.as_ref().map(|s| s.state.clone()) else { return };
         let line = serde_json::json!(statement(fact, false)).to_string();
         tokio::task::spawn_blocking(move || {
@@ -348,19 +373,19 @@
         });
     }
 
-    /// Brings about here what holds for a subject by all facts.
-    fn project(&mut self, subject: &Subject) {
-        let Some(side) = &self.peers else { return };
-        let verdict = side.peers.verdict(subject);
+    /// Applies here what all facts about a subject add up to.
+    fn apply_facts(&mut self, subject: &Subject) {
+        let Some(peer_state) = &self.peers else { return };
+        let verdict = peer_state.peers.verdict(subject);
         match subject {
             Subject::Endpoint(name) => {
-                self.project_presence(name, verdict.presence.as_ref());
+                self.apply_presence(name, verdict.presence.as_ref());
                 let state = self.membership.state();
                 let Some(now) = state.and_then(|s| s.endpoints().get(name)).map(|e| e.state) else { return };
                 if verdict.closed.is_some() && now == EndpointState::Active {
-                    self.carry_out_order(&Order::Drain { endpoint: name.clone() });
+                    self.apply_local_order(&Order::Drain { endpoint: name.clone() });
                 } else if verdict.opened && now == EndpointState::Draining {
-                    self.carry_out_order(&Order::Resume { endpoint: name.clone() });
+                    self.apply_local_order(&Order::Resume { endpoint: name.clone() });
                 }
             }
             Subject::Partner(name) => {
@@ -369,113 +394,118 @@
                     return;
                 };
                 if verdict.closed.is_some() && !paused {
-                    self.carry_out_order(&Order::PausePartner { partner: name.clone() });
+                    self.apply_local_order(&Order::PausePartner { partner: name.clone() });
                 } else if verdict.opened && paused {
-                    self.carry_out_order(&Order::ResumePartner { partner: name.clone() });
+                    self.apply_local_order(&Order::ResumePartner { partner: name.clone() });
                 }
             }
-            Subject::Network(_) => self.project_network(subject),
+            Subject::Network(_) => self.apply_network_facts(subject),
         }
     }
 
-    fn project_presence(&mut self, name: &str, presence: Option<&Presence>) {
-        let there = self.membership.state().and_then(|s| s.endpoints().get(name));
-        let there = there.map(|e| (e.partner.clone(), e.address));
+    /// Adds, moves or removes an endpoint according to the facts about it.
+    fn apply_presence(&mut self, name: &str, presence: Option<&Presence>) {
+        let current = self.membership.state().and_then(|s| s.endpoints().get(name));
+        let current = current.map(|e| (e.partner.clone(), e.address));
         let endpoint = name.to_string();
-        match (presence, there) {
-            (Some(Presence::Gone), Some(_)) => self.carry_out_order(&Order::Remove { endpoint }),
-            (Some(Presence::At { partner, address }), there) => {
-                if there.as_ref() == Some(&(partner.clone(), *address)) {
+        match (presence, current) {
+            (Some(Presence::Gone), Some(_)) => self.apply_local_order(&Order::Remove { endpoint }),
+            (Some(Presence::At { partner, address }), current) => {
+                if current.as_ref() == Some(&(partner.clone(), *address)) {
                     return;
                 }
                 if self.speeches.shows_secrets(partner, *address) {
                     let text = format!(
-                        "{name} at {address} is not called from here: {partner} is spoken to without TLS, and its \
-                         secret would go over the wire in plain text"
+                        "{name} at {address} is not called from here: {partner} is called without TLS, and its secret \
+                         would be sent in plain text"
                     );
-                    return self.tell("no_effect", &text);
+                    return self.report_event("no_effect", &text);
                 }
-                if there.is_some() {
-                    self.carry_out_order(&Order::Remove { endpoint: endpoint.clone() });
+                if current.is_some() {
+                    self.apply_local_order(&Order::Remove { endpoint: endpoint.clone() });
                 }
-                self.carry_out_order(&Order::Add { partner: partner.clone(), endpoint, address: *address });
+                self.apply_local_order(&Order::Add { partner: partner.clone(), endpoint, address: *address });
             }
             _ => {}
         }
     }
 
-    fn tell(&self, kind: &str, text: &str) {
-        if let Some(side) = &self.peers {
-            side.hands.tell(kind, text);
+    /// Reports an event to operators.
+    fn report_event(&self, kind: &str, text: &str) {
+        if let Some(peer_state) = &self.peers {
+            peer_state.hands.tell(kind, text);
         }
     }
 
-    /// Carries an order out in the list that the module goes by, within this round. The ledger keeps it; the log has it so
-    /// that a start without the others goes by it too.
-    fn carry_out_order(&mut self, order: &Order) {
+    /// Applies an order to the scheduler's list in this iteration. The ledger keeps it; the log has
+    /// it as well, for a start without the peers.
+    fn apply_local_order(&mut self, order: &Order) {
         let now = self.clock.unix(self.clock.now());
         match self.membership.order(now, order) {
             Ok(Change::Done) => {
-                self.list(self.membership.known(), ListKind::Full);
-                self.note_closed(order);
+                self.apply_list(self.membership.current_list(), ListKind::Full);
+                self.record_closed(order);
             }
             Ok(Change::Already) => {}
             Err(Trouble::Refused(refusal)) => {
-                // The site files differ: what was said of something that is not there here is kept for when it is.
-                self.tell("no_effect", &format!("an order has no effect here: {refusal}"));
+                // The site files differ. A fact about something that does not exist here is kept
+                // until it does.
+                self.report_event("no_effect", &format!("an order has no effect here: {refusal}"));
             }
-            Err(trouble) => self.tell("no_effect", &trouble.to_string()),
+            Err(trouble) => self.report_event("no_effect", &trouble.to_string()),
         }
     }
 
-    /// A partner has told this forwarder to wait for so long.
-    pub(super) fn told_to_wait(&mut self, partner: u32, wait: hatchline::Micros) {
-        let now = self.ms();
-        if let Some(side) = self.peers.as_mut().filter(|_| wait > 0) {
-            side.peers.told_to_wait(now, partner, wait / 1000);
+    /// Tells the peers that a partner has asked this forwarder to wait for this long, in
+    /// microseconds.
+    pub(super) fn share_wait(&mut self, partner: u32, wait: hatchline::Micros) {
+        let now = self.now_ms();
+        if let Some(peer_state) = self.peers.as_mut().filter(|_| wait > 0) {
+            peer_state.peers.told_to_wait(now, partner, wait / 1000);
         }
     }
 
-    /// Nothing goes to a partner until then: it has told another forwarder to wait. A little longer by chance, so that not all
-    /// of them come back at once.
-    fn hold(&mut self, partner: u32, until: hatchline::Micros) {
+    /// Holds calls to a partner until this time, because it has told another forwarder to wait. A
+    /// random extra time keeps the forwarders from returning all at once.
+    fn hold_partner(&mut self, partner: u32, until: hatchline::Micros) {
         let span = until.saturating_sub(self.clock.now());
-        let until = until + (span as f64 * HOLD_SPREAD * fastrand::f64()) as hatchline::Micros;
-        let mut lines = self.membership.known().servers;
+        let until = until + (span as f64 * MAX_HOLD_JITTER * fastrand::f64()) as hatchline::Micros;
+        let mut lines = self.membership.current_list().servers;
         lines.retain(|line| line.cell == partner);
         lines.iter_mut().for_each(|line| line.hold_until = until);
         let list = ServerList { servers: lines, ..ServerList::default() };
-        self.list(list, ListKind::Delta);
+        self.apply_list(list, ListKind::Delta);
     }
 
-    /// Claims the id of a message that must not be repeated at will. The rest of handing it in comes once it is this
-    /// forwarder's; gives back what needs no claim.
-    pub(super) fn claim(
-        &mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<Answer>,
+    /// Claims the id of a message that must not be repeated freely; the submission continues in
+    /// [`Node::claim_settled`]. Returns a message that needs no claim.
+    pub(super) fn claim_id(
+        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<Answer>,
     ) -> Option<(Arc<Message>, oneshot::Sender<Answer>)> {
-        let now = self.ms();
+        let now = self.now_ms();
         let class = &self.settings.settings.classes[message.class];
         let effect = match class.effect {
             hatchline::Effect::Repeatable => return Some((message, reply)),
             hatchline::Effect::Keyed => Effect::Keyed(class.window / 1000),
             hatchline::Effect::Unsafe => Effect::Once(class.deadline / 1000),
         };
-        let Some(side) = &mut self.peers else { return Some((message, reply)) };
+        let Some(peer_state) = &mut self.peers else { return Some((message, reply)) };
         let id = key(&message.id);
-        if side.claiming.contains_key(&id) {
-            // Handed in on two connections at once: the other one is answered by what comes of it.
-            let _ = reply.send(Answer::Refused { retry_in_ms: CLAIMING_WAIT_MS });
+        if peer_state.pending_claims.contains_key(&id) {
+            // The message was submitted on two connections at once. The claim's result is the reply
+            // to the other one.
+            let _ = reply.send(Answer::Refused { retry_in_ms: CLAIM_RETRY_MS });
             return None;
         }
-        side.claiming.insert(id, Claiming { message, known, reply });
-        side.peers.claim(now, id, effect);
+        peer_state.pending_claims.insert(id, PendingClaim { message, from_known_client, reply });
+        peer_state.peers.claim(now, id, effect);
         None
     }
 
-    /// What has come of a claim.
-    fn claimed(&mut self, id: Key, verdict: Verdict) {
-        let Some(claiming) = self.peers.as_mut().and_then(|s| s.claiming.remove(&id)) else { return };
-        let Claiming { message, known, reply } = claiming;
+    /// Continues a submission with the result of its claim.
+    fn claim_settled(&mut self, id: Key, verdict: Verdict) {
+        let Some(claim) = self.peers.as_mut().and_then(|s| s.pending_claims.remove(&id)) else { return };
+        let PendingClaim { message, from_known_client, reply } = claim;
         let answer = match verdict {
             Verdict::Granted(left) => {
                 let expires = self.clock.now() + 1000 * left;
@@ -484,54 +514,56 @@
                 } else {
                     message
                 };
-                return self.take_on(message, known, reply);
+                return self.accept(message, from_known_client, reply);
             }
             Verdict::Held | Verdict::Delivered => Answer::Known { over: false },
             Verdict::Over => Answer::Known { over: true },
             Verdict::Later(wait) => match &mut self.site {
-                Some(site) => site.full(wait),
+                Some(site) => site.refusal(wait),
                 None => Answer::Refused { retry_in_ms: wait },
             },
         };
-        // Its client may have gone.
+        // The client may have disconnected.
         let _ = reply.send(answer);
     }
 
-    /// A message was not taken on after all: its client may hand it in anywhere.
-    pub(super) fn let_go_of_id(&mut self, id: &str) {
-        self.tell_end(id, EndWord::Back(0));
+    /// Releases the id of a message that was not accepted after all: its client may submit it to
+    /// any forwarder.
+    pub(super) fn release_id(&mut self, id: &str) {
+        self.report_claim_outcome(id, EndWord::Back(0));
     }
 
-    /// A message has ended.
-    pub(super) fn id_ended(&mut self, id: &str, result: EndResult) {
+    /// Tells the peers how a message ended.
+    pub(super) fn report_id_ended(&mut self, id: &str, result: EndResult) {
         if self.peers.is_none() {
             return;
         }
-        let word = self.end_word(result);
-        self.tell_end(id, word);
+        let word = self.claim_outcome(result);
+        self.report_claim_outcome(id, word);
     }
 
-    fn end_word(&self, result: EndResult) -> EndWord {
+    fn claim_outcome(&self, result: EndResult) -> EndWord {
         match result {
             EndResult::Delivered => EndWord::Delivered,
             EndResult::GivenUp | EndResult::InDoubt => EndWord::Over,
             EndResult::HandedBack { .. } => EndWord::Back(0),
             EndResult::HandedBackUntil { until, .. } => {
-                // 0 stands for without bound.
+                // 0 would mean without limit.
                 EndWord::Back((until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1))
             }
         }
     }
 
-    fn tell_end(&mut self, id: &str, word: EndWord) {
-        let now = self.ms();
-        if let Some(side) = &mut self.peers {
-            side.peers.ended(now, key(id), word);
+    fn report_claim_outcome(&mut self, id: &str, word: EndWord) {
+        let now = self.now_ms();
+        if let Some(peer_state) = &mut self.peers {
+            peer_state.peers.ended(now, key(id), word);
         }
     }
 
-    /// After a start: whatever others believe this forwarder to hold, and what it truly has.
-    pub(super) fn recheck_ids(&mut self) {
+    /// After a start: compares what peers believe this forwarder to hold with the messages and
+    /// outcomes that it has.
+    pub(super) fn reconcile_ids(&mut self) {
         if self.peers.is_none() {
             return;
         }
@@ -547,45 +579,48 @@
         let held: Vec<Key> = held.map(|h| key(&h.message.id)).collect();
         let mut ended: Vec<(Key, EndWord)> = Vec::new();
         let mut cursor = 0;
-        while let Some(fetched) = self.site.as_mut().and_then(|s| s.ends.fetch(cursor, ENDS_AT_ONCE).ok()) {
+        while let Some(fetched) =
+            self.site.as_mut().and_then(|s| s.ends.fetch(cursor, OUTCOMES_PER_READ).ok())
+        {
             if fetched.ends.is_empty() || fetched.cursor <= cursor {
                 break;
             }
             cursor = fetched.cursor;
             let remembered = |end: &End| end.ended + 1000 * REMEMBERED > unix;
-            let told = fetched.ends.iter().filter(|(_, end)| remembered(end) && is_claimed(&end.class));
-            ended.extend(told.map(|(_, end)| (key(&end.id), self.end_word(end.result))));
+            let recent = fetched.ends.iter().filter(|(_, end)| remembered(end) && is_claimed(&end.class));
+            ended.extend(recent.map(|(_, end)| (key(&end.id), self.claim_outcome(end.result))));
         }
-        let (now, whole) = (self.ms(), self.durable.syncs);
-        if let Some(side) = &mut self.peers {
-            side.peers.recheck(now, &held, &ended, whole);
+        let (now, complete) = (self.now_ms(), self.group_commit.waits_for_sync);
+        if let Some(peer_state) = &mut self.peers {
+            peer_state.peers.recheck(now, &held, &ended, complete);
         }
     }
 
-    /// A message is this forwarder's: whoever asks for it hears so.
-    pub(super) fn id_taken(&mut self, id: &str) {
-        if let Some(side) = &mut self.peers {
-            side.peers.taken(key(id));
+    /// Confirms that a message is accepted here, for peers that ask about its id.
+    pub(super) fn report_id_accepted(&mut self, id: &str) {
+        if let Some(peer_state) = &mut self.peers {
+            peer_state.peers.taken(key(id));
         }
     }
 
-    /// What people are shown.
-    pub(super) fn asked_of_peers(&mut self, ask: Ask) {
+    /// Answers requests for the state of the peers.
+    pub(super) fn handle_peer_request(&mut self, ask: Ask) {
         match ask {
-            Ask::Peers { reply } => drop(reply.send(self.show_peers())),
-            Ask::State { reply } => drop(reply.send(self.show_state())),
+            Ask::Peers { reply } => drop(reply.send(self.peers_view())),
+            Ask::State { reply } => drop(reply.send(self.state_view())),
             _ => {}
         }
     }
 
-    fn show_peers(&self) -> Option<Shown> {
-        let side = self.peers.as_ref()?;
-        let (now, p) = (self.ms(), &side.peers);
-        let (there, members) = p.quorum();
+    fn peers_view(&self) -> Option<PeersView> {
+        let peer_state = self.peers.as_ref()?;
+        let (now, p) = (self.now_ms(), &peer_state.peers);
+        let (reachable, members) = p.quorum();
         let ((sent, sent_bytes), (received, received_bytes)) = p.traffic();
         let mut dropped: std::collections::BTreeMap<String, u64> =
             p.refused().iter().map(|(why, n)| (why.name().to_string(), *n)).collect();
-        dropped.extend((side.hands.crowded() > 0).then(|| ("crowded".into(), side.hands.crowded())));
+        dropped
+            .extend((peer_state.hands.crowded() > 0).then(|| ("crowded".into(), peer_state.hands.crowded())));
         let mode = match () {
             () if p.is_displaced() => "displaced",
             () if p.is_caught_up() => "caught_up",
@@ -600,11 +635,11 @@
             heard_ms: o.heard_ms,
             same_ms: o.same_ms,
         });
-        Some(Shown {
+        Some(PeersView {
             name: p.run().name.clone(),
             start: p.run().start,
             mode: mode.into(),
-            there: there as u32,
+            there: reachable as u32,
             members: members as u32,
             majority: (members / 2 + 1) as u32,
             others: others.collect(),
@@ -615,13 +650,13 @@
             dropped,
             ids: p.ids() as u32,
             ids_known: p.knows_ids(now),
-            unkept: side.hands.unkept(),
+            unkept: peer_state.hands.unkept(),
         })
     }
 
-    fn show_state(&self) -> Option<SiteState> {
-        let side = self.peers.as_ref()?;
-        let ledger = side.peers.ledger();
+    fn state_view(&self) -> Option<SiteState> {
+        let peer_state = self.peers.as_ref()?;
+        let ledger = peer_state.peers.ledger();
         let digest = ledger.digest().iter().fold(0u64, |sum, n| sum.rotate_left(5) ^ n);
         let mut statements = Vec::new();
         for subject in ledger.subjects() {
@@ -638,8 +673,12 @@
                 statements.push(statement(&fact, holds));
             }
         }
-        statements.truncate(STATEMENTS);
-        Some(SiteState { name: side.peers.run().name.clone(), digest: format!("{digest:016x}"), statements })
+        statements.truncate(MAX_STATEMENTS);
+        Some(SiteState {
+            name: peer_state.peers.run().name.clone(),
+            digest: format!("{digest:016x}"),
+            statements,
+        })
     }
 }
 
