--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -1,5 +1,6 @@
-//! What people are shown. Bounded work: a picture looks once at every message that is held, some of them in each
-//! round, and the fronts ask for a few pictures a second at most, however many readers they have.
+//! Snapshots for operators. The work is bounded: a snapshot visits each held message once, a
+//! limited number per iteration, and the control socket requests a few snapshots a second at most,
+//! however many readers it has.
 
 use super::Node;
 use crate::connections::SeenConnections;
@@ -15,20 +16,20 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Messages that a round looks at for a picture.
-const SCAN_STEP: usize = 1000;
+/// Messages visited for a snapshot per iteration.
+const MESSAGES_PER_STEP: usize = 1000;
 
-/// Messages that are held for something, and since when the oldest.
+/// Number of held messages in a group, and the arrival time of the oldest.
 #[derive(Clone, Copy, Default)]
-struct Heap {
+struct HeldSummary {
     held: u32,
     oldest: Micros,
 }
 
-impl Heap {
-    fn add(&mut self, taken: Micros) {
+impl HeldSummary {
+    fn add(&mut self, arrived_at: Micros) {
         self.held += 1;
-        self.oldest = if self.held == 1 { taken } else { self.oldest.min(taken) };
+        self.oldest = if self.held == 1 { arrived_at } else { self.oldest.min(arrived_at) };
     }
 
     fn age_ms(&self, now: Micros) -> u64 {
@@ -40,27 +41,27 @@
     }
 }
 
-/// A picture that is being made.
+/// A snapshot that is being assembled.
 #[derive(Default)]
-pub(super) struct Scan {
-    /// Those who wait for it.
-    waiting: Vec<oneshot::Sender<Arc<Picture>>>,
-    /// Messages up to this number have been looked at.
-    up_to: u64,
-    whole: Heap,
-    partners: HashMap<u32, Heap>,
-    /// By partner and key, each with the number of one of its messages, which knows the key's name.
-    keys: HashMap<(u32, u64), (Heap, u64)>,
+pub(super) struct SnapshotScan {
+    /// Requesters that wait for it.
+    requesters: Vec<oneshot::Sender<Arc<Picture>>>,
+    /// Messages up to this number have been visited.
+    visited_up_to: u64,
+    total: HeldSummary,
+    partners: HashMap<u32, HeldSummary>,
+    /// By partner and order key, with the number of one message, from which the key's text is read.
+    keys: HashMap<(u32, u64), (HeldSummary, u64)>,
 }
 
-impl Scan {
+impl SnapshotScan {
     pub fn is_running(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.requesters.is_empty()
     }
 }
 
-fn health(lane: &LaneView) -> &'static str {
-    match lane.health {
+fn health(route: &LaneView) -> &'static str {
+    match route.health {
         Health::Open => "up",
         Health::Failing => "failing",
         Health::Out { .. } => "out",
@@ -72,56 +73,58 @@
     (span as f64 / 100.0).round() / 10.0
 }
 
-/// A share to three places.
-fn share(number: f64) -> f64 {
+/// Rounds a share to three decimal places.
+fn round_to_3(number: f64) -> f64 {
     (number * 1000.0).round() / 1000.0
 }
 
-fn round(number: f64) -> f64 {
+fn round_to_1(number: f64) -> f64 {
     (number * 10.0).round() / 10.0
 }
 
 impl Node {
-    /// Makes a picture for whoever asks, within the next rounds.
-    pub(super) fn picture(&mut self, reply: oneshot::Sender<Arc<Picture>>) {
-        self.scan.waiting.push(reply);
+    /// Queues a request for a snapshot, which is answered within the next iterations.
+    pub(super) fn request_snapshot(&mut self, reply: oneshot::Sender<Arc<Picture>>) {
+        self.scan.requesters.push(reply);
     }
 
-    /// Goes on with a picture that is being made. A message that comes or goes meanwhile may be counted or not.
-    pub(super) fn step_scan(&mut self) {
+    /// Continues a snapshot. A message that arrives or ends meanwhile may or may not be counted.
+    pub(super) fn continue_snapshot(&mut self) {
         if !self.scan.is_running() {
             return;
         }
         let scan = &mut self.scan;
-        let mut left = SCAN_STEP;
-        for (number, held) in self.messages.range(scan.up_to + 1..).take(SCAN_STEP) {
+        let mut left = MESSAGES_PER_STEP;
+        for (number, held) in self.messages.range(scan.visited_up_to + 1..).take(MESSAGES_PER_STEP) {
             let message = &held.message;
-            scan.whole.add(held.since);
-            scan.partners.entry(message.destination).or_default().add(held.since);
+            scan.total.add(held.arrived_at);
+            scan.partners.entry(message.destination).or_default().add(held.arrived_at);
             let key = scan.keys.entry((message.destination, message.order_key()));
-            key.or_insert((Heap::default(), *number)).0.add(held.since);
-            scan.up_to = *number;
+            key.or_insert((HeldSummary::default(), *number)).0.add(held.arrived_at);
+            scan.visited_up_to = *number;
             left -= 1;
         }
         if left == 0 {
             return;
         }
         let scan = std::mem::take(&mut self.scan);
-        let picture = self.finish(&scan);
-        // Whoever asked may have gone.
-        scan.waiting.into_iter().for_each(|reply| drop(reply.send(picture.clone())));
+        let snapshot = self.build_snapshot(&scan);
+        // The requester may have disconnected.
+        scan.requesters.into_iter().for_each(|reply| drop(reply.send(snapshot.clone())));
     }
 
-    fn finish(&mut self, scan: &Scan) -> Arc<Picture> {
+    fn build_snapshot(&mut self, scan: &SnapshotScan) -> Arc<Picture> {
         let now = self.clock.now();
         let unix = self.clock.unix(now);
         let views = self.brain.view(now);
-        let (whole, heaps) = (scan.whole, &scan.partners);
+        let (total, held_by_partner) = (scan.total, &scan.partners);
         let queues = self.queues(scan, unix);
-        let longest = self.site.as_mut().map_or(Duration::ZERO, |s| std::mem::take(&mut s.longest_round));
-        let status = self.status(unix, whole, longest);
+        let longest = self.site.as_mut().map_or(Duration::ZERO, |s| std::mem::take(&mut s.longest_iteration));
+        let status = self.status(unix, total, longest);
         let (partners, endpoints) = match self.membership.state() {
-            Some(state) => (self.partners(state, &views, heaps, unix), self.endpoints(state, &views)),
+            Some(state) => {
+                (self.partners(state, &views, held_by_partner, unix), self.endpoints(state, &views))
+            }
             None => Default::default(),
         };
         let failures =
@@ -129,7 +132,7 @@
         Arc::new(Picture { at: Instant::now(), status, partners, endpoints, failures, queues })
     }
 
-    fn status(&self, unix: Micros, whole: Heap, longest: Duration) -> Status {
+    fn status(&self, unix: Micros, total: HeldSummary, longest: Duration) -> Status {
         let Some(site) = &self.site else { return Status::default() };
         let (ends, ends_unfetched, ends_bytes) = site.ends.kept();
         let counts = &site.counts;
@@ -138,7 +141,7 @@
             program: env!("CARGO_PKG_VERSION").into(),
             pid: std::process::id(),
             at: unix,
-            up_ms: self.clock.up().as_millis() as u64,
+            up_ms: self.clock.uptime().as_millis() as u64,
             stage: match *self.stage.borrow() {
                 Stage::Serving => "serving",
                 Stage::Draining => "draining",
@@ -155,25 +158,26 @@
             held: self.messages.len() as u32,
             held_most: self.settings.settings.max_held,
             held_bytes: site.held_bytes,
-            held_bytes_most: site.held_most,
+            held_bytes_most: site.max_held_bytes,
             calls: self.calls.len() as u32,
             calls_most: self.settings.settings.slots,
-            oldest_ms: whole.age_ms(unix),
+            oldest_ms: total.age_ms(unix),
             journal_bytes: self.journal.length(),
-            journal_most: site.journal_most,
+            journal_most: site.max_journal_bytes,
             ends,
             ends_unfetched,
             ends_most: site.ends.bounds().count,
             ends_bytes,
             ends_bytes_most: site.ends.bounds().size,
-            ends_unwritten: site.behind_told as u32,
+            ends_unwritten: site.journaled_results as u32,
             membership: self.membership.state().map_or(0, State::version),
             longest_round_us: longest.as_micros() as u64,
         }
     }
 
     fn partners(
-        &self, state: &State, views: &[DestinationView], heaps: &HashMap<u32, Heap>, unix: Micros,
+        &self, state: &State, views: &[DestinationView], held_by_partner: &HashMap<u32, HeldSummary>,
+        unix: Micros,
     ) -> Vec<Partner> {
         let Some(site) = &self.site else { return Vec::new() };
         let by_number: HashMap<u32, &DestinationView> = views.iter().map(|v| (v.destination, v)).collect();
@@ -185,40 +189,41 @@
         }
         let partner = |(name, partner): (&String, &foldtrack_membership::Partner)| {
             let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.lanes);
-            // Where endpoints are routes apart, the worst is shown; the list of endpoints has them all.
+            // If limits apply to each endpoint separately, the worst endpoint stands for the
+            // partner; the list of endpoints shows them all.
             let worst = lanes
                 .iter()
                 .max_by_key(|l| ["up", "failing", "warming", "out"].iter().position(|h| *h == health(l)));
-            let heap = heaps.get(&partner.number).copied().unwrap_or_default();
+            let held = held_by_partner.get(&partner.number).copied().unwrap_or_default();
             let (endpoints, open) = counts.get(name.as_str()).copied().unwrap_or_default();
             let (delivered, failures) =
                 site.counts.by_partner.get(&partner.number).copied().unwrap_or_default();
-            let facts = site.partners.get(&partner.number);
+            let info = site.partners.get(&partner.number);
             Partner {
                 name: name.clone(),
-                kind: facts.map(|f| f.kind.clone()).unwrap_or_default(),
+                kind: info.map(|f| f.kind.clone()).unwrap_or_default(),
                 paused: partner.paused,
                 health: if open == 0 { "closed" } else { worst.map_or("up", health) }.into(),
                 verdict: if open == 0 {
-                    "nothing new goes to it".into()
+                    "no new calls are sent to it".into()
                 } else {
                     worst.map_or(String::new(), LaneView::words)
                 },
-                failing: worst.map_or(0.0, |l| share(l.failing)),
-                towards_out: worst.map_or(0.0, |l| share(l.towards_out)),
+                failing: worst.map_or(0.0, |l| round_to_3(l.failing)),
+                towards_out: worst.map_or(0.0, |l| round_to_3(l.towards_out)),
                 stood_ms: worst.and_then(|l| l.stood).unwrap_or(0) / 1000,
                 endpoints,
                 open,
-                held: heap.held,
-                oldest_ms: heap.age_ms(unix),
+                held: held.held,
+                oldest_ms: held.age_ms(unix),
                 calls: lanes.iter().map(|l| l.calls).sum(),
-                window: round(lanes.iter().map(|l| l.window).sum()),
+                window: round_to_1(lanes.iter().map(|l| l.window).sum()),
                 tau_ms: worst.map_or(0.0, |l| millis(l.tau)),
                 mean_ms: worst.map_or(0.0, |l| millis(l.mean)),
                 wait_ms: lanes.iter().map(|l| l.wait.div_ceil(1000)).max().unwrap_or(0),
-                pace: round(lanes.iter().map(|l| l.pace).sum()),
-                rate: facts.map_or(0.0, |f| f.rate),
-                slots: facts.map_or(0, |f| f.slots),
+                pace: round_to_1(lanes.iter().map(|l| l.pace).sum()),
+                rate: info.map_or(0.0, |f| f.rate),
+                slots: info.map_or(0, |f| f.slots),
                 delivered,
                 failures,
             }
@@ -227,14 +232,14 @@
     }
 
     fn endpoints(&self, state: &State, views: &[DestinationView]) -> Vec<Endpoint> {
-        // Of targets that share a name, the latest one stands for it; calls of all count.
+        // Of targets that share a name, the latest is shown; the calls of all are counted.
         let mut by_name: HashMap<&str, (TargetId, &LaneView, u64)> = HashMap::new();
         let mut calls: HashMap<&str, u32> = HashMap::new();
-        for lane in views.iter().flat_map(|v| &v.lanes) {
-            for target in &lane.targets {
+        for route in views.iter().flat_map(|v| &v.lanes) {
+            for target in &route.targets {
                 let name = self.targets.name(target.target);
                 *calls.entry(name).or_default() += target.calls;
-                let entry = (target.target, lane, target.avoided);
+                let entry = (target.target, route, target.avoided);
                 let latest = by_name.entry(name).or_insert(entry);
                 if latest.0 < target.target {
                     *latest = entry;
@@ -242,12 +247,12 @@
             }
         }
         let endpoint = |(name, endpoint): (&String, &foldtrack_membership::Endpoint)| {
-            let lane = by_name.get(name.as_str());
+            let route = by_name.get(name.as_str());
             let (open, calls) = (state.is_open(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
             let draining = endpoint.state == foldtrack_membership::EndpointState::Draining;
             let closed =
                 self.site.as_ref().and_then(|s| s.closed.get(name)).map_or(Duration::ZERO, Instant::elapsed);
-            let seen = lane.map_or(SeenConnections::default(), |(target, ..)| self.idle.seen(*target));
+            let seen = route.map_or(SeenConnections::default(), |(target, ..)| self.idle.seen(*target));
             Endpoint {
                 name: name.clone(),
                 partner: endpoint.partner.clone(),
@@ -258,24 +263,24 @@
                     (false, true) => "active",
                 }
                 .into(),
-                health: match lane {
+                health: match route {
                     _ if !open && calls == 0 => "drained",
-                    Some((_, lane, _)) => health(lane),
+                    Some((_, route, _)) => health(route),
                     None => "up",
                 }
                 .into(),
-                verdict: lane.filter(|_| open).map_or(String::new(), |(_, l, _)| l.words()),
-                failing: lane.map_or(0.0, |(_, l, _)| share(l.failing)),
-                towards_out: lane.map_or(0.0, |(_, l, _)| share(l.towards_out)),
-                stood_ms: lane.and_then(|(_, l, _)| l.stood).unwrap_or(0) / 1000,
+                verdict: route.filter(|_| open).map_or(String::new(), |(_, l, _)| l.words()),
+                failing: route.map_or(0.0, |(_, l, _)| round_to_3(l.failing)),
+                towards_out: route.map_or(0.0, |(_, l, _)| round_to_3(l.towards_out)),
+                stood_ms: route.and_then(|(_, l, _)| l.stood).unwrap_or(0) / 1000,
                 calls,
-                window: lane.map_or(0.0, |(_, l, _)| round(l.window)),
-                tau_ms: lane.map_or(0.0, |(_, l, _)| millis(l.tau)),
-                wait_ms: lane.map_or(0, |(_, l, _)| l.wait.div_ceil(1000)),
-                avoided_ms: lane.map_or(0, |(_, _, avoided)| avoided / 1000),
+                window: route.map_or(0.0, |(_, l, _)| round_to_1(l.window)),
+                tau_ms: route.map_or(0.0, |(_, l, _)| millis(l.tau)),
+                wait_ms: route.map_or(0, |(_, l, _)| l.wait.div_ceil(1000)),
+                avoided_ms: route.map_or(0, |(_, _, avoided)| avoided / 1000),
                 idle: seen.idle as u32,
                 dialling: seen.dialling as u32,
-                ready: share(seen.ready),
+                ready: round_to_3(seen.ready),
                 handshake_ms: millis(seen.handshake.as_micros() as u64),
                 idle_most_ms: seen.longest_idle.as_millis() as u64,
                 closed_ms: closed.as_millis() as u64,
@@ -284,12 +289,13 @@
         state.endpoints().iter().map(endpoint).collect()
     }
 
-    /// What is held by partner and key, the longest first.
-    fn queues(&self, scan: &Scan, unix: Micros) -> Vec<Queue> {
+    /// Queues by partner and order key, the longest first.
+    fn queues(&self, scan: &SnapshotScan, unix: Micros) -> Vec<Queue> {
         let Some(site) = &self.site else { return Vec::new() };
-        let mut all: Vec<(u32, Heap, u64)> = scan.keys.iter().map(|((p, _), (h, n))| (*p, *h, *n)).collect();
-        let order = |(partner, heap, number): &(u32, Heap, u64)| {
-            (std::cmp::Reverse(heap.held), heap.oldest, *partner, *number)
+        let mut all: Vec<(u32, HeldSummary, u64)> =
+            scan.keys.iter().map(|((p, _), (h, n))| (*p, *h, *n)).collect();
+        let order = |(partner, held, number): &(u32, HeldSummary, u64)| {
+            (std::cmp::Reverse(held.held), held.oldest, *partner, *number)
         };
         let most = MOST_LINES as usize;
         if all.len() > most {
@@ -297,17 +303,18 @@
             all.truncate(most);
         }
         all.sort_by_key(order);
-        let queue = |(partner, heap, number): (u32, Heap, u64)| {
-            // One whose message has gone since is hardly a queue any more.
+        let queue = |(partner, held, number): (u32, HeldSummary, u64)| {
+            // A queue whose sampled message has ended since is omitted: it is hardly a queue any
+            // more.
             let key = self.messages.get(&number).map(|h| h.message.key.clone())?;
-            let (partner, oldest_ms) = (site.partner_name(partner).into_owned(), heap.age_ms(unix));
-            Some(Queue { partner, key, held: heap.held, oldest_ms })
+            let (partner, oldest_ms) = (site.partner_name(partner).into_owned(), held.age_ms(unix));
+            Some(Queue { partner, key, held: held.held, oldest_ms })
         };
         all.into_iter().filter_map(queue).collect()
     }
 
-    /// What is known of a message: it is held, or its end is kept.
-    pub(super) fn history(&self, id: &str) -> Option<Message> {
+    /// Looks up a message that is held or whose outcome is stored.
+    pub(super) fn message_history(&self, id: &str) -> Option<Message> {
         let site = self.site.as_ref()?;
         if let Some(held) =
             self.ids.number(id).and_then(|n| Some((self.messages.get(&n)?, n))).map(|(h, _)| h)
@@ -319,7 +326,7 @@
                 class: self.settings.class_names.get(message.class).cloned().unwrap_or_default(),
                 partner: site.partner_name(message.destination).into_owned(),
                 key: message.key.clone(),
-                taken: held.since,
+                taken: held.arrived_at,
                 expires: self.clock.unix(message.expires),
                 attempts: held.history.iter().map(told_attempt).collect(),
                 ..Message::default()
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -1,10 +1,10 @@
-//! A restart: what the journal holds is taken over.
+//! Restart: restores the messages that the journal holds.
 
-use super::endings::MEMORY_MARGIN;
-use super::{Held, Node, Taken};
+use super::endings::DEDUP_MARGIN_US;
+use super::{Acceptance, HeldMessage, Node};
 use crate::message::{order_key, Message};
 use crate::notices::Ending;
-use crate::table::Known;
+use crate::table::SubmissionState;
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{Fate, Notice, Record, Restored, Tried};
 use hatchline::{Effect, Event, Outcome};
@@ -12,30 +12,32 @@
 use std::sync::Arc;
 
 impl Node {
-    /// Takes over what the journal holds, in the order in which it was taken on.
+    /// Restores all messages in the order in which they were accepted.
     pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, Restored>) {
         let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.numbers()).collect();
         for (number, message) in restored {
-            // The process ended between the end's record and the journal's.
+            // The process ended after it had written the message's outcome and before it updated
+            // the journal.
             match ended.contains(&number) {
-                true => self.record(number, &Record::Over),
+                true => self.stage_record(number, &Record::Over),
                 false => self.restore(number, message),
             }
         }
     }
 
-    /// Takes over what the journal holds of a message.
+    /// Restores one message.
     fn restore(&mut self, number: u64, restored: Restored) {
-        let Restored { accepted, taken: since, delivered, attempts, notice } = restored;
-        self.ids.insert(&accepted.id, number, Known::Taken, self.clock.now() + self.remember());
+        let Restored { accepted, taken: arrived_at, delivered, attempts, notice } = restored;
+        self.ids.insert(&accepted.id, number, SubmissionState::Accepted, self.clock.now() + self.retention());
         if let Some(notice) = notice.filter(|_| self.site.is_none()) {
             let order_key = order_key(&accepted.key);
-            self.ids.set(&accepted.id, Known::Ended);
+            self.ids.set_state(&accepted.id, SubmissionState::Ended);
             self.notices.insert(number, Ending { id: accepted.id, order_key, notice });
             return;
         }
         let class = self.settings.class_names.iter().position(|n| *n == accepted.class);
-        // A clock that was set back must not make it wait for longer than its class allows.
+        // If the clock was set back, the message still does not wait for longer than its class
+        // allows.
         let effect = class.map(|c| self.settings.settings.classes[c].effect);
         let deadline = class.map_or(0, |c| self.settings.settings.classes[c].deadline);
         let latest = self.clock.now() + deadline;
@@ -49,44 +51,48 @@
             expires: self.clock.since_unix(accepted.expires).min(latest),
             body: accepted.body.into(),
         };
-        let message = self.after_old_state(message, since);
+        let message = self.limit_stale_message(message, arrived_at);
         let (order_key, destination, expires) = (message.order_key(), message.destination, message.expires);
-        let doubtful = self.has_old_state() && effect.is_some_and(|e| e != Effect::Repeatable);
-        let mut held = Held {
+        let may_be_stale = self.has_stale_folder() && effect.is_some_and(|e| e != Effect::Repeatable);
+        let mut held = HeldMessage {
             message: Arc::new(message),
-            taken: Taken::On,
-            since,
-            history: if self.site.is_some() { attempts.iter().map(lost).collect() } else { Vec::new() },
+            acceptance: Acceptance::Confirmed,
+            arrived_at,
+            history: if self.site.is_some() {
+                attempts.iter().map(restored_attempt).collect()
+            } else {
+                Vec::new()
+            },
             attempts: attempts.len() as u32,
-            tries: attempts.len() as u32,
-            held_back: 0,
-            waiting: None,
+            journaled_attempts: attempts.len() as u32,
+            withheld_calls: 0,
+            pending_send: None,
         };
-        if doubtful {
-            // What the later life of this folder has sent is not in it.
+        if may_be_stale {
+            // The state folder is an older copy: attempts made after the copy are not in it.
             let outcome = foldtrack_ends::Outcome::MayHaveRun;
-            held.history.push(Attempt { at: since, until: 0, endpoint: String::new(), outcome });
+            held.history.push(Attempt { at: arrived_at, until: 0, endpoint: String::new(), outcome });
         }
         if let Some(site) = &mut self.site {
             site.hold(&held.message);
         }
         self.messages.insert(number, held);
-        if doubtful
+        if may_be_stale
             && notice.is_none()
             && !delivered
             && (effect == Some(Effect::Unsafe) || expires <= self.clock.now())
         {
-            return self.end(number, Notice::GivenUp);
+            return self.end_message(number, Notice::GivenUp);
         }
         if delivered {
-            return self.delivered(number);
+            return self.end_delivered(number);
         }
         if let Some(notice) = notice {
-            return self.end(number, notice);
+            return self.end_message(number, notice);
         }
         let Some(class) = class else {
-            // The settings have changed since: nothing can be promised.
-            return self.end(number, Notice::GivenUp);
+            // The class is no longer in the settings, so nothing can be promised.
+            return self.end_message(number, Notice::GivenUp);
         };
         let first = attempts.iter().find(|t| t.fate != Some(Fate::NeverRan));
         let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
@@ -96,7 +102,7 @@
         };
         let attempts = attempts.iter().map(|t| outcome(t.fate)).collect();
         let class = class as u32;
-        self.handle(Event::Restored {
+        self.notify_scheduler(Event::Restored {
             id: number,
             class,
             destination,
@@ -109,22 +115,23 @@
 }
 
 impl Node {
-    /// A keyed message of an older copy of the folder goes out only while its partner remembers it from when it came.
-    fn after_old_state(&self, message: Message, since: u64) -> Message {
+    /// Limits a keyed message from an older copy of the state folder to the time for which its
+    /// partner remembers the key, counted from its arrival.
+    fn limit_stale_message(&self, message: Message, arrived_at: u64) -> Message {
         let class = self.settings.settings.classes.get(message.class);
         let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window) else {
             return message;
         };
-        if !self.has_old_state() {
+        if !self.has_stale_folder() {
             return message;
         }
-        let until = self.clock.since_unix(since.saturating_add(window).saturating_sub(MEMORY_MARGIN));
+        let until = self.clock.since_unix(arrived_at.saturating_add(window).saturating_sub(DEDUP_MARGIN_US));
         Message { expires: message.expires.min(until), ..message }
     }
 }
 
-/// An attempt of an earlier process, as its journal knows it.
-fn lost(tried: &Tried) -> Attempt {
+/// An attempt of an earlier process, as recorded in the journal.
+fn restored_attempt(tried: &Tried) -> Attempt {
     use foldtrack_ends::Outcome;
     let outcome = match tried.fate {
         Some(Fate::NeverRan) => Outcome::DidNotRun,
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's agent: a watch on the list of targets, and reports on how messages ended.
+//! Client of the platform's agent: watches the list of targets and reports how messages ended.
 
 use crate::asking::{Asking, Failure, Source};
 use crate::connections::Connection;
@@ -18,25 +18,29 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How much later than its wait the answer to a watch may come.
-const WATCH_LATE: Duration = Duration::from_millis(500);
-/// Discovery itself gives a call up after two seconds: who leaves sooner has its work thrown away.
-const LIST_WAIT: Duration = Duration::from_millis(2500);
-/// An agent that answers each watch at once, without news, is not asked more often than this.
-const EMPTY_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_LIST: usize = 4 << 20;
-/// An answer whose head has come ends within this, however long its call might wait: one that stops half-way is silent.
-const BODY_WAIT: Duration = Duration::from_secs(2);
-/// A report without an answer for so long goes again on a new connection. The agent answers at once, and a
-/// second copy of a notice does no harm; a late one breaks a rule.
-const REPORT_WAIT: Duration = Duration::from_millis(250);
+/// Extra time for the answer to a watch after its timeout.
+const WATCH_MARGIN: Duration = Duration::from_millis(500);
+/// Timeout of a request for the whole list. Discovery gives up a call after two seconds; leaving
+/// earlier would waste its work.
+const LIST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Minimum interval between watches, for an agent that answers each at once without news.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum size of a list in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Time in which the body of an answer must arrive after its head, whatever the timeout of the
+/// call. A body that stops half-way counts as no answer.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
+/// A report that is not answered within this time is sent again on a new connection. The agent
+/// normally answers at once. A duplicate notice does no harm, but a late one breaks a rule.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// An exchange with the agent; the connection is kept in `connection` unless it failed.
+/// Sends a request to the agent. `connection` keeps the connection unless the exchange failed.
 async fn exchange(
     connection: &mut Option<Connection>, address: SocketAddr, request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), Failure> {
     let reused = connection.take();
-    // Nobody is there; or one that was kept has ended meanwhile, which says nothing of the next.
+    // On a new connection this means that nobody serves the address. A reused connection may have
+    // been closed meanwhile, which says nothing about the next one.
     let ended = if reused.is_some() { Failure::NoAnswer } else { Failure::TurnedAway };
     let mut open = match reused {
         Some(open) => open,
@@ -44,48 +48,51 @@
     };
     let response = open.send(request).await.map_err(|_| ended)?;
     let status = response.status();
-    let body = timeout(BODY_WAIT, open.finish(response.into_body(), LONGEST_LIST)).await;
+    let body = timeout(BODY_TIMEOUT, open.finish(response.into_body(), MAX_LIST_BYTES)).await;
     let body = body.ok().flatten().ok_or(Failure::NoAnswer)?;
     *connection = Some(open);
     Ok((status, body))
 }
 
-fn get(address: SocketAddr, path: &str) -> Option<Request<Full<Bytes>>> {
+fn get_request(address: SocketAddr, path: &str) -> Option<Request<Full<Bytes>>> {
     Request::get(path).header(HOST, address.to_string()).body(Full::default()).ok()
 }
 
 /// The platform's agent as the source of the list.
 pub(crate) struct Agent {
     pub discovery: watch::Sender<SocketAddr>,
-    /// The list as this forwarder last had it; perhaps old.
-    pub known: ServerList,
-    /// How many forwarders there are, whether they ask one discovery or each its own agent, how long a drain that was told may
-    /// still be sent to, and a seed of this one's own.
-    pub senders: u32,
+    /// The last list that this forwarder received, which may be old.
+    pub cached_list: ServerList,
+    /// Number of forwarders.
+    pub forwarder_count: u32,
+    /// Whether they share one discovery or each has an agent of its own.
     pub source: Source,
-    pub grace: Micros,
+    /// How long a drained target may still be sent to, in microseconds.
+    pub drain_grace: Micros,
+    /// Seed of this forwarder's random numbers.
     pub seed: u64,
 }
 
 impl Membership for Agent {
-    fn known(&self) -> ServerList {
-        self.known.clone()
+    fn current_list(&self) -> ServerList {
+        self.cached_list.clone()
     }
 
-    /// What is known may be old: a target that this forwarder was told of as drained, before it restarted, would get
-    /// what it held. The agent answers at once, or discovery is down.
-    fn watch(&self, inputs: &Inputs) -> bool {
-        let asking = Asking::new(self.senders, self.source, self.grace, self.seed);
+    /// Startup waits for the first list because the known one may be old: a target that was drained
+    /// before the restart would otherwise receive the messages held. The agent answers at once
+    /// unless discovery is down.
+    fn start_updates(&self, inputs: &Inputs) -> bool {
+        let asking = Asking::new(self.forwarder_count, self.source, self.drain_grace, self.seed);
         tokio::spawn(watch(self.discovery.subscribe(), asking, inputs.clone()));
         true
     }
 
     fn order(&mut self, _: u64, _: &Order) -> Result<Change, Trouble> {
-        Err(Trouble::Unwritten(io::Error::other("the list is the platform's")))
+        Err(Trouble::Unwritten(io::Error::other("the list is managed by the platform")))
     }
 
     fn judge(&self, _: &Order) -> Result<Change, Trouble> {
-        Err(Trouble::Unwritten(io::Error::other("the list is the platform's")))
+        Err(Trouble::Unwritten(io::Error::other("the list is managed by the platform")))
     }
 
     fn state(&self) -> Option<&State> {
@@ -93,7 +100,7 @@
     }
 
     fn file(&self) -> io::Result<File> {
-        Err(io::Error::other("the list is the platform's"))
+        Err(io::Error::other("the list is managed by the platform"))
     }
 }
 
@@ -101,7 +108,7 @@
 async fn watch(mut discovery: watch::Receiver<SocketAddr>, mut asking: Asking, inputs: Inputs) {
     loop {
         let address = *discovery.borrow_and_update();
-        // A watch that hangs on an address which is left would not end by itself for seconds.
+        // A watch that hangs on the previous address would take seconds to end.
         tokio::select! {
             biased;
             moved = discovery.changed() => match moved {
@@ -113,7 +120,7 @@
     }
 }
 
-/// Watches the list at one address, from the whole list on.
+/// Watches the list at one address, starting with the whole list.
 async fn watch_at(address: SocketAddr, asking: &mut Asking, inputs: &Inputs) {
     let mut connection = None;
     let mut version: Option<u64> = None;
@@ -121,12 +128,12 @@
         let (path, wait) = match version {
             Some(v) => {
                 let watch = asking.watch();
-                (format!("/v1/servers?since={v}&timeout_ms={}", watch.as_millis()), watch + WATCH_LATE)
+                (format!("/v1/servers?since={v}&timeout_ms={}", watch.as_millis()), watch + WATCH_MARGIN)
             }
-            None => ("/v1/servers".to_string(), LIST_WAIT),
+            None => ("/v1/servers".to_string(), LIST_TIMEOUT),
         };
         let asked = Instant::now();
-        let answer = match get(address, &path) {
+        let answer = match get_request(address, &path) {
             Some(request) => {
                 let answer = timeout(wait, exchange(&mut connection, address, request)).await;
                 answer.unwrap_or(Err(Failure::NoAnswer))
@@ -136,22 +143,20 @@
         let (status, body) = match answer {
             Ok(answer) => answer,
             Err(failure) => {
-                // The list stays as it is, and the watch goes on from its version.
+                // The list stays in force, and the watch continues from its version.
                 connection = None;
                 sleep(asking.failed(failure, asked.elapsed())).await;
                 continue;
             }
         };
         match serde_json::from_slice::<ServerList>(&body) {
-            // An answer from the past, by whatever stands between: what has drained since would be sent to again. The whole list
-            // is asked for; where that is older too, the versions have begun anew.
+            // An outdated answer, for instance from a cache in between. Using it would send to
+            // targets that have drained since. The whole list is requested; if that is older too,
+            // the versions have restarted.
             Ok(list) if status == StatusCode::OK && version.is_some_and(|v| list.version < v) => {
-                eprintln!(
-                    "discovery: version {} after {version:?}: the whole list is asked for",
-                    list.version
-                );
+                eprintln!("discovery: version {} after {version:?}: requesting the whole list", list.version);
                 version = None;
-                sleep(EMPTY_PAUSE).await;
+                sleep(MIN_WATCH_INTERVAL).await;
             }
             Ok(list) if status == StatusCode::OK => {
                 let empty = !list.full && list.servers.is_empty();
@@ -162,16 +167,16 @@
                     if !pause.is_zero() {
                         sleep(pause).await;
                     }
-                } else if asked.elapsed() < EMPTY_PAUSE {
-                    sleep(EMPTY_PAUSE).await;
+                } else if asked.elapsed() < MIN_WATCH_INTERVAL {
+                    sleep(MIN_WATCH_INTERVAL).await;
                 }
             }
-            odd => {
+            unexpected => {
                 eprintln!(
                     "discovery: status {status}, {}",
-                    odd.err().map_or("no list".into(), |e| e.to_string())
+                    unexpected.err().map_or("not a list".into(), |e| e.to_string())
                 );
-                // Perhaps the version is unknown there: the whole list is asked for.
+                // The version may be unknown there, so the whole list is requested.
                 version = None;
                 let failure = if status == StatusCode::OK { Failure::NoAnswer } else { Failure::TurnedAway };
                 sleep(asking.failed(failure, asked.elapsed())).await;
@@ -180,7 +185,8 @@
     }
 }
 
-/// Sends notices, one JSON object a line, and tells whether they were taken, or cannot be read.
+/// Sends notices as JSON lines. Reports to the event loop whether they were accepted, rejected as
+/// unreadable, or not answered.
 pub(crate) async fn report(
     mut discovery: watch::Receiver<SocketAddr>, lines: String, numbers: Vec<u64>, inputs: Inputs,
 ) {
@@ -188,7 +194,8 @@
     let status = tokio::select! {
         biased;
         status = post(to, lines) => status,
-        // What the old address has not answered goes to the new one: it may never answer.
+        // Notices that the previous address has not answered are sent to the new one, because the
+        // answer may never arrive.
         _ = discovery.changed() => None,
     };
     inputs.send(Input::Reported { numbers, status, to });
@@ -201,6 +208,6 @@
         .header(HOST, address.to_string())
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(lines)));
-    let answer = timeout(REPORT_WAIT, exchange(&mut None, address, request.ok()?)).await;
+    let answer = timeout(REPORT_TIMEOUT, exchange(&mut None, address, request.ok()?)).await;
     answer.ok()?.ok().map(|(status, _)| status)
 }
--- a/src/bin/foldtrack/table.rs
+++ b/src/bin/foldtrack/table.rs
@@ -1,7 +1,7 @@
-//! What the loop remembers by name: the targets of the list, and the ids of messages that were handed in.
-//! Both forget, so that neither grows with what has gone.
+//! Registries of the event loop: the targets of the list, and the ids of submitted messages. Both
+//! drop what is gone, so that they do not grow without bound.
 
-use crate::list::{ServerLine, ServerState};
+use crate::list::{ServerEntry, ServerState};
 use foldtrack_clearance::{Clearance, Lane, Lanes, Way};
 use hatchline::{Micros, TargetId};
 use std::collections::hash_map::RandomState;
@@ -11,73 +11,79 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
+/// A target of the list.
 #[derive(Clone, Debug)]
-pub(crate) struct Server {
+pub(crate) struct TargetEntry {
     pub address: SocketAddr,
     pub zone: u32,
-    cell: u32,
+    destination: u32,
     pub id: String,
     gone: bool,
-    /// Nothing new goes there.
+    /// Receives no new calls.
     leaving: bool,
-    /// Calls to it that have no end yet.
+    /// Calls in flight.
     calls: u32,
-    /// Nothing new is to be written to it any more: seen by calls whose connection is yet to be made.
+    /// Set when no new call may be written to it; read by calls whose connection is not up yet.
     closed: Arc<AtomicBool>,
-    /// What it shares with the others of its destination: waits told and outages found.
+    /// Shared with the other targets of its destination: requested waits and detected outages.
     lane: Arc<Lane>,
 }
 
-impl Server {
-    fn set(&mut self, gone: bool, leaving: bool) {
+impl TargetEntry {
+    /// Changes the state, and the flag that calls read.
+    fn set_state(&mut self, gone: bool, leaving: bool) {
         (self.gone, self.leaving) = (gone, leaving);
         self.closed.store(gone || leaving, Ordering::Relaxed);
     }
 }
 
-/// The targets by number. A number stands for one id at one address for one destination: what was learned of a
-/// target, and its connections, never pass to another. No number is used twice.
+/// The targets by number. A number identifies one id at one address of one destination, so that
+/// what was learned of a target, and its connections, never pass to another. Numbers are never
+/// reused.
 #[derive(Debug, Default)]
 pub(crate) struct Targets {
-    numbers: HashMap<String, TargetId>,
-    servers: BTreeMap<TargetId, Server>,
+    numbers_by_id: HashMap<String, TargetId>,
+    by_number: BTreeMap<TargetId, TargetEntry>,
     next: TargetId,
-    /// Destinations, and when each was last seen with a target.
-    cells: BTreeMap<u32, Micros>,
+    /// Destinations, and when each last had a target.
+    last_seen: BTreeMap<u32, Micros>,
     lanes: Lanes,
 }
 
 impl Targets {
-    /// The number of a line's target, and the number that it takes the place of. None for one that has left
-    /// unknown. `apart` tells whether it is a route apart, with waits and outages of its own.
-    pub fn number(
-        &mut self, line: &ServerLine, zone: u32, apart: bool,
+    /// The number of an entry's target, and the number that it replaces, if any. Returns none for a
+    /// target that has left and was never known. `apart` tells whether requested waits and outages
+    /// apply to this target alone.
+    pub fn assign(
+        &mut self, line: &ServerEntry, zone: u32, apart: bool,
     ) -> Option<(TargetId, Option<TargetId>)> {
         let (gone, leaving) = (line.state == ServerState::Left, line.state != ServerState::Active);
-        let known = self.numbers.get(&line.id).copied();
-        if let Some(server) = known.and_then(|n| self.servers.get_mut(&n)) {
-            if (server.address, server.cell, server.zone) == (line.addr, line.cell, zone) && !server.gone {
-                server.set(gone, leaving);
+        let known = self.numbers_by_id.get(&line.id).copied();
+        if let Some(server) = known.and_then(|n| self.by_number.get_mut(&n)) {
+            if (server.address, server.destination, server.zone) == (line.addr, line.cell, zone)
+                && !server.gone
+            {
+                server.set_state(gone, leaving);
                 server.lane.told_to_wait(line.hold_until);
                 return Some((known?, None));
             }
-            server.set(true, server.leaving);
+            server.set_state(true, server.leaving);
         }
         if gone {
             return Some((known?, None));
         }
         let number = self.next;
         self.next += 1;
-        self.numbers.insert(line.id.clone(), number);
-        let (address, cell, id) = (line.addr, line.cell, line.id.clone());
-        let lane = self.lanes.of(if apart { Way::Route(number) } else { Way::Destination(cell) });
+        self.numbers_by_id.insert(line.id.clone(), number);
+        let (address, destination, id) = (line.addr, line.cell, line.id.clone());
+        let lane = self.lanes.of(if apart { Way::Route(number) } else { Way::Destination(destination) });
         lane.told_to_wait(line.hold_until);
-        self.servers.insert(
+        self.by_number.insert(
             number,
-            Server {
+            TargetEntry {
                 address,
                 zone,
-                cell,
+                destination,
                 id,
                 gone: false,
                 leaving,
@@ -89,147 +95,151 @@
         Some((number, known))
     }
 
-    /// What a full list lacks is gone.
-    pub fn only(&mut self, named: &HashSet<TargetId>) {
-        self.servers
+    /// Marks targets that a full list does not contain as gone.
+    pub fn retain_listed(&mut self, listed: &HashSet<TargetId>) {
+        self.by_number
             .iter_mut()
-            .filter(|(number, _)| !named.contains(number))
-            .for_each(|(_, s)| s.set(true, s.leaving));
+            .filter(|(number, _)| !listed.contains(number))
+            .for_each(|(_, s)| s.set_state(true, s.leaving));
     }
 
-    /// The destinations that have a target now.
-    pub fn see(&mut self, now: Micros) {
-        for server in self.servers.values().filter(|s| !s.gone) {
-            self.cells.insert(server.cell, now);
+    /// Refreshes the last-seen time of all destinations that have a target now.
+    pub fn mark_seen(&mut self, now: Micros) {
+        for server in self.by_number.values().filter(|s| !s.gone) {
+            self.last_seen.insert(server.destination, now);
         }
     }
 
-    /// Whether the destination has, or had lately, a target.
-    pub fn knows(&self, cell: u32) -> bool {
-        self.cells.contains_key(&cell)
+    /// Whether the destination has a target, or had one recently.
+    pub fn knows_destination(&self, destination: u32) -> bool {
+        self.last_seen.contains_key(&destination)
     }
 
-    /// A call begins that was decided on then, unless the target has been closed since.
+    /// Starts a call that was decided on at this time, unless the target has been closed since.
     pub fn begin_call(&mut self, number: TargetId, decided: Micros) -> Option<(SocketAddr, u32, Clearance)> {
-        let server = self.servers.get_mut(&number).filter(|s| !s.gone && !s.leaving)?;
+        let server = self.by_number.get_mut(&number).filter(|s| !s.gone && !s.leaving)?;
         server.calls += 1;
         let (lane, closed) = (server.lane.clone(), server.closed.clone());
         Some((server.address, server.zone, Clearance { lane, closed, decided }))
     }
 
-    /// The lane of a target has been found out by the module.
+    /// Records that the scheduler has detected an outage of the target's route at this time.
     pub fn found_out(&self, number: TargetId, at: Micros) {
-        if let Some(server) = self.servers.get(&number) {
+        if let Some(server) = self.by_number.get(&number) {
             server.lane.found_out(at);
         }
     }
 
-    /// The destination of a target, also of one that has gone while a call to it is out.
+    /// The destination of a target, also if the target has left while a call to it is in flight.
     pub fn destination(&self, number: TargetId) -> Option<u32> {
-        self.servers.get(&number).map(|s| s.cell)
+        self.by_number.get(&number).map(|s| s.destination)
     }
 
-    /// Where a target is that something new may go to, and whose it is.
-    pub fn open_at(&self, number: TargetId) -> Option<(SocketAddr, u32)> {
-        let server = self.servers.get(&number).filter(|s| !s.gone && !s.leaving)?;
-        Some((server.address, server.cell))
+    /// The address and destination of a target, if it accepts new calls.
+    pub fn open_address(&self, number: TargetId) -> Option<(SocketAddr, u32)> {
+        let server = self.by_number.get(&number).filter(|s| !s.gone && !s.leaving)?;
+        Some((server.address, server.destination))
     }
 
-    /// Whether something new may go to a target.
+    /// Whether a target accepts new calls.
     pub fn is_open(&self, number: TargetId) -> bool {
-        self.servers.get(&number).is_some_and(|s| !s.gone && !s.leaving)
+        self.by_number.get(&number).is_some_and(|s| !s.gone && !s.leaving)
     }
 
     /// Name of a target.
     pub fn name(&self, number: TargetId) -> &str {
-        self.servers.get(&number).map_or("", |s| &s.id)
+        self.by_number.get(&number).map_or("", |s| &s.id)
     }
 
-    /// Calls that are out to a target of this name, at whichever address.
+    /// Calls in flight to targets of this name, at any address.
     pub fn calls_to(&self, name: &str) -> u32 {
-        self.servers.values().filter(|s| s.id == name).map(|s| s.calls).sum()
+        self.by_number.values().filter(|s| s.id == name).map(|s| s.calls).sum()
     }
 
-    /// A call has its end; tells whether the target may be called again.
+    /// Ends a call. Returns whether the target is still listed.
     pub fn end_call(&mut self, number: TargetId) -> bool {
-        let Some(server) = self.servers.get_mut(&number) else { return false };
+        let Some(server) = self.by_number.get_mut(&number) else { return false };
         server.calls = server.calls.saturating_sub(1);
         !server.gone
     }
 
-    /// Forgets what has left and has no call out, and destinations without a target since `before`; gives the
-    /// numbers of the targets.
-    pub fn forget(&mut self, now: Micros, before: Micros) -> Vec<TargetId> {
-        self.see(now);
+    /// Drops targets that have left and have no call in flight, and destinations without a target
+    /// since `before`. Returns the numbers of the dropped targets.
+    pub fn remove_stale(&mut self, now: Micros, before: Micros) -> Vec<TargetId> {
+        self.mark_seen(now);
         self.lanes.sweep(now);
-        self.cells.retain(|_, seen| *seen >= before);
-        let over = self.servers.iter().filter(|(_, s)| s.gone && s.calls == 0);
-        let over: Vec<TargetId> = over.map(|(number, _)| *number).collect();
-        for number in &over {
-            let Some(server) = self.servers.remove(number) else { continue };
-            if self.numbers.get(&server.id) == Some(number) {
-                self.numbers.remove(&server.id);
+        self.last_seen.retain(|_, seen| *seen >= before);
+        let stale = self.by_number.iter().filter(|(_, s)| s.gone && s.calls == 0);
+        let stale: Vec<TargetId> = over.map(|(number, _)| *number).collect();
+        for number in &stale {
+            let Some(server) = self.by_number.remove(number) else { continue };
+            if self.numbers_by_id.get(&server.id) == Some(number) {
+                self.numbers_by_id.remove(&server.id);
             }
         }
-        over
+        stale
     }
 }
 
-/// What has become of a message that was handed in before.
+/// State of a message that was submitted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Known {
-    /// Its client has no answer yet.
-    Open,
-    /// Taken on, and perhaps delivered.
-    Taken,
+pub(crate) enum SubmissionState {
+    /// Its client has no reply yet.
+    Undecided,
+    /// Accepted, and perhaps delivered.
+    Accepted,
     /// Ended by a notice.
     Ended,
 }
 
-/// The ids of messages that were handed in, for some time after their end: a copy of one that is held, or was
-/// delivered lately, must not be sent again.
+/// The ids of submitted messages, kept for some time after their end: a duplicate of a message that
+/// is held or was delivered recently must not be sent.
 #[derive(Debug, Default)]
-pub(crate) struct Ids {
+pub(crate) struct MessageIds {
     hasher: RandomState,
-    known: HashMap<u64, (u64, Known)>,
-    /// Until when to remember, in the order of arrival.
-    until: VecDeque<(Micros, u64, u64)>,
+    /// By hash of the id: the message's number and its state.
+    entries: HashMap<u64, (u64, SubmissionState)>,
+    /// When each id expires, in the order of arrival.
+    expiries: VecDeque<(Micros, u64, u64)>,
 }
 
-impl Ids {
-    pub fn look(&self, id: &str) -> Option<Known> {
-        self.known.get(&self.hasher.hash_one(id)).map(|(_, known)| *known)
+impl MessageIds {
+    /// The state of a message, if its id is remembered.
+    pub fn state(&self, id: &str) -> Option<SubmissionState> {
+        self.entries.get(&self.hasher.hash_one(id)).map(|(_, state)| *state)
     }
 
-    /// The number of a message, where its id is remembered.
+    /// The number of a message, if its id is remembered.
     pub fn number(&self, id: &str) -> Option<u64> {
-        self.known.get(&self.hasher.hash_one(id)).map(|(number, _)| *number)
+        self.entries.get(&self.hasher.hash_one(id)).map(|(number, _)| *number)
     }
 
-    pub fn insert(&mut self, id: &str, number: u64, known: Known, until: Micros) {
+    /// Remembers an id until a time.
+    pub fn insert(&mut self, id: &str, number: u64, state: SubmissionState, until: Micros) {
         let hash = self.hasher.hash_one(id);
-        self.known.insert(hash, (number, known));
-        self.until.push_back((until, hash, number));
+        self.entries.insert(hash, (number, state));
+        self.expiries.push_back((until, hash, number));
     }
 
-    pub fn set(&mut self, id: &str, known: Known) {
-        self.known.entry(self.hasher.hash_one(id)).and_modify(|entry| entry.1 = known);
+    /// Changes the state of a remembered id.
+    pub fn set_state(&mut self, id: &str, state: SubmissionState) {
+        self.entries.entry(self.hasher.hash_one(id)).and_modify(|entry| entry.1 = state);
     }
 
-    /// The client will hand it in again, or may.
+    /// Forgets an id: the client will, or may, submit the message again.
     pub fn remove(&mut self, id: &str) {
-        self.known.remove(&self.hasher.hash_one(id));
+        self.entries.remove(&self.hasher.hash_one(id));
     }
 
-    /// Forgets what is past its time, and the oldest beyond `most`.
+    /// Forgets expired ids, and the oldest ones beyond `most`.
     pub fn forget(&mut self, now: Micros, most: usize) {
-        while let Some((until, hash, number)) = self.until.front().copied() {
-            if until > now && self.until.len() <= most {
+        while let Some((until, hash, number)) = self.expiries.front().copied() {
+            if until > now && self.expiries.len() <= most {
                 break;
             }
-            self.until.pop_front();
-            if self.known.get(&hash).is_some_and(|entry| entry.0 == number) {
-                self.known.remove(&hash);
+            self.expiries.pop_front();
+            if self.entries.get(&hash).is_some_and(|entry| entry.0 == number) {
+                self.entries.remove(&hash);
             }
         }
     }
@@ -239,9 +249,9 @@
 mod tests {
     use super::*;
 
-    fn line(id: &str, port: u16, cell: u32, state: ServerState) -> ServerLine {
+    fn line(id: &str, port: u16, cell: u32, state: ServerState) -> ServerEntry {
         let addr = SocketAddr::from(([127, 0, 0, 1], port));
-        ServerLine {
+        ServerEntry {
             hold_until: 0,
             id: id.into(),
             addr,
@@ -255,49 +265,51 @@
     }
 
     #[test]
-    fn a_number_names_one_target_and_is_forgotten_when_no_call_refers_to_it() {
+    fn a_number_identifies_one_target_and_is_dropped_when_no_call_refers_to_it() {
         let mut targets = Targets::default();
         let active = |id: &str, port| line(id, port, 1, ServerState::Active);
-        let (first, none) = targets.number(&active("a", 1), 0, false).unwrap();
+        let (first, none) = targets.assign(&active("a", 1), 0, false).unwrap();
         assert_eq!(none, None);
-        assert_eq!(targets.number(&active("a", 1), 0, false), Some((first, None)));
+        assert_eq!(targets.assign(&active("a", 1), 0, false), Some((first, None)));
         assert!(targets.begin_call(first, 0).is_some());
-        // The same id at another address takes a number of its own.
-        let (second, replaced) = targets.number(&active("a", 2), 0, false).unwrap();
+        // The same id at another address gets a new number.
+        let (second, replaced) = targets.assign(&active("a", 2), 0, false).unwrap();
         assert!(second != first && replaced == Some(first));
-        assert!(targets.forget(10, 0).is_empty(), "a call is out");
+        assert!(targets.remove_stale(10, 0).is_empty(), "a call is in flight");
         assert!(!targets.end_call(first));
-        assert_eq!(targets.forget(10, 0), [first]);
-        assert_eq!(targets.number(&line("a", 2, 1, ServerState::Left), 0, false), Some((second, None)));
-        assert_eq!(targets.forget(20, 0), [second]);
-        assert_eq!(targets.number(&line("a", 2, 1, ServerState::Left), 0, false), None);
-        assert!(targets.knows(1));
+        assert_eq!(targets.remove_stale(10, 0), [first]);
+        assert_eq!(targets.assign(&line("a", 2, 1, ServerState::Left), 0, false), Some((second, None)));
+        assert_eq!(targets.remove_stale(20, 0), [second]);
+        assert_eq!(targets.assign(&line("a", 2, 1, ServerState::Left), 0, false), None);
+        assert!(targets.knows_destination(1));
         for n in 0..1000 {
-            let (number, _) = targets.number(&active(&format!("t{n}"), 3), 0, false).unwrap();
+            let (number, _) = targets.assign(&active(&format!("t{n}"), 3), 0, false).unwrap();
             assert!(number > second);
-            targets.only(&HashSet::from([number]));
-            targets.forget(30, 0);
+            targets.retain_listed(&HashSet::from([number]));
+            targets.remove_stale(30, 0);
         }
-        assert!(targets.servers.len() == 1 && targets.numbers.len() == 1);
-        targets.only(&HashSet::new());
-        targets.forget(40, 35);
-        assert!(!targets.knows(1) && targets.servers.is_empty() && targets.numbers.is_empty());
+        assert!(targets.by_number.len() == 1 && targets.numbers_by_id.len() == 1);
+        targets.retain_listed(&HashSet::new());
+        targets.remove_stale(40, 35);
+        assert!(
+            !targets.knows_destination(1) && targets.by_number.is_empty() && targets.numbers_by_id.is_empty()
+        );
     }
 
     #[test]
-    fn ids_are_remembered_for_their_time_and_no_more_than_there_is_room_for() {
-        let mut ids = Ids::default();
+    fn ids_are_remembered_until_they_expire_and_up_to_the_limit() {
+        let mut ids = MessageIds::default();
         for n in 0..100 {
-            ids.insert(&format!("m{n}"), n, Known::Taken, 1_000 + n);
+            ids.insert(&format!("m{n}"), n, SubmissionState::Accepted, 1_000 + n);
         }
         ids.remove("m3");
-        ids.insert("m3", 200, Known::Open, 5_000);
+        ids.insert("m3", 200, SubmissionState::Undecided, 5_000);
         ids.forget(1_050, 1_000);
         assert_eq!(
-            (ids.look("m49"), ids.look("m51"), ids.look("m3")),
-            (None, Some(Known::Taken), Some(Known::Open))
+            (ids.state("m49"), ids.state("m51"), ids.state("m3")),
+            (None, Some(SubmissionState::Accepted), Some(SubmissionState::Undecided))
         );
         ids.forget(1_050, 10);
-        assert!(ids.known.len() == 10 && ids.until.len() == 10 && ids.look("m3").is_some());
+        assert!(ids.entries.len() == 10 && ids.expiries.len() == 10 && ids.state("m3").is_some());
     }
 }
--- a/src/bin/foldtrack/told.rs
+++ b/src/bin/foldtrack/told.rs
@@ -1,16 +1,17 @@
-//! Ends and attempts in the words of the control protocol, which the listener speaks too.
+//! Converts outcomes and attempts to the types of the control protocol, which the HTTP API uses as
+//! well.
 
 use foldtrack_control::{Attempt, Message};
 use foldtrack_ends::{End, Result as EndResult};
 
-/// An attempt as it is told.
+/// Converts an attempt.
 pub(crate) fn told_attempt(attempt: &foldtrack_ends::Attempt) -> Attempt {
     let (endpoint, outcome) = (attempt.endpoint.clone(), attempt.outcome.word().into());
     let may_have_run = !attempt.outcome.never_ran();
     Attempt { at: attempt.at, until: attempt.until, endpoint, outcome, may_have_run }
 }
 
-/// An end as it is told.
+/// Converts the outcome of a message.
 pub(crate) fn told_end(end: &End) -> Message {
     let (state, retry_in_ms, harmless_until) = match end.result {
         EndResult::Delivered => ("delivered", 0, 0),
--- a/tests/forwarder/deployments.rs
+++ b/tests/forwarder/deployments.rs
@@ -1,5 +1,5 @@
-//! The program on the settings of each deployment in `deploy/sites/`, and on settings whose names nobody has chosen: classes,
-//! tenants, zones and limits come from the settings alone.
+//! Runs the forwarder with the settings of each deployment in `deploy/sites/`, and with random
+//! names, to verify that classes, tenants, zones and limits come from the settings alone.
 
 use super::world::*;
 use serde_json::{json, Value};
@@ -10,8 +10,8 @@
 
 const FORWARDERS: u32 = 300;
 
-/// The site files of the deployments.
-fn sites() -> Vec<PathBuf> {
+/// Paths of the deployments' site files.
+fn site_files() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/sites");
     let mut found: Vec<PathBuf> = fs::read_dir(folder)
         .unwrap()
@@ -23,14 +23,14 @@
     found
 }
 
-fn site(path: &Path) -> Table {
+fn read_site(path: &Path) -> Table {
     fs::read_to_string(path).unwrap().parse().unwrap()
 }
 
-/// A figure of a site, or the lower end of its range.
-fn figure(value: Option<&toml::Value>) -> f64 {
+/// A number of a site file, or the lower end of a range.
+fn number_of(value: Option<&toml::Value>) -> f64 {
     match value {
-        Some(toml::Value::Array(range)) => figure(range.first()),
+        Some(toml::Value::Array(range)) => number_of(range.first()),
         Some(toml::Value::Integer(n)) => *n as f64,
         Some(toml::Value::Float(x)) => *x,
         _ => 0.0,
@@ -38,10 +38,10 @@
 }
 
 fn micros(value: Option<&toml::Value>, unit: f64) -> u64 {
-    (figure(value) * unit) as u64
+    (number_of(value) * unit) as u64
 }
 
-fn word<'a>(table: &'a Table, name: &str) -> &'a str {
+fn text<'a>(table: &'a Table, name: &str) -> &'a str {
     table.get(name).and_then(toml::Value::as_str).unwrap_or_default()
 }
 
@@ -55,10 +55,10 @@
 }
 
 fn names(tables: &[&Table]) -> Vec<String> {
-    tables.iter().map(|t| word(t, "name").to_string()).collect()
+    tables.iter().map(|t| text(t, "name").to_string()).collect()
 }
 
-/// The settings as the platform words them, from a site file.
+/// Converts a site file to the platform's settings format.
 fn settings(site: &Table) -> Value {
     const MS: f64 = 1e3;
     const S: f64 = 1e6;
@@ -67,23 +67,23 @@
     let tier = tables(site, "tier")[0];
     let (conn, report) = (tier["conn"].as_table().unwrap(), tier["report"].as_table().unwrap());
     let kinds = tables(tier, "kind");
-    let habits = tables(kinds_of, "kind");
+    let families = tables(kinds_of, "kind");
     let classes = tables(site, "class").into_iter().map(|class| {
-        let effect = match word(class, "effect") {
+        let effect = match text(class, "effect") {
             "safe" => "repeatable",
             "keyed" => "by_key",
             _ => "once",
         };
         json!({
-            "name": word(class, "name"), "aim": micros(class.get("aim_ms"), MS), "effect": effect,
-            "deadline": micros(class.get("deadline_ms"), MS), "group": word(class, "group"),
-            "late_value": figure(class.get("late_worth")), "one_at_a_time": flag(class, "in_order"),
-            "window": micros(class.get("window_ms"), MS), "worth": figure(class.get("worth")),
+            "name": text(class, "name"), "aim": micros(class.get("aim_ms"), MS), "effect": effect,
+            "deadline": micros(class.get("deadline_ms"), MS), "group": text(class, "group"),
+            "late_value": number_of(class.get("late_worth")), "one_at_a_time": flag(class, "in_order"),
+            "window": micros(class.get("window_ms"), MS), "worth": number_of(class.get("worth")),
         })
     });
     let cold = kinds.iter().map(|k| micros(k.get("cold_s"), S)).max();
-    let least_cold = kinds.iter().map(|k| figure(k.get("cold_from"))).fold(1.0, f64::min);
-    let asked = word(part("discovery"), "mode") == "ask";
+    let least_cold = kinds.iter().map(|k| number_of(k.get("cold_from"))).fold(1.0, f64::min);
+    let asked = text(part("discovery"), "mode") == "ask";
     json!({
         "balancers": FORWARDERS,
         "categories": classes.collect::<Vec<Value>>(),
@@ -91,7 +91,7 @@
             "ask_within": 10_000_000, "cold_from": least_cold, "ramp_time": cold,
             "order_pause": micros(rules.get("order_settle_ms"), MS),
             "stop_sending_within": micros(rules.get("drain_grace_ms"), MS),
-            "tip_after": micros(rules.get("fall_ms"), MS), "tip_multiple": figure(rules.get("fall_multiple")),
+            "tip_after": micros(rules.get("fall_ms"), MS), "tip_multiple": number_of(rules.get("fall_multiple")),
         },
         "dcs": part("net")["zones"].as_array().unwrap().iter().map(|z| z.as_str().unwrap()).collect::<Vec<&str>>(),
         "machine_types": names(&kinds),
@@ -99,33 +99,34 @@
         "discovery": if asked { "on_request" } else { "pushed" },
         "family_info": {
             "batch_by_kind": vec![1; kinds.len()],
-            "own_limits": habits.iter().map(|h| word(h, "routes") == "apart").collect::<Vec<bool>>(),
-            "slots": 4, "decay": if word(kinds_of, "late") == "halves" { "halving" } else { "linear" },
-            "refused_price": figure(kinds_of.get("refused_price")), "zone_fee": [],
+            "own_limits": families.iter().map(|h| text(h, "routes") == "apart").collect::<Vec<bool>>(),
+            "slots": 4, "decay": if text(kinds_of, "late") == "halves" { "halving" } else { "linear" },
+            "refused_price": number_of(kinds_of.get("refused_price")), "zone_fee": [],
         },
         "limits": {
             "conn_idle": micros(conn.get("idle_s"), S), "dial_timeout": micros(conn.get("connect_timeout_ms"), MS),
             "max_open": 60, "may_cancel": flag(allow, "cancel"), "may_probe": flag(allow, "probes"),
             "may_duplicate": flag(allow, "second_copies"), "retry_after": flag(allow, "retry_after"),
-            "max_retry_after": 2_000_000, "streams_per_conn": figure(conn.get("streams")) as u32,
-            "try_limit": figure(allow.get("max_attempts")) as u32,
+            "max_retry_after": 2_000_000, "streams_per_conn": number_of(conn.get("streams")) as u32,
+            "try_limit": number_of(allow.get("max_attempts")) as u32,
         },
         "report": {"fields": report["fields"].as_array().unwrap().iter().map(|f| f.as_str().unwrap()).collect::<Vec<&str>>()},
         "tick": 5_000,
-        "weight_source": word(tier, "weights"),
+        "weight_source": text(tier, "weights"),
     })
 }
 
-/// A message of each class goes through, to a destination of each kind, over a restart too.
-fn carries_every_class(settings: &Value) {
-    // Ten calls a second for each forwarder: the pace of one of a thousand is its part of the limit, and holds nothing up here.
+/// Delivers a message of each class to a destination of each kind, before and after a restart.
+fn deliver_every_class(settings: &Value) {
+    // Ten calls a second for each forwarder: each of a thousand forwarders sends at its share of
+    // the limit, which must not delay the test.
     let limit = 10 * settings["balancers"].as_u64().unwrap();
     let target = Server::start(move |_| Reply::Headers(200, format!("X-Load: x0=0.9,x1={limit}\r\n")));
     let list = |field: &str| settings[field].as_array().unwrap().clone();
     let (zones, kinds) = (list("dcs"), list("machine_types"));
     let servers: Vec<Value> = (0..kinds.len() as u32)
         .map(|number| {
-            let mut line = line(&format!("s-{number}"), target.address, number, "active");
+            let mut line = list_entry(&format!("s-{number}"), target.address, number, "active");
             line["kind"] = kinds[number as usize].clone();
             line["zone"] = zones[number as usize % zones.len()].clone();
             line["weight"] = limit.into();
@@ -134,40 +135,40 @@
         .collect();
     let platform = Platform::start(servers);
     let mut forwarder = Forwarder::start_with(&platform, |config| config["settings"] = settings.clone());
-    let mut handed_in = BTreeSet::new();
+    let mut submitted = BTreeSet::new();
     for life in 0..2 {
         for (number, class) in list("categories").iter().enumerate() {
             let (id, name) = (format!("m-{life}-{number}"), class["name"].as_str().unwrap());
             let left_ms = class["deadline"].as_u64().unwrap() / 1_000;
             let destination = (number % kinds.len()) as u32;
-            let message = update(&id, "key").to(destination).within(left_ms);
-            let message = Letter { path: format!("/{name}/key"), ..message };
-            assert_eq!(forwarder.hand_in(&message), 202, "{name}");
-            handed_in.insert(id);
+            let message = update(&id, "key").to(destination).deadline_ms(left_ms);
+            let message = Submission { path: format!("/{name}/key"), ..message };
+            assert_eq!(forwarder.submit(&message), 202, "{name}");
+            submitted.insert(id);
         }
         let delivered = || target.ids().into_iter().collect::<BTreeSet<String>>();
-        eventually("every class is delivered", || delivered() == handed_in);
+        eventually("every class is delivered", || delivered() == submitted);
         assert!(platform.notices().is_empty(), "{:?}", platform.notices());
         forwarder.kill();
-        forwarder.start_again();
+        forwarder.restart();
     }
-    let unknown = Letter { path: "/no-class-of-this-site/key".into(), ..update("unknown", "key") };
-    assert_eq!(forwarder.hand_in(&unknown), 404);
+    let unknown = Submission { path: "/no-class-of-this-site/key".into(), ..update("unknown", "key") };
+    assert_eq!(forwarder.submit(&unknown), 404);
 }
 
 #[test]
-fn every_deployment_carries_a_message_of_every_class() {
-    for path in sites() {
-        carries_every_class(&settings(&site(&path)));
+fn every_deployment_delivers_a_message_of_every_class() {
+    for path in site_files() {
+        deliver_every_class(&settings(&read_site(&path)));
     }
 }
 
-/// Names at random, of other lengths and characters, and other figures.
+/// Random names of other lengths and characters, and other numbers.
 #[test]
-fn names_and_figures_that_nobody_has_chosen_are_as_good() {
+fn random_names_and_numbers_work_as_well() {
     let mut random = fastrand::Rng::with_seed(20);
-    for path in sites() {
-        let mut settings = settings(&site(&path));
+    for path in site_files() {
+        let mut settings = settings(&read_site(&path));
         let mut name = |most: usize| -> Value {
             let length = random.usize(1..=most);
             (0..length)
@@ -183,13 +184,13 @@
             class["deadline"] = (class["deadline"].as_u64().unwrap() + 12_345).into();
         }
         settings["balancers"] = 1_024.into();
-        carries_every_class(&settings);
+        deliver_every_class(&settings);
     }
 }
 
-/// No class, tenant, kind or zone of a deployment is a word of the program.
+/// The code contains no name of a deployment's class, tenant, kind or zone.
 #[test]
-fn no_name_of_a_deployment_stands_in_the_program() {
+fn the_code_contains_no_deployment_specific_name() {
     let mut texts = Vec::new();
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut folders = vec![root.join("src"), root.join("crates")];
@@ -203,13 +204,13 @@
         }
     }
     assert!(texts.len() > 100, "{} files", texts.len());
-    for path in sites() {
-        let site = site(&path);
+    for path in site_files() {
+        let site = read_site(&path);
         let tier = tables(&site, "tier")[0];
         let zones = site["net"]["zones"].as_array().unwrap().iter().map(|z| z.as_str().unwrap().to_string());
         let named = [tables(&site, "class"), tables(&site, "tenant"), tables(tier, "kind")];
         for name in named.iter().flat_map(|tables| names(tables)).chain(zones) {
-            // As a word in quotes: "lien" stands in "client".
+            // Compared in quotes, because "lien" is part of "client".
             let quoted = format!("\"{name}\"");
             let holder = texts.iter().find(|(_, text)| text.contains(&quoted));
             assert!(holder.is_none(), "{name} of {} stands in {:?}", path.display(), holder.map(|h| &h.0));
--- a/tests/forwarder/discovery.rs
+++ b/tests/forwarder/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery that fails, each order of events forced by what the stand-in does with which call: what it has counts as told 6 s
-//! after it could be reached at the latest, in fleets too.
+//! Failures of discovery. The stand-in decides by the number of the call how it fails, which fixes
+//! the order of events. A change counts as announced 6 s after discovery became reachable at the
+//! latest, in large fleets too.
 
 use super::world::*;
 use super::MS;
@@ -11,29 +12,32 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Within this a change counts as told; the grace of a drain comes on top.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+/// Time after which a change counts as announced; the grace period of a drain is added to it.
+const ANNOUNCED_WITHIN: Duration = Duration::from_secs(6);
 
-/// A forwarder that is one of 300, its old target, the new one that the list names after the first call, and a discovery that
-/// does with the n-th call for the list (from 0) what `with_call` says; nothing said is an answer with the new list.
-struct Changed {
+/// A forwarder that is one of 300, its old target, the new target that the list contains after the
+/// first call, and a discovery whose n-th list call (from 0) gets the reply of `with_call`, or the
+/// new list if that returns none.
+struct ListChange {
     discovery: Arc<Server>,
     forwarder: Forwarder,
     old: Arc<Server>,
     new: Arc<Server>,
 }
 
+/// A full list as JSON text.
 fn list_of(version: u64, servers: &[Value]) -> String {
     json!({"version": version, "full": true, "servers": servers}).to_string()
 }
 
-impl Changed {
+impl ListChange {
     fn start(
         change: impl Fn(&mut Value), with_call: impl Fn(usize, &str) -> Option<Reply> + Send + Sync + 'static,
-    ) -> Changed {
+    ) -> ListChange {
         let (old, new) = (Server::start(|_| OK), Server::start(|_| OK));
-        let first = vec![line("s-1", old.address, 1, "active")];
-        let second = vec![line("s-1", old.address, 1, "leaving"), line("s-2", new.address, 1, "active")];
+        let first = vec![list_entry("s-1", old.address, 1, "active")];
+        let second =
+            vec![list_entry("s-1", old.address, 1, "leaving"), list_entry("s-2", new.address, 1, "active")];
         let calls = AtomicUsize::new(0);
         let known = first.clone();
         let discovery = Server::start(move |request| {
@@ -56,113 +60,116 @@
             config["settings"]["balancers"] = 300.into();
             change(config);
         });
-        Changed { discovery, forwarder, old, new }
+        ListChange { discovery, forwarder, old, new }
     }
 
-    /// The list is asked for again in time after the call that failed, and a drain that it tells is kept.
-    fn is_heard(&self, failed: usize) {
+    /// Asserts that the list is requested again in time after the failed call, and that the drain
+    /// in it is honoured.
+    fn assert_list_refreshed(&self, failed: usize) {
         let asked = || {
             let seen = self.discovery.seen();
             seen.into_iter().filter(|r| r.method == "GET").map(|r| r.at).collect::<Vec<Instant>>()
         };
         let following = failed + 1;
-        eventually("the list is asked for again", || asked().len() > following);
+        eventually("the list is requested again", || asked().len() > following);
         let asked = asked();
         let after = asked[following] - asked[failed];
-        assert!(after <= TOLD_WITHIN, "asked again after {after:?}");
+        assert!(after <= ANNOUNCED_WITHIN, "asked again after {after:?}");
         eventually("the new list is in force", || {
             self.discovery.seen().iter().any(|r| r.path.contains("since=2"))
         });
         let before = self.old.seen().len();
-        assert_eq!(self.forwarder.hand_in(&fee("after")), 202);
+        assert_eq!(self.forwarder.submit(&fee("after")), 202);
         eventually("the call", || self.new.ids().contains(&"after".to_string()));
-        assert_eq!(self.old.seen().len(), before, "sent to what drains");
+        assert_eq!(self.old.seen().len(), before, "sent to a draining target");
     }
 }
 
-/// A watch of one of 300 stayed open for 50 s: what it missed was heard after that.
+/// A watch of one of 300 forwarders stayed open for 50 s, and changes missed by it arrived only
+/// after that.
 #[test]
-fn a_watch_that_is_silent_from_the_first_is_opened_anew() {
-    let changed = Changed::start(|_| (), |number, _| (number == 1).then_some(Reply::Silence));
-    changed.is_heard(1);
+fn a_watch_without_any_answer_is_reopened() {
+    let changed = ListChange::start(|_| (), |number, _| (number == 1).then_some(Reply::Silence));
+    changed.assert_list_refreshed(1);
 }
 
-/// One of 300 waited 3 to 9 s after a first failure, and up to 135 s after some.
+/// One of 300 forwarders waited 3 to 9 s after a first failure, and up to 135 s after several.
 #[test]
-fn calls_that_fail_again_and_again_are_made_again_within_the_rules_time() {
+fn failing_list_calls_are_repeated_within_the_time_limit() {
     for reply in
         [Reply::Status(503, ""), Reply::Close, Reply::Raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")]
     {
-        let changed = Changed::start(
+        let changed = ListChange::start(
             |config| config["settings"]["discovery"] = "on_request".into(),
             move |number, _| (1..=3).contains(&number).then_some(reply.clone()),
         );
-        changed.is_heard(1);
+        changed.assert_list_refreshed(1);
         let asked: Vec<Instant> =
             changed.discovery.seen().iter().filter(|r| r.method == "GET").map(|r| r.at).collect();
         let longest = asked[1..5].windows(2).map(|pair| pair[1] - pair[0]).max();
-        assert!(longest <= Some(TOLD_WITHIN), "{longest:?}");
+        assert!(longest <= Some(ANNOUNCED_WITHIN), "{longest:?}");
     }
 }
 
-/// What is cut off half-way counts as silent; a list that cannot be read leaves the old one in force.
+/// A truncated answer counts as no answer, and a list that cannot be parsed leaves the old one in
+/// force.
 #[test]
-fn a_list_that_stops_half_way_or_cannot_be_read_is_asked_for_again() {
+fn a_truncated_or_unreadable_list_is_requested_again() {
     for raw in [
         &b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"version\":2,\"full\":true,\"servers\":[{\"id\""[..],
         b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{\"version\":2",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
         b"HTTP/1.1 200 OK\r\nX: never",
     ] {
-        let changed = Changed::start(|_| (), move |number, _| (number == 1).then_some(Reply::Raw(raw)));
-        changed.is_heard(1);
+        let changed = ListChange::start(|_| (), move |number, _| (number == 1).then_some(Reply::Raw(raw)));
+        changed.assert_list_refreshed(1);
     }
 }
 
-/// An answer from the past brought a drained target back.
+/// An outdated answer made a drained target active again.
 #[test]
-fn an_old_list_after_a_new_one_brings_nothing_back() {
-    let gone = line("s-1", "127.0.0.1:1".parse().unwrap(), 1, "active");
+fn an_outdated_list_does_not_reactivate_a_drained_target() {
+    let gone = list_entry("s-1", "127.0.0.1:1".parse().unwrap(), 1, "active");
     let past = list_of(1, &[gone]);
-    let changed = Changed::start(
+    let changed = ListChange::start(
         |_| (),
         move |_, path| path.contains("since=2").then(|| Reply::Body(past.clone().into())),
     );
-    eventually("the whole list is asked for", || {
+    eventually("the full list is requested", || {
         let seen = changed.discovery.seen();
         let old = seen.iter().position(|r| r.path.contains("since=2"));
         old.is_some_and(|at| seen[at..].iter().any(|r| r.path == "/v1/servers"))
     });
-    assert_eq!(changed.forwarder.hand_in(&fee("after")), 202);
+    assert_eq!(changed.forwarder.submit(&fee("after")), 202);
     eventually("the call", || changed.new.ids() == ["after"]);
     assert!(changed.old.seen().is_empty());
 }
 
-/// Lists may come indented, in small pieces, and whole in place of what has changed.
+/// A list may be indented, arrive in small pieces, and be a full list in place of the changes.
 #[test]
-fn a_whole_list_in_place_of_changes_may_come_indented_and_in_pieces() {
+fn a_full_list_in_place_of_changes_may_be_indented_and_fragmented() {
     let target = Server::start(|_| OK);
-    let servers = [line("s-3", target.address, 1, "active")];
+    let servers = [list_entry("s-3", target.address, 1, "active")];
     let list = json!({"version": 2, "full": true, "servers": servers});
     let text = format!("\n{}\n\n", serde_json::to_string_pretty(&list).unwrap());
-    let changed = Changed::start(
+    let changed = ListChange::start(
         |_| (),
         move |number, _| (number == 1).then(|| Reply::InPieces(text.clone().into(), 7)),
     );
     eventually("it is in force", || changed.discovery.seen().iter().any(|r| r.path.contains("since=2")));
-    assert_eq!(changed.forwarder.hand_in(&fee("m")), 202);
+    assert_eq!(changed.forwarder.submit(&fee("m")), 202);
     eventually("the call", || target.ids() == ["m"]);
     assert!(changed.old.seen().is_empty());
 }
 
-/// Nobody is there when it is asked first: what is there later is heard at once.
+/// Nothing listens on discovery's address at first. Once something does, it is contacted promptly.
 #[test]
-fn a_discovery_that_comes_up_late_is_asked_soon() {
+fn a_discovery_that_starts_late_is_contacted_promptly() {
     let place = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = place.local_addr().unwrap();
     drop(place);
     let (old, new) = (Server::start(|_| OK), Server::start(|_| OK));
-    let platform = Platform::start(vec![line("s-1", old.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", old.address, 1, "active")]);
     let forwarder = Forwarder::start_with(&platform, |config| {
         config["discovery"] = address.to_string().into();
         config["settings"]["balancers"] = 300.into();
@@ -171,19 +178,19 @@
     let listener = std::net::TcpListener::bind(address).unwrap();
     let up = Instant::now();
     listener.set_nonblocking(true).unwrap();
-    eventually("it is asked", || listener.accept().is_ok());
+    eventually("discovery is contacted", || listener.accept().is_ok());
     assert!(up.elapsed() < MS(1_000), "asked after {:?}", up.elapsed());
     drop((forwarder, new));
 }
 
-/// Idle clients that take every descriptor they can get, and come again as soon as they are let go.
-struct Crowd {
+/// Idle clients that take all descriptors they can get, and reconnect as soon as they are closed.
+struct IdleClients {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn on(address: SocketAddr, size: usize) -> Crowd {
+impl IdleClients {
+    fn connect(address: SocketAddr, size: usize) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
         let thread = std::thread::spawn(move || {
@@ -201,44 +208,49 @@
                 std::thread::sleep(MS(5));
             }
         });
-        Crowd { stop, thread: Some(thread) }
+        IdleClients { stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// The list, the targets, the reports and the journal get their descriptors though idle clients take all that they can get,
-/// and discovery, which was silent meanwhile, is heard when it is back.
+/// The list, the targets, the reports and the journal keep their descriptors while idle clients
+/// take all that they can get, and a discovery that was silent meanwhile is used again once it
+/// answers.
 #[test]
-fn idle_clients_that_fill_the_descriptors_take_nothing_from_the_list_the_calls_and_the_reports() {
+fn idle_clients_cannot_exhaust_the_descriptors_of_the_list_the_calls_and_the_reports() {
     const DESCRIPTORS: u32 = 96;
     let (old, new) = (Server::start(|_| Reply::Silence), Server::start(|_| OK));
-    let platform = Platform::start(vec![line("s-1", old.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", old.address, 1, "active")]);
     let mut forwarder = Forwarder::start_with(&platform, |config| {
         config["limits"]["sockets"] = DESCRIPTORS.into();
     });
-    forwarder.restrict(DESCRIPTORS);
-    assert_eq!(forwarder.hand_in(&fee("ends").within(2_500)), 202);
-    assert_eq!(forwarder.hand_in(&update("moves", "k")), 202);
+    forwarder.restart_with_descriptor_limit(DESCRIPTORS);
+    assert_eq!(forwarder.submit(&fee("ends").deadline_ms(2_500)), 202);
+    assert_eq!(forwarder.submit(&update("moves", "k")), 202);
     eventually("the calls", || old.ids().len() == 2);
-    platform.fall_silent(true);
-    let crowd = Crowd::on(forwarder.listen, 3 * DESCRIPTORS as usize);
+    platform.set_silent(true);
+    let crowd = IdleClients::connect(forwarder.listen, 3 * DESCRIPTORS as usize);
     std::thread::sleep(MS(500));
-    platform.change(vec![line("s-1", old.address, 1, "leaving"), line("s-2", new.address, 1, "active")]);
-    platform.fall_silent(false);
-    eventually("the report", || platform.has("ends", "given_up"));
-    eventually("the list is told", || platform.has_told());
-    // Its call is cut off with the process; the crowd is there when it starts, and the journal is read all the same.
+    platform.set_list(vec![
+        list_entry("s-1", old.address, 1, "leaving"),
+        list_entry("s-2", new.address, 1, "active"),
+    ]);
+    platform.set_silent(false);
+    eventually("the report", || platform.has_notice("ends", "given_up"));
+    eventually("the list arrives", || platform.list_delivered());
+    // The call is cut off by the kill. The idle clients are present at the restart, and the journal
+    // must be read all the same.
     forwarder.kill();
-    forwarder.start_again();
+    forwarder.restart();
     eventually("the call", || new.ids() == ["moves"]);
     assert!(forwarder.is_running());
     drop(crowd);
-    eventually("clients are served", || forwarder.hand_in(&fee("after")) == 202);
+    eventually("clients are served", || forwarder.submit(&fee("after")) == 202);
     eventually("the call", || new.ids() == ["moves", "after"]);
 }
--- a/tests/forwarder/main.rs
+++ b/tests/forwarder/main.rs
@@ -1,4 +1,5 @@
-//! The forwarder as a process among stand-ins on loopback: the rules, restarts, and each failure found.
+//! Runs the forwarder as a process among stand-ins on loopback: delivery rules, restarts, and a
+//! regression test for each failure found.
 
 mod deployments;
 mod discovery;
@@ -18,34 +19,34 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// One target of destination 1, the platform that lists it, and a forwarder.
+/// Starts one target of destination 1, a platform that lists it, and a forwarder.
 fn one_target(
     behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static,
 ) -> (Arc<Server>, Platform, Forwarder) {
     let target = Server::start(behaviour);
-    let platform = Platform::start(vec![line("s-1", target.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", target.address, 1, "active")]);
     let forwarder = Forwarder::start(&platform);
     (target, platform, forwarder)
 }
 
 #[test]
-fn a_message_goes_on_unchanged_and_is_owed_nothing_once_delivered() {
+fn a_message_is_forwarded_unchanged_and_needs_no_notice_once_delivered() {
     let (target, platform, forwarder) = one_target(|_| OK);
     let body: Vec<u8> = (0..=255).cycle().take(64 * 1024).collect();
-    assert_eq!(forwarder.hand_in(&update("m1", "k").body(body.clone())), 202);
+    assert_eq!(forwarder.submit(&update("m1", "k").body(body.clone())), 202);
     eventually("the call", || target.ids() == ["m1"]);
     let call = &target.seen()[0];
     assert_eq!((call.method.as_str(), call.path.as_str()), ("POST", "/v1/messages"));
     assert_eq!(call.headers["idempotency-key"], "key-of-m1");
     assert!(call.headers["x-deadline"].ends_with('u'));
     assert!(call.body == body);
-    assert_eq!(forwarder.hand_in(&update("m2", "k")), 202);
-    eventually("the next of its key", || target.ids() == ["m1", "m2"]);
+    assert_eq!(forwarder.submit(&update("m2", "k")), 202);
+    eventually("the next message with the key", || target.ids() == ["m1", "m2"]);
     assert!(platform.notices().is_empty());
 }
 
 #[test]
-fn what_is_malformed_is_answered_and_harms_nothing() {
+fn malformed_requests_are_rejected_without_side_effects() {
     let (target, _platform, mut forwarder) = one_target(|_| OK);
     let text = String::from_utf8(update("m1", "k").bytes()).unwrap();
     let status =
@@ -57,7 +58,7 @@
     assert_eq!(status(text.replace("Idempotency-Key", "X-Other")), "400");
     assert_eq!(status(text.replace("/update/", "/unknown/")), "404");
     assert_eq!(status(text.replace("HTTP/1.1", "SPDY")), "400");
-    // Beyond what the class has, or a second one that a target could go by.
+    // A deadline beyond that of the class, or a duplicate header that a target might use.
     assert_eq!(status(text.replace("24000m", "24001m")), "400");
     assert_eq!(status(text.replace("24000m", "-5m")), "400");
     for name in [
@@ -71,16 +72,16 @@
     }
     assert_eq!(status(text.replace("Length: 1", "Length: -1")), "400");
     assert_eq!(status(text.replace("dest=1", "dest=999")), "503", "no such destination");
-    assert_eq!(forwarder.hand_in(&update("m2", "k").body(vec![0; 64 * 1024 + 1])), 413);
-    assert_eq!(forwarder.hand_in(&update("m3", "k")), 202);
+    assert_eq!(forwarder.submit(&update("m2", "k").body(vec![0; 64 * 1024 + 1])), 413);
+    assert_eq!(forwarder.submit(&update("m3", "k")), 202);
     eventually("the call", || target.ids() == ["m3"]);
     assert!(forwarder.is_running());
 }
 
-/// hyper drops a length beside `Transfer-Encoding`: the body then ends where the sender says, and what follows is
-/// taken for a request of its own.
+/// hyper drops `Content-Length` next to `Transfer-Encoding`. The body then ends where the sender
+/// says, and what follows is parsed as a second request.
 #[test]
-fn a_request_with_two_framings_is_turned_away_with_what_it_hides() {
+fn a_request_with_two_body_framings_is_rejected_with_the_request_hidden_in_it() {
     let (target, _platform, forwarder) = one_target(|_| OK);
     let hidden = String::from_utf8(fee("hidden").bytes()).unwrap();
     let chunked = "Transfer-Encoding: chunked";
@@ -95,17 +96,17 @@
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
         assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
     }
-    // Chunked alone is fine.
+    // Chunked encoding alone is accepted.
     let text = String::from_utf8(fee("chunked").bytes()).unwrap().replace("Content-Length: 1", chunked);
     let answer = forwarder.exchange(text.replace("\r\n\r\nx", "\r\n\r\n1\r\nx\r\n0\r\n\r\n").as_bytes());
     assert!(answer.starts_with("HTTP/1.1 202"), "{answer}");
     eventually("the call", || target.ids() == ["chunked"]);
 }
 
-/// Connections that say nothing, or stop in the middle, used to keep their places for up to a minute: the usual
-/// clients stood in line behind them.
+/// Connections that sent nothing, or stopped in the middle of a request, kept their slots for up to
+/// a minute while other clients waited behind them.
 #[test]
-fn connections_that_say_nothing_or_too_little_make_room() {
+fn silent_and_incomplete_connections_do_not_block_others() {
     let (target, _platform, forwarder) = one_target(|_| OK);
     let text = fee("never").body(vec![b'x'; 100]).bytes();
     let parts = [&b""[..], b"POST /fee HT", &text[..text.len() - 50]];
@@ -117,164 +118,173 @@
             stream
         })
         .collect();
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("the call", || target.ids() == ["m1"]);
     for mut stream in crowd {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        // An answer or nothing, and then the end.
+        // A response or nothing, and then the end of the stream.
         let end = stream.read_to_end(&mut Vec::new());
         assert!(!end.is_err_and(|e| e.kind() == ErrorKind::WouldBlock), "still open after {PATIENCE:?}");
     }
-    // Wide for slow machines.
+    // The limit is generous for slow machines.
     assert!(start.elapsed() < MS(10_000), "took {:?}", start.elapsed());
     assert_eq!(target.ids(), ["m1"]);
 }
 
-/// Clients that ask once and keep their connection used up what the front holds: others were turned away there.
+/// Clients that kept their connections after one request used up the slots, and others were
+/// refused.
 #[test]
-fn connections_that_have_asked_are_closed_when_they_crowd() {
+fn idle_connections_are_closed_when_slots_run_short() {
     let (_target, _platform, forwarder) = one_target(|_| OK);
     let mut kept: Vec<_> = (0..5).map(|_| forwarder.connect()).collect();
-    let closes = |kept: &mut Kept| kept.ask("/healthz").is_none_or(|head| head.contains("connection: close"));
+    let closes = |kept: &mut KeepAliveConnection| {
+        kept.get("/healthz").is_none_or(|head| head.contains("connection: close"))
+    };
     let first = kept.iter_mut().map(|k| usize::from(closes(k))).sum::<usize>();
-    assert_eq!(first, 0, "few are kept");
+    assert_eq!(first, 0, "few connections are open");
     kept.extend((0..95).map(|_| forwarder.connect()));
-    eventually("some are told to close", || kept.iter_mut().any(closes));
+    eventually("some connections are told to close", || kept.iter_mut().any(closes));
 }
 
-/// A second copy, from whomever it comes, used to be taken on as a message of its own.
+/// A duplicate submission, on any connection, was accepted as a separate message.
 #[test]
-fn an_id_that_was_handed_in_before_is_sent_once() {
+fn a_duplicate_id_is_sent_once() {
     let (target, platform, forwarder) = one_target(|_| Reply::Later(MS(300), 200));
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202, "held");
-    assert_eq!(forwarder.hand_in(&fee("m2")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202, "held");
+    assert_eq!(forwarder.submit(&fee("m2")), 202);
     eventually("the calls", || target.ids().contains(&"m2".to_string()));
     sleep(MS(500));
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202, "delivered");
+    assert_eq!(forwarder.submit(&fee("m1")), 202, "delivered");
     target.behave(|_| Reply::Status(500, ""));
-    assert_eq!(forwarder.hand_in(&fee("m3")), 202);
-    eventually("the notice", || platform.has("m3", "given_up"));
+    assert_eq!(forwarder.submit(&fee("m3")), 202);
+    eventually("the notice", || platform.has_notice("m3", "given_up"));
     target.behave(|_| OK);
-    assert_eq!(forwarder.hand_in(&fee("m3")), 409, "ended");
-    assert_eq!(forwarder.hand_in(&fee("m4")), 202);
-    eventually("the last", || target.ids().contains(&"m4".to_string()));
+    assert_eq!(forwarder.submit(&fee("m3")), 409, "ended");
+    assert_eq!(forwarder.submit(&fee("m4")), 202);
+    eventually("the last message", || target.ids().contains(&"m4".to_string()));
     assert_eq!(target.ids().iter().filter(|id| *id == "m1" || *id == "m3").count(), 2);
     assert_eq!(platform.notices().len(), 1);
 }
 
-/// What was learned of a target, and its idle connections, belong to its id at its address.
+/// What was learned of a target, and its idle connections, belong to one id at one address.
 #[test]
-fn a_new_id_at_an_old_address_and_an_old_id_at_a_new_one_get_connections_of_their_own() {
+fn connections_are_not_shared_between_target_ids_or_addresses() {
     let (old, new) = (Server::start(|_| OK), Server::start(|_| OK));
-    let platform = Platform::start(vec![line("s-1", old.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", old.address, 1, "active")]);
     let forwarder = Forwarder::start(&platform);
     let last = |target: &Server, id: &str| {
-        assert_eq!(forwarder.hand_in(&update(id, id)), 202);
+        assert_eq!(forwarder.submit(&update(id, id)), 202);
         eventually("the call", || target.ids().contains(&id.to_string()));
         target.seen().last().unwrap().connection
     };
     let first = last(&old, "m1");
-    platform.change(vec![line("s-2", old.address, 1, "active")]);
-    eventually("the list is told", || platform.has_told());
+    platform.set_list(vec![list_entry("s-2", old.address, 1, "active")]);
+    eventually("the list arrives", || platform.list_delivered());
     assert_ne!(last(&old, "m2"), first);
-    platform.change(vec![line("s-2", new.address, 1, "active")]);
-    eventually("the list is told", || platform.has_told());
+    platform.set_list(vec![list_entry("s-2", new.address, 1, "active")]);
+    eventually("the list arrives", || platform.list_delivered());
     last(&new, "m3");
-    platform.change(vec![line("s-2", new.address, 2, "active"), line("s-3", old.address, 1, "active")]);
-    eventually("the list is told", || platform.has_told());
+    platform.set_list(vec![
+        list_entry("s-2", new.address, 2, "active"),
+        list_entry("s-3", old.address, 1, "active"),
+    ]);
+    eventually("the list arrives", || platform.list_delivered());
     last(&old, "m4");
-    assert_eq!(forwarder.hand_in(&fee("m5").to(2)), 202);
+    assert_eq!(forwarder.submit(&fee("m5").to_destination(2)), 202);
     eventually("the call", || new.ids() == ["m3", "m5"]);
 }
 
 #[test]
-fn a_key_goes_one_at_a_time_and_in_order() {
+fn messages_with_a_key_are_sent_one_at_a_time_and_in_order() {
     let (target, _platform, forwarder) = one_target(|_| Reply::Later(MS(150), 200));
     for n in 0..5 {
-        assert_eq!(forwarder.hand_in(&update(&format!("m{n}"), "k")), 202);
+        assert_eq!(forwarder.submit(&update(&format!("m{n}"), "k")), 202);
     }
-    eventually("all calls", || target.seen().len() == 5);
+    eventually("all calls arrive", || target.seen().len() == 5);
     assert_eq!(target.ids(), ["m0", "m1", "m2", "m3", "m4"]);
     for pair in target.seen().windows(2) {
-        assert!(pair[1].at - pair[0].at >= MS(150), "two of a key were out at once");
+        assert!(pair[1].at - pair[0].at >= MS(150), "two messages with a key were in flight at once");
     }
 }
 
 #[test]
-fn nothing_goes_to_a_destination_during_a_wait() {
+fn nothing_is_sent_to_a_destination_during_a_requested_wait() {
     let (target, _platform, forwarder) = one_target(|_| Reply::Status(429, "X-Come-Back-Ms: 4000\r\n"));
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("the call", || target.seen().len() == 1);
     target.behave(|_| OK);
-    assert_eq!(forwarder.hand_in(&fee("m2")), 202);
-    eventually("both", || target.seen().len() == 3);
+    assert_eq!(forwarder.submit(&fee("m2")), 202);
+    eventually("both calls", || target.seen().len() == 3);
     assert!(target.seen()[1].at - target.seen()[0].at >= MS(4_000));
 }
 
 #[test]
-fn a_drained_target_gets_nothing_new() {
+fn a_drained_target_receives_no_new_calls() {
     let (old, new) = (Server::start(|_| OK), Server::start(|_| OK));
-    let platform = Platform::start(vec![line("s-1", old.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", old.address, 1, "active")]);
     let forwarder = Forwarder::start(&platform);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("the call", || old.seen().len() == 1);
-    platform.change(vec![line("s-1", old.address, 1, "leaving"), line("s-2", new.address, 1, "active")]);
-    eventually("the list is told", || platform.has_told());
+    platform.set_list(vec![
+        list_entry("s-1", old.address, 1, "leaving"),
+        list_entry("s-2", new.address, 1, "active"),
+    ]);
+    eventually("the list arrives", || platform.list_delivered());
     for n in 2..8 {
-        assert_eq!(forwarder.hand_in(&fee(&format!("m{n}"))), 202);
+        assert_eq!(forwarder.submit(&fee(&format!("m{n}"))), 202);
     }
     eventually("the calls", || new.seen().len() == 6);
     assert_eq!(old.seen().len(), 1);
 }
 
-/// The first watch fails; the list known from the configuration serves meanwhile.
+/// The first watch fails; the list from the configuration is used meanwhile.
 #[test]
-fn a_silent_discovery_leaves_the_known_list_in_use() {
+fn the_configured_list_is_used_while_discovery_is_silent() {
     let target = Server::start(|_| OK);
-    let platform = Platform::start(vec![line("s-1", target.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", target.address, 1, "active")]);
     platform.server.behave(|_| Reply::Close);
     let forwarder = Forwarder::start(&platform);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("the call", || target.ids() == ["m1"]);
-    eventually("discovery is asked again", || platform.server.seen().len() > 3);
+    eventually("discovery is contacted again", || platform.server.seen().len() > 3);
 }
 
 #[test]
-fn a_silent_target_gets_no_second_unsafe_attempt_and_the_end_is_told_in_time() {
+fn an_unsafe_message_to_a_silent_target_is_sent_once_and_reported_at_its_deadline() {
     let (target, platform, forwarder) = one_target(|_| Reply::Silence);
     let start = Instant::now();
-    assert_eq!(forwarder.hand_in(&fee("m1").within(800)), 202);
-    eventually("the notice", || platform.has("m1", "given_up"));
+    assert_eq!(forwarder.submit(&fee("m1").deadline_ms(800)), 202);
+    eventually("the notice", || platform.has_notice("m1", "given_up"));
     let notice = platform.server.seen().into_iter().find(|r| r.method == "POST").unwrap();
     assert!(notice.at - start >= MS(700), "ended early");
     assert_eq!(target.ids(), ["m1"]);
 }
 
 #[test]
-fn a_refusing_target_proves_that_nothing_ran() {
+fn a_refused_connection_counts_as_never_run() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let platform = Platform::start(vec![line("s-1", closed, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", closed, 1, "active")]);
     let forwarder = Forwarder::start(&platform);
-    assert_eq!(forwarder.hand_in(&fee("m1").within(600)), 202);
-    eventually("the notice", || platform.has("m1", "handed_back"));
+    assert_eq!(forwarder.submit(&fee("m1").deadline_ms(600)), 202);
+    eventually("the notice", || platform.has_notice("m1", "handed_back"));
 }
 
 #[test]
-fn odd_answers_count_as_perhaps_run() {
+fn unexpected_answers_count_as_may_have_run() {
     for raw in [&b"HTTP/1.1 abc\r\n\r\n"[..], b"\0\0\0\0", b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"] {
         let (target, platform, mut forwarder) = one_target(move |_| Reply::Raw(raw));
-        assert_eq!(forwarder.hand_in(&fee("m1").within(20_000)), 202);
-        eventually("the notice", || platform.has("m1", "given_up"));
+        assert_eq!(forwarder.submit(&fee("m1").deadline_ms(20_000)), 202);
+        eventually("the notice", || platform.has_notice("m1", "given_up"));
         assert_eq!(target.ids(), ["m1"]);
         assert!(forwarder.is_running());
     }
 }
 
-/// Found on a brink day (roll, lakeshore): a 200 that was read in the moments after the message's time counted as delivered here
-/// and not at the platform, which waited for the message's end for ever.
+/// A 200 that was read just after the message's deadline counted as delivered here but not at the
+/// platform, which then waited for the message's end indefinitely.
 #[test]
-fn an_answer_that_is_read_after_the_messages_time_is_not_its_only_end() {
+fn an_answer_read_after_the_deadline_still_produces_a_notice() {
     let held = Arc::new(AtomicBool::new(true));
     let holds = held.clone();
     let (target, platform, forwarder) = one_target(move |_| {
@@ -283,24 +293,25 @@
         }
         OK
     });
-    assert_eq!(forwarder.hand_in(&fee("m").within(800)), 202);
-    eventually("it is called", || target.seen().len() == 1);
+    assert_eq!(forwarder.submit(&fee("m").deadline_ms(800)), 202);
+    eventually("the call arrives", || target.seen().len() == 1);
     forwarder.signal("STOP");
     sleep(Duration::from_millis(900));
     held.store(false, Ordering::SeqCst);
     sleep(Duration::from_millis(100));
     forwarder.signal("CONT");
-    eventually("its end is told", || !platform.notices().is_empty());
+    eventually("the notice arrives", || !platform.notices().is_empty());
     assert_eq!(platform.notices(), [("m".to_string(), "given_up".to_string())]);
-    assert_eq!(forwarder.hand_in(&fee("next")), 202);
-    eventually("the next one goes", || target.seen().len() == 2);
+    assert_eq!(forwarder.submit(&fee("next")), 202);
+    eventually("the next message is sent", || target.seen().len() == 2);
     sleep(Duration::from_millis(100));
-    assert_eq!(platform.notices().len(), 1, "what is delivered in time needs no notice");
+    assert_eq!(platform.notices().len(), 1, "a message delivered in time needs no notice");
 }
 
-/// The first line is true though nothing else can be read: such messages used to be given up, or sent again.
+/// The status line is valid even if nothing after it can be parsed. Such messages were given up, or
+/// sent again.
 #[test]
-fn an_answer_that_says_200_delivers_whatever_follows() {
+fn a_200_status_line_delivers_whatever_follows() {
     let endless: &'static [u8] =
         Box::leak([&b"HTTP/1.1 200 OK\r\nX: "[..], &[b'x'; 100_000]].concat().into());
     for raw in [
@@ -313,9 +324,9 @@
     ] {
         let (target, platform, forwarder) = one_target(move |_| Reply::Raw(raw));
         let text = String::from_utf8_lossy(&raw[..raw.len().min(60)]).into_owned();
-        // One after another of a key: each goes once the one before is over.
+        // One after another: each is sent once the previous message with the key is over.
         for n in 0..3 {
-            assert_eq!(forwarder.hand_in(&update(&format!("m{n}"), "k")), 202);
+            assert_eq!(forwarder.submit(&update(&format!("m{n}"), "k")), 202);
         }
         eventually(&text, || target.ids() == ["m0", "m1", "m2"]);
         sleep(MS(400));
@@ -325,94 +336,95 @@
             seen[0].connection != seen[1].connection && seen[1].connection != seen[2].connection,
             "{text}"
         );
-        // Not held for a time-out. Wide for slow machines.
+        // The call did not last until a timeout. The limit is generous for slow machines.
         assert!(seen[2].at - seen[0].at < MS(6_000), "{text}");
     }
 }
 
 #[test]
-fn a_head_without_end_holds_no_call_until_its_time_is_up() {
+fn an_incomplete_response_head_does_not_hold_the_call_until_its_deadline() {
     for raw in [&b"HTTP/1.1 500 No\r\nX: "[..], b"HTTP/1.1 2", b"HTTP/1.1 101 Other\r\nUpgrade: x\r\n\r\n"] {
         let (target, platform, forwarder) = one_target(move |_| Reply::Raw(raw));
         let start = Instant::now();
-        assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-        eventually("the notice", || platform.has("m1", "given_up"));
+        assert_eq!(forwarder.submit(&fee("m1")), 202);
+        eventually("the notice", || platform.has_notice("m1", "given_up"));
         assert!(start.elapsed() < MS(10_000), "took {:?}", start.elapsed());
         target.behave(|_| OK);
-        assert_eq!(forwarder.hand_in(&fee("m2")), 202);
-        eventually("the next", || target.ids() == ["m1", "m2"]);
+        assert_eq!(forwarder.submit(&fee("m2")), 202);
+        eventually("the next message", || target.ids() == ["m1", "m2"]);
         assert_ne!(target.seen()[0].connection, target.seen()[1].connection);
     }
 }
 
-/// What is behind an answer must not be taken for that of the next call.
+/// Bytes after an answer must not be taken as the answer to the next call.
 #[test]
-fn a_connection_that_brings_more_than_its_answer_is_not_used_again() {
+fn a_connection_with_bytes_after_the_answer_is_not_reused() {
     let raw = b"HTTP/1.1 503 Full\r\nX-Load: x0=no,x1=1e999\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let (target, _platform, forwarder) = one_target(move |_| Reply::Raw(raw));
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("some calls", || target.seen().len() >= 4);
     let seen = target.seen();
     assert!(seen.windows(2).all(|pair| pair[0].connection != pair[1].connection));
 }
 
 #[test]
-fn a_wait_that_is_out_of_all_measure_is_still_a_wait() {
+fn an_absurdly_long_wait_is_honoured() {
     let (target, _platform, forwarder) = one_target(|_| Reply::Status(429, "X-Come-Back-Ms: 1e30\r\n"));
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("the call", || target.seen().len() == 1);
     sleep(MS(3_000));
     assert_eq!(target.seen().len(), 1);
 }
 
 #[test]
-fn the_table_of_outcomes_is_kept() {
-    // Never ran: an unsafe message goes again.
+fn each_status_has_its_specified_outcome() {
+    // Not executed: an unsafe message is sent again.
     for (status, headers) in [(503, ""), (503, "X-Line-Busy: 1\r\n"), (429, "X-Come-Back-Ms: 1\r\n")] {
         let (target, platform, forwarder) = one_target(move |_| Reply::Status(status, headers));
-        assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+        assert_eq!(forwarder.submit(&fee("m1")), 202);
         eventually("the first call", || !target.seen().is_empty());
         target.behave(|_| OK);
         eventually("another call", || target.seen().len() > 1);
         assert!(platform.notices().is_empty(), "{status} {headers}");
     }
-    // May have run: it ends, and goes to nobody again.
+    // Possibly executed: the message ends and is not sent again.
     let (target, platform, forwarder) = one_target(|_| Reply::Status(500, ""));
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-    eventually("the notice", || platform.has("m1", "given_up"));
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
+    eventually("the notice", || platform.has_notice("m1", "given_up"));
     assert_eq!(target.ids(), ["m1"]);
-    // Over: nothing is owed. Its key is free for the next.
+    // Over: nothing more is owed, and the next message with the key is sent.
     let (target, platform, forwarder) =
         one_target(|r| Reply::Status(if r.id() == "m1" { 410 } else { 200 }, ""));
-    assert_eq!(forwarder.hand_in(&update("m1", "k")), 202);
-    assert_eq!(forwarder.hand_in(&update("m2", "k")), 202);
+    assert_eq!(forwarder.submit(&update("m1", "k")), 202);
+    assert_eq!(forwarder.submit(&update("m2", "k")), 202);
     eventually("the calls", || target.ids() == ["m1", "m2"]);
     assert!(platform.notices().is_empty());
-    // Out of attempts: the end is still owed.
+    // Out of attempts: the message's end is still owed.
     let (_target, platform, forwarder) = one_target(|_| Reply::Status(504, ""));
-    assert_eq!(forwarder.hand_in(&fee("m1").within(2_000)), 202);
-    eventually("the notice", || platform.has("m1", "handed_back"));
+    assert_eq!(forwarder.submit(&fee("m1").deadline_ms(2_000)), 202);
+    eventually("the notice", || platform.has_notice("m1", "handed_back"));
 }
 
-/// A target that closes an idle connection unannounced must not cost an unsafe message its only attempt.
+/// A target that closes an idle connection without notice must not use up the only attempt of an
+/// unsafe message.
 #[test]
-fn a_stale_connection_meets_no_call() {
+fn no_call_is_sent_on_a_stale_connection() {
     let (target, platform, forwarder) = one_target(|_| Reply::OkAndClose);
     for n in 0..20 {
-        assert_eq!(forwarder.hand_in(&fee(&format!("m{n}"))), 202);
+        assert_eq!(forwarder.submit(&fee(&format!("m{n}"))), 202);
         eventually("the call and the close", || target.closed.load(Ordering::SeqCst) == n + 1);
     }
     assert!(platform.notices().is_empty());
 }
 
 #[test]
-fn an_idle_connection_is_used_again_but_not_past_its_time() {
+fn an_idle_connection_is_reused_until_its_idle_timeout() {
     let target = Server::start(|_| OK);
-    let platform = Platform::start(vec![line("s-1", target.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", target.address, 1, "active")]);
     let forwarder =
         Forwarder::start_with(&platform, |c| c["settings"]["limits"]["conn_idle"] = 2_000_000.into());
     let connection = |id: &str| {
-        assert_eq!(forwarder.hand_in(&fee(id)), 202);
+        assert_eq!(forwarder.submit(&fee(id)), 202);
         eventually("the call", || target.ids().contains(&id.to_string()));
         sleep(MS(50));
         target.seen().last().unwrap().connection
@@ -420,49 +432,49 @@
     let burst: Vec<usize> = (0..12).map(|n| connection(&format!("m{n}"))).collect();
     assert!(burst.windows(2).any(|pair| pair[0] == pair[1]), "never used again: {burst:?}");
     sleep(MS(2_000));
-    assert!(!burst.contains(&connection("late")), "used past its time");
+    assert!(!burst.contains(&connection("late")), "reused after its idle timeout");
 }
 
 #[test]
-fn a_killed_forwarder_takes_up_its_messages_again() {
+fn a_killed_forwarder_resumes_its_messages() {
     let (target, platform, mut forwarder) = one_target(|_| Reply::Silence);
-    assert_eq!(forwarder.hand_in(&fee("unsafe")), 202);
+    assert_eq!(forwarder.submit(&fee("unsafe")), 202);
     eventually("the unsafe call", || target.ids() == ["unsafe"]);
     for id in ["first", "second", "third"] {
-        assert_eq!(forwarder.hand_in(&update(id, "k")), 202);
+        assert_eq!(forwarder.submit(&update(id, "k")), 202);
     }
-    assert_eq!(forwarder.hand_in(&fee("short").within(600)), 202);
+    assert_eq!(forwarder.submit(&fee("short").deadline_ms(600)), 202);
     forwarder.kill();
     target.behave(|_| OK);
     sleep(MS(700));
-    forwarder.start_again();
+    forwarder.restart();
     eventually("the calls", || target.ids().contains(&"third".to_string()));
     let again: Vec<_> = target.ids().into_iter().filter(|id| !id.contains("unsafe")).collect();
-    assert_eq!(again, ["first", "second", "third"], "in their order, and nothing past its time");
-    eventually("what may have run is given up", || platform.has("unsafe", "given_up"));
-    eventually("what is past its time has its end", || platform.notices().iter().any(|n| n.0 == "short"));
+    assert_eq!(again, ["first", "second", "third"], "in order, without expired messages");
+    eventually("a message that may have run is given up", || platform.has_notice("unsafe", "given_up"));
+    eventually("the expired message has its outcome", || platform.notices().iter().any(|n| n.0 == "short"));
     assert_eq!(target.ids().iter().filter(|id| *id == "unsafe").count(), 1);
-    // All that was before the last of the key is over: nothing of it comes again.
-    assert_eq!(forwarder.hand_in(&update("last", "k")), 202);
-    eventually("the last", || target.ids().contains(&"last".to_string()));
+    // All messages before the last one with the key are over, and none of them is sent again.
+    assert_eq!(forwarder.submit(&update("last", "k")), 202);
+    eventually("the last message", || target.ids().contains(&"last".to_string()));
     let others = || target.ids().into_iter().filter(|id| id != "last").collect::<Vec<_>>();
     let before = others();
     forwarder.kill();
-    forwarder.start_again();
-    assert_eq!(forwarder.hand_in(&update("new", "k")), 202);
-    eventually("the new one", || target.ids().contains(&"new".to_string()));
+    forwarder.restart();
+    assert_eq!(forwarder.submit(&update("new", "k")), 202);
+    eventually("the new message", || target.ids().contains(&"new".to_string()));
     assert_eq!(others(), [before, vec!["new".to_string()]].concat());
 }
 
 #[test]
-fn a_forwarder_killed_at_any_moment_loses_and_repeats_nothing() {
+fn a_forwarder_killed_at_random_moments_loses_and_repeats_nothing() {
     let (target, platform, mut forwarder) = one_target(|_| Reply::Later(MS(15), 200));
     let mut taken = Vec::new();
     for round in 0..8 {
         let start = Instant::now();
         for n in 0.. {
             let id = format!("m{round}-{n}");
-            if forwarder.hand_in(&fee(&id)) == 202 {
+            if forwarder.submit(&fee(&id)) == 202 {
                 taken.push(id);
             }
             if start.elapsed() > MS(40 + 7 * round) {
@@ -470,9 +482,9 @@
             }
         }
         forwarder.kill();
-        forwarder.start_again();
+        forwarder.restart();
     }
-    eventually("each has its end", || {
+    eventually("each message has its outcome", || {
         let (ids, notices) = (target.ids(), platform.notices());
         taken.iter().all(|id| ids.contains(id) || notices.iter().any(|n| n.0 == *id))
     });
@@ -481,14 +493,15 @@
     assert!(ids.windows(2).all(|pair| pair[0] != pair[1]), "an unsafe message was sent twice");
 }
 
-/// A release that kills a whole fleet: all at once, in the middle of calls, with their folders kept, and no discovery that tells
-/// anything after it. `FOLDTRACK_FLEET` is how many; there is room for hundreds on a large machine.
+/// A release kills a whole fleet at once, in the middle of calls. The state folders are kept, and
+/// discovery is silent afterwards. `FOLDTRACK_FLEET` sets the number of forwarders; a large machine
+/// has room for hundreds.
 #[test]
-fn a_fleet_killed_at_once_takes_up_its_messages_while_discovery_is_silent() {
+fn a_fleet_killed_at_once_resumes_its_messages_while_discovery_is_silent() {
     let count: u32 =
         std::env::var("FOLDTRACK_FLEET").map_or(6, |n| n.parse().expect("FOLDTRACK_FLEET is a count"));
     let target = Server::start(|_| Reply::Later(MS(120), 200));
-    let platform = Platform::start(vec![line("s-1", target.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", target.address, 1, "active")]);
     let mut fleet: Vec<Forwarder> = (0..count)
         .map(|_| Forwarder::start_with(&platform, |c| c["settings"]["balancers"] = count.into()))
         .collect();
@@ -496,25 +509,26 @@
     for n in 0..8 {
         for (f, forwarder) in fleet.iter().enumerate() {
             let (paid, told) = (fee(&format!("p{f}-{n}")), update(&format!("u{f}-{n}"), &format!("k{f}")));
-            for letter in [paid, told] {
-                assert_eq!(forwarder.hand_in(&letter), 202);
-                taken.push(letter.id);
+            for submission in [paid, told] {
+                assert_eq!(forwarder.submit(&submission), 202);
+                taken.push(submission.id);
             }
         }
     }
-    platform.fall_silent(true);
+    platform.set_silent(true);
     fleet.iter_mut().for_each(Forwarder::kill);
     let before = target.seen().len();
-    assert!(before < taken.len(), "nothing was left to take up");
+    assert!(before < taken.len(), "no message was left to resume");
     let restart = Instant::now();
-    fleet.iter_mut().for_each(Forwarder::start_again);
-    eventually("the first is sent on by the list that is known", || target.seen().len() > before);
-    // Each start waits a quarter of a second for the list, one after another here.
+    fleet.iter_mut().for_each(Forwarder::restart);
+    eventually("a message is sent by the cached list", || target.seen().len() > before);
+    // Each start waits a quarter of a second for the list, and the forwarders start one after
+    // another here.
     assert!(restart.elapsed() < MS(2_000) * count, "after {:?}", restart.elapsed());
     let answered = || platform.notices().into_iter().map(|n| n.0).collect::<Vec<_>>();
-    eventually("what the list is not needed for", || target.ids().iter().any(|id| id.ends_with("-7")));
-    platform.fall_silent(false);
-    eventually("each has its end", || {
+    eventually("the last messages are sent", || target.ids().iter().any(|id| id.ends_with("-7")));
+    platform.set_silent(false);
+    eventually("each message has its outcome", || {
         let (ids, told) = (target.ids(), answered());
         taken.iter().all(|id| ids.contains(id) || told.contains(id))
     });
@@ -523,44 +537,47 @@
         let paid = format!("p{f}-{n}");
         assert!(ids.iter().filter(|id| **id == paid).count() <= 1, "{paid} was sent twice");
     }
-    // A call that was out at the kill may come again, before anything later of its key.
+    // A call in flight at the kill may be repeated, before any later message with its key.
     for f in 0..fleet.len() {
         let own: Vec<&String> = ids.iter().filter(|id| id.starts_with(&format!("u{f}-"))).collect();
         assert!(own.windows(2).all(|pair| pair[0] <= pair[1]), "out of order: {own:?}");
     }
 }
 
-/// A line that is cut resets nothing: the call stays out, the notice that its time calls for is not answered. It arrives once
-/// the line is back, and the payment was sent once.
+/// Packets are lost without a reset: the call stays open, and the notice sent at the deadline gets
+/// no answer. The notice must arrive once the network is back, and the payment must have been sent
+/// once.
 #[test]
-fn a_message_that_runs_out_behind_a_cut_line_gets_its_notice_when_the_line_is_back() {
+fn a_message_that_expires_during_a_partition_gets_its_notice_afterwards() {
     let (target, platform, forwarder) = one_target(|_| Reply::Silence);
-    assert_eq!(forwarder.hand_in(&fee("m1").within(700)), 202);
+    assert_eq!(forwarder.submit(&fee("m1").deadline_ms(700)), 202);
     eventually("the call", || target.ids() == ["m1"]);
-    platform.fall_silent(true);
+    platform.set_silent(true);
     let sent = || platform.server.seen().iter().filter(|r| r.method == "POST").count();
-    eventually("the notice goes again and again", || sent() > 2);
+    eventually("the notice is repeated", || sent() > 2);
     let before = sent();
-    platform.fall_silent(false);
-    eventually("the notice is taken", || sent() > before);
-    assert_eq!(forwarder.hand_in(&update("m2", "k")), 202);
+    platform.set_silent(false);
+    eventually("the notice is acknowledged", || sent() > before);
+    assert_eq!(forwarder.submit(&update("m2", "k")), 202);
     sleep(MS(600));
-    assert!(platform.has("m1", "given_up") && target.ids().iter().filter(|id| *id == "m1").count() == 1);
-    // What was taken does not go again.
+    assert!(
+        platform.has_notice("m1", "given_up") && target.ids().iter().filter(|id| *id == "m1").count() == 1
+    );
+    // An acknowledged notice is not sent again.
     let taken = sent();
     sleep(MS(600));
     assert_eq!(sent(), taken);
 }
 
-/// A count of forwarders that is missing, nothing or beyond belief, and limits that make no sense.
+/// A number of forwarders that is missing, 0 or implausibly large, and invalid limits.
 #[test]
-fn settings_that_make_no_sense_stop_neither_the_start_nor_a_message() {
+fn invalid_settings_prevent_neither_startup_nor_delivery() {
     use serde_json::{json, Value};
     for (balancers, weight) in
         [(Value::Null, -5.0), (json!(0), 0.0), (json!(300), 1e300), (json!(u32::MAX), 0.0)]
     {
         let target = Server::start(|_| Reply::Headers(200, "X-Load: x0=-1,x1=1e400\r\n".into()));
-        let mut server = line("s-1", target.address, 1, "active");
+        let mut server = list_entry("s-1", target.address, 1, "active");
         server["weight"] = json!(weight);
         let platform = Platform::start(vec![server]);
         let forwarder = Forwarder::start_with(&platform, |config| {
@@ -571,52 +588,52 @@
             config["settings"]["weight_source"] = "nominal".into();
         });
         for id in ["m1", "m2", "m3"] {
-            assert_eq!(forwarder.hand_in(&fee(id)), 202, "{balancers} {weight}");
+            assert_eq!(forwarder.submit(&fee(id)), 202, "{balancers} {weight}");
         }
         eventually("the calls", || target.ids().len() == 3);
     }
 }
 
 #[test]
-fn sigterm_lets_calls_end_and_the_journal_keeps_the_rest() {
+fn sigterm_lets_calls_finish_and_the_journal_keeps_the_rest() {
     let target = Server::start(|_| Reply::Later(MS(1_000), 200));
     let there = Server::start(|_| OK);
-    let out = line("s-1", target.address, 1, "active");
-    let platform = Platform::start(vec![out.clone(), line("s-2", there.address, 2, "leaving")]);
+    let out = list_entry("s-1", target.address, 1, "active");
+    let platform = Platform::start(vec![out.clone(), list_entry("s-2", there.address, 2, "leaving")]);
     let mut forwarder = Forwarder::start(&platform);
-    assert_eq!(forwarder.hand_in(&fee("out")), 202);
+    assert_eq!(forwarder.submit(&fee("out")), 202);
     eventually("the call", || target.ids() == ["out"]);
-    // Nothing there is to be used yet.
-    assert_eq!(forwarder.hand_in(&fee("held").to(2)), 202);
+    // The target is not usable yet.
+    assert_eq!(forwarder.submit(&fee("held").to_destination(2)), 202);
     let start = Instant::now();
     let mut kept = forwarder.connect();
     forwarder.signal("TERM");
-    eventually("its answers close their connections", || match kept.ask("/healthz") {
+    eventually("responses close their connections", || match kept.get("/healthz") {
         Some(head) => head.contains("connection: close"),
         None => true,
     });
-    // Taken on or, on a machine too slow for that, not heard.
-    let late = forwarder.hand_in(&fee("late").to(2));
+    // Accepted, or not received at all on a slow machine.
+    let late = forwarder.submit(&fee("late").to_destination(2));
     assert!(late == 202 || late == 0, "{late}");
     assert!(forwarder.wait().success());
-    // It does not wait for what is held; the limit is wide for slow machines.
+    // The shutdown does not wait for held messages. The limit is generous for slow machines.
     assert!(start.elapsed() < MS(10_000), "took {:?}", start.elapsed());
     assert!(platform.notices().is_empty());
-    platform.change(vec![out, line("s-2", there.address, 2, "active")]);
-    forwarder.start_again();
-    eventually("the rest", || there.ids().len() == 1 + usize::from(late == 202));
+    platform.set_list(vec![out, list_entry("s-2", there.address, 2, "active")]);
+    forwarder.restart();
+    eventually("the remaining messages", || there.ids().len() == 1 + usize::from(late == 202));
     assert!(there.ids().contains(&"held".to_string()));
     assert_eq!(target.ids(), ["out"]);
     assert!(platform.notices().is_empty());
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_damage_elsewhere_is_passed_over() {
+fn a_torn_journal_tail_is_truncated_and_other_damage_is_skipped() {
     let (target, _platform, mut forwarder) = one_target(|_| Reply::Silence);
-    assert_eq!(forwarder.hand_in(&fee("out")), 202);
+    assert_eq!(forwarder.submit(&fee("out")), 202);
     eventually("the call", || target.ids() == ["out"]);
     for id in ["first", "second", "third"] {
-        assert_eq!(forwarder.hand_in(&update(id, "k").body(id.into())), 202);
+        assert_eq!(forwarder.submit(&update(id, "k").body(id.into())), 202);
     }
     forwarder.kill();
     let mut bytes = fs::read(forwarder.journal()).unwrap();
@@ -625,40 +642,40 @@
     bytes.truncate(bytes.len() - 3);
     fs::write(forwarder.journal(), bytes).unwrap();
     target.behave(|_| OK);
-    forwarder.start_again();
-    eventually("the sound one", || target.ids().contains(&"first".to_string()));
-    assert_eq!(forwarder.hand_in(&update("fourth", "k")), 202);
-    eventually("the new one", || target.ids().contains(&"fourth".to_string()));
+    forwarder.restart();
+    eventually("the intact message", || target.ids().contains(&"first".to_string()));
+    assert_eq!(forwarder.submit(&update("fourth", "k")), 202);
+    eventually("the new message", || target.ids().contains(&"fourth".to_string()));
     assert_eq!(target.ids(), ["out", "first", "fourth"]);
-    // What was written behind the cut is sound.
+    // Records written after the truncated tail are intact.
     forwarder.kill();
-    forwarder.start_again();
-    assert_eq!(forwarder.hand_in(&update("fifth", "k")), 202);
-    eventually("the next", || target.ids().contains(&"fifth".to_string()));
+    forwarder.restart();
+    assert_eq!(forwarder.submit(&update("fifth", "k")), 202);
+    eventually("the next message", || target.ids().contains(&"fifth".to_string()));
     assert!(!target.ids().iter().any(|id| id == "second" || id == "third"), "{:?}", target.ids());
 }
 
 #[test]
-fn the_journal_stays_within_its_room() {
+fn the_journal_stays_within_its_size_limit() {
     let target = Server::start(|_| OK);
-    let platform = Platform::start(vec![line("s-1", target.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", target.address, 1, "active")]);
     let room = 400_000;
     let mut forwarder = Forwarder::start_with(&platform, |c| c["limits"]["disk_mb"] = 0.4.into());
     let watched = |forwarder: &Forwarder| {
         let on_disk = forwarder.on_disk();
         assert!(on_disk <= room, "{on_disk} of {room} bytes");
     };
-    // Far more than the room in all, little of it at once.
+    // Far more than the limit in total, but little of it at any time.
     for n in 0..60 {
-        assert_eq!(forwarder.hand_in(&fee(&format!("m{n}")).body(vec![7; 30_000])), 202, "message {n}");
+        assert_eq!(forwarder.submit(&fee(&format!("m{n}")).body(vec![7; 30_000])), 202, "message {n}");
         eventually("the call", || target.seen().len() == n + 1);
         watched(&forwarder);
     }
-    // More at once than there is room for.
+    // More at once than the journal has space for.
     target.behave(|_| Reply::Silence);
     let statuses: Vec<u16> = (0..20)
         .map(|n| {
-            let status = forwarder.hand_in(&fee(&format!("n{n}")).body(vec![7; 30_000]));
+            let status = forwarder.submit(&fee(&format!("n{n}")).body(vec![7; 30_000]));
             watched(&forwarder);
             status
         })
@@ -667,17 +684,18 @@
     assert!(taken >= 3 && statuses.ends_with(&[503]), "{statuses:?}");
     forwarder.kill();
     target.behave(|_| OK);
-    forwarder.start_again();
+    forwarder.restart();
     watched(&forwarder);
     let ends = || platform.notices().len() + target.ids().iter().filter(|id| id.starts_with('n')).count();
-    eventually("those taken on have their end", || ends() > taken);
-    eventually("there is room again", || forwarder.hand_in(&fee("more").body(vec![7; 30_000])) == 202);
+    eventually("the accepted messages have their outcome", || ends() > taken);
+    eventually("capacity is available again", || forwarder.submit(&fee("more").body(vec![7; 30_000])) == 202);
     watched(&forwarder);
 }
 
-/// Frozen while a client hands in and leaves: the client hands the message in elsewhere.
+/// The process is stopped while a client submits a message and disconnects. The client will submit
+/// the message elsewhere.
 #[test]
-fn a_message_whose_client_has_gone_before_the_answer_is_not_sent() {
+fn a_message_whose_client_disconnects_before_the_reply_is_not_sent() {
     let (target, platform, forwarder) = one_target(|_| OK);
     forwarder.signal("STOP");
     let mut stream = TcpStream::connect(forwarder.listen).unwrap();
@@ -685,7 +703,7 @@
     drop(stream);
     sleep(MS(50));
     forwarder.signal("CONT");
-    assert_eq!(forwarder.hand_in(&fee("here")), 202);
+    assert_eq!(forwarder.submit(&fee("here")), 202);
     eventually("the call", || target.ids().contains(&"here".to_string()));
     sleep(MS(100));
     assert_eq!(target.ids(), ["here"]);
@@ -693,119 +711,129 @@
 }
 
 #[test]
-fn notices_go_again_until_they_are_taken_also_after_a_restart() {
+fn notices_are_repeated_until_acknowledged_also_after_a_restart() {
     let (_target, platform, mut forwarder) = one_target(|_| Reply::Status(500, ""));
     platform.server.behave(|r| if r.method == "POST" { Reply::Status(503, "") } else { Reply::Silence });
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("two tries", || platform.notices().len() >= 2);
     forwarder.kill();
     let before = platform.notices().len();
     platform.server.behave(|r| if r.method == "POST" { Reply::Status(204, "") } else { Reply::Silence });
-    forwarder.start_again();
-    eventually("another", || platform.notices().len() > before);
+    forwarder.restart();
+    eventually("another notice", || platform.notices().len() > before);
     sleep(MS(300));
-    assert_eq!(platform.notices().len(), before + 1, "sent on though taken");
+    assert_eq!(platform.notices().len(), before + 1, "repeated although acknowledged");
     assert!(platform.notices().iter().all(|n| n == &("m1".to_string(), "given_up".to_string())));
 }
 
-/// A message that ends by a notice is over when that is answered: the next of its key went out before.
+/// A message that ends by a notice is over only when the notice is acknowledged. The next message
+/// with its key was sent before that.
 #[test]
-fn a_key_waits_for_the_notice_of_an_earlier_message_over_a_restart_too() {
+fn a_key_waits_for_an_earlier_messages_notice_also_over_a_restart() {
     let (target, platform, mut forwarder) = one_target(|_| Reply::Status(504, ""));
     platform.server.behave(|r| if r.method == "POST" { Reply::Status(503, "") } else { Reply::Silence });
-    assert_eq!(forwarder.hand_in(&update("m1", "k").within(700)), 202);
-    assert_eq!(forwarder.hand_in(&update("m2", "k").within(1_400)), 202);
-    assert_eq!(forwarder.hand_in(&update("m3", "k")), 202);
-    assert_eq!(forwarder.hand_in(&update("other", "l")), 202);
-    eventually("what waits past its time has its end too", || platform.has("m2", "handed_back"));
+    assert_eq!(forwarder.submit(&update("m1", "k").deadline_ms(700)), 202);
+    assert_eq!(forwarder.submit(&update("m2", "k").deadline_ms(1_400)), 202);
+    assert_eq!(forwarder.submit(&update("m3", "k")), 202);
+    assert_eq!(forwarder.submit(&update("other", "l")), 202);
+    eventually("an expired waiting message has its outcome too", || platform.has_notice("m2", "handed_back"));
     eventually("the notice is tried", || platform.notices().iter().filter(|n| n.0 == "m1").count() >= 3);
     target.behave(|_| OK);
     forwarder.kill();
-    forwarder.start_again();
-    eventually("other keys go on", || target.ids().contains(&"other".to_string()));
+    forwarder.restart();
+    eventually("other keys are not blocked", || target.ids().contains(&"other".to_string()));
     eventually("the notice is tried", || platform.notices().iter().filter(|n| n.0 == "m1").count() >= 8);
-    assert!(!target.ids().contains(&"m3".to_string()), "sent though m1 is not over");
+    assert!(!target.ids().contains(&"m3".to_string()), "sent although m1 is not finished");
     platform.server.behave(|r| if r.method == "POST" { Reply::Status(204, "") } else { Reply::Silence });
-    eventually("the next of the key", || target.ids().contains(&"m3".to_string()));
+    eventually("the next message with the key", || target.ids().contains(&"m3".to_string()));
 }
 
-/// A send that waits for a notice is decided anew after it: what was told meanwhile holds for it too.
+/// A send that waited for a notice is decided again afterwards, so that changes made meanwhile
+/// apply to it too.
 #[test]
-fn a_send_that_has_waited_goes_by_the_list_of_its_own_moment() {
+fn a_delayed_send_uses_the_list_at_the_time_it_is_sent() {
     let (old, new) = (Server::start(|_| Reply::Status(504, "")), Server::start(|_| OK));
-    let platform = Platform::start(vec![line("s-1", old.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", old.address, 1, "active")]);
     let forwarder = Forwarder::start(&platform);
-    assert_eq!(forwarder.hand_in(&update("m1", "k").within(700)), 202);
-    eventually("the list is told", || platform.has_told());
+    assert_eq!(forwarder.submit(&update("m1", "k").deadline_ms(700)), 202);
+    eventually("the list arrives", || platform.list_delivered());
     platform.refuse_notices(true);
-    assert_eq!(forwarder.hand_in(&update("m2", "k")), 202);
+    assert_eq!(forwarder.submit(&update("m2", "k")), 202);
     eventually("the notice is tried", || platform.notices().len() >= 3);
-    platform.change(vec![line("s-1", old.address, 1, "leaving"), line("s-2", new.address, 1, "active")]);
-    eventually("the list is told", || platform.has_told());
+    platform.set_list(vec![
+        list_entry("s-1", old.address, 1, "leaving"),
+        list_entry("s-2", new.address, 1, "active"),
+    ]);
+    eventually("the list arrives", || platform.list_delivered());
     platform.refuse_notices(false);
     eventually("the call", || new.ids() == ["m2"]);
     assert!(!old.ids().contains(&"m2".to_string()));
 }
 
-/// A drain that was told before a restart holds after it, though the configuration still lists the target.
+/// A drain announced before a restart holds after it, even if the configuration still lists the
+/// target as active.
 #[test]
-fn a_restart_asks_for_the_list_before_it_sends() {
+fn a_restart_requests_the_list_before_it_sends() {
     let (old, new) = (Server::start(|_| Reply::Silence), Server::start(|_| OK));
-    let platform = Platform::start(vec![line("s-1", old.address, 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", old.address, 1, "active")]);
     let mut forwarder = Forwarder::start(&platform);
     for id in ["m1", "m2"] {
-        assert_eq!(forwarder.hand_in(&update(id, "k")), 202);
+        assert_eq!(forwarder.submit(&update(id, "k")), 202);
     }
     eventually("the call", || old.ids() == ["m1"]);
     forwarder.kill();
-    platform.change(vec![line("s-1", old.address, 1, "leaving"), line("s-2", new.address, 1, "active")]);
-    forwarder.start_again();
+    platform.set_list(vec![
+        list_entry("s-1", old.address, 1, "leaving"),
+        list_entry("s-2", new.address, 1, "active"),
+    ]);
+    forwarder.restart();
     eventually("the calls", || new.ids() == ["m1", "m2"]);
     assert_eq!(old.ids(), ["m1"]);
 }
 
-/// One failure used to end all calls to a destination that only unsafe messages go to: they kept away from it
-/// until another had been served there.
+/// One failure stopped all calls to a destination that receives only unsafe messages: they avoided
+/// it until another message had succeeded there.
 #[test]
-fn after_a_failure_unsafe_messages_alone_try_a_destination_again() {
+fn unsafe_messages_alone_retry_a_destination_after_a_failure() {
     let (target, platform, forwarder) = one_target(|_| Reply::Status(500, ""));
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-    eventually("the notice", || platform.has("m1", "given_up"));
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
+    eventually("the notice", || platform.has_notice("m1", "given_up"));
     target.behave(|_| OK);
-    assert_eq!(forwarder.hand_in(&fee("m2")), 202);
+    assert_eq!(forwarder.submit(&fee("m2")), 202);
     eventually("the call", || target.ids() == ["m1", "m2"]);
 }
 
-/// Found with a zone cut off: what a line holds back is sent on by the kernel after the call was given up and its connection
-/// closed, so that a message arrived after its client had been told that it failed, or behind its own repeat.
+/// The kernel of a partitioned host sent buffered data after the call had been given up and its
+/// connection closed. The message arrived after its client had been told that it failed, or after
+/// its own repeat.
 #[test]
-fn a_call_that_is_given_up_does_not_arrive_later() {
+fn a_call_that_was_given_up_does_not_arrive_later() {
     let target = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    // Little is taken in until somebody reads: the rest stays with the sender.
+    // The small receive buffer leaves the rest with the sender until somebody reads.
     target.set_recv_buffer_size(4096).unwrap();
     target.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     target.listen(8).unwrap();
     let target = std::net::TcpListener::from(target);
-    let platform = Platform::start(vec![line("s-1", target.local_addr().unwrap(), 1, "active")]);
+    let platform = Platform::start(vec![list_entry("s-1", target.local_addr().unwrap(), 1, "active")]);
     let forwarder = Forwarder::start(&platform);
-    let letter = fee("m1").within(600).body(vec![7; 64 * 1024]);
-    assert_eq!(forwarder.hand_in(&letter), 202);
+    let submission = fee("m1").deadline_ms(600).body(vec![7; 64 * 1024]);
+    assert_eq!(forwarder.submit(&submission), 202);
     let (mut call, _) = target.accept().unwrap();
-    eventually("the notice", || platform.has("m1", "given_up"));
+    eventually("the notice", || platform.has_notice("m1", "given_up"));
     call.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut came = Vec::new();
     let end = call.read_to_end(&mut came);
-    assert!(came.len() < 64 * 1024, "all of it came: {} bytes, {end:?}", came.len());
+    assert!(came.len() < 64 * 1024, "all of it arrived: {} bytes, {end:?}", came.len());
 }
 
-/// The answer to an attempt that was given up comes on a connection that nothing else uses.
+/// The answer to an attempt that was given up arrives on a connection that nothing else uses.
 #[test]
-fn a_late_answer_reaches_no_later_attempt() {
+fn a_late_answer_is_not_taken_for_a_later_attempt() {
     let (target, platform, forwarder) = one_target(|_| Reply::Later(MS(900), 500));
-    assert_eq!(forwarder.hand_in(&fee("m1").within(400)), 202);
-    eventually("the notice", || platform.has("m1", "given_up"));
+    assert_eq!(forwarder.submit(&fee("m1").deadline_ms(400)), 202);
+    eventually("the notice", || platform.has_notice("m1", "given_up"));
     target.behave(|_| OK);
-    assert_eq!(forwarder.hand_in(&update("m2", "k")), 202);
+    assert_eq!(forwarder.submit(&update("m2", "k")), 202);
     eventually("the call", || target.ids().contains(&"m2".to_string()));
     sleep(MS(1_000));
     assert_eq!(platform.notices().len(), 1);
@@ -813,35 +841,37 @@
     assert_ne!(seen[0].connection, seen[1].connection);
 }
 
-/// SIGHUP used to end the process. The old address holds its watch open without an answer, and so it does with
-/// the notice that it has: neither is waited for.
+/// SIGHUP ended the process. The old address leaves both its watch and the notice that it received
+/// unanswered, and neither must be waited for.
 #[test]
-fn sighup_moves_the_watch_and_the_notices_to_the_discovery_of_the_file() {
+fn sighup_moves_the_watch_and_the_notices_to_the_configured_discovery() {
     let (old, new) = (Server::start(|_| Reply::Status(500, "")), Server::start(|_| OK));
-    let first = Platform::start(vec![line("s-1", old.address, 1, "active")]);
-    first.change(vec![line("s-1", old.address, 1, "active")]);
+    let first = Platform::start(vec![list_entry("s-1", old.address, 1, "active")]);
+    first.set_list(vec![list_entry("s-1", old.address, 1, "active")]);
     let mut forwarder = Forwarder::start(&first);
-    eventually("the list is told", || first.has_told());
+    eventually("the list arrives", || first.list_delivered());
     first.server.behave(|_| Reply::Silence);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-    eventually("the notice is tried", || first.has("m1", "given_up"));
-    // Its versions begin anew.
-    let second = Platform::start(vec![line("s-2", new.address, 1, "active")]);
-    forwarder.move_to(&second);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
+    eventually("the notice is tried", || first.has_notice("m1", "given_up"));
+    // The versions of the new discovery start again.
+    let second = Platform::start(vec![list_entry("s-2", new.address, 1, "active")]);
+    forwarder.move_discovery_to(&second);
     let start = Instant::now();
-    eventually("the list and the notice", || second.has_told() && second.has("m1", "given_up"));
-    // Far less than a watch that hangs, though wide for slow machines.
+    eventually("the list and the notice arrive", || {
+        second.list_delivered() && second.has_notice("m1", "given_up")
+    });
+    // Far less than the timeout of a watch, but generous for slow machines.
     assert!(start.elapsed() < MS(3_000), "took {:?}", start.elapsed());
-    assert_eq!(forwarder.hand_in(&fee("m2")), 202);
+    assert_eq!(forwarder.submit(&fee("m2")), 202);
     eventually("the call", || new.ids() == ["m2"]);
-    // Again and again, the last counts.
-    let third = Platform::start(vec![line("s-3", old.address, 1, "active")]);
+    // After several changes in a row the last one is in force.
+    let third = Platform::start(vec![list_entry("s-3", old.address, 1, "active")]);
     for platform in [&first, &second, &third] {
-        forwarder.move_to(platform);
+        forwarder.move_discovery_to(platform);
     }
-    eventually("the list", || third.has_told());
-    assert_eq!(forwarder.hand_in(&fee("m3")), 202);
-    eventually("the notice", || third.has("m3", "given_up"));
+    eventually("the list", || third.list_delivered());
+    assert_eq!(forwarder.submit(&fee("m3")), 202);
+    eventually("the notice", || third.has_notice("m3", "given_up"));
     forwarder.signal("HUP");
     forwarder.signal("TERM");
     forwarder.signal("HUP");
@@ -849,7 +879,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_leaves_discovery_where_it_is() {
+fn an_unreadable_configuration_leaves_the_discovery_address_unchanged() {
     let (target, platform, mut forwarder) = one_target(|_| OK);
     let path = forwarder.folder.path().join("config.json");
     for text in ["{", "{\"discovery\":\"nowhere\"}"] {
@@ -857,31 +887,31 @@
         forwarder.signal("HUP");
         sleep(MS(400));
     }
-    platform.change(vec![line("s-2", target.address, 2, "active")]);
-    eventually("the watch goes on", || platform.has_told());
+    platform.set_list(vec![list_entry("s-2", target.address, 2, "active")]);
+    eventually("the watch continues", || platform.list_delivered());
     fs::remove_file(&path).unwrap();
     forwarder.signal("HUP");
-    assert_eq!(forwarder.hand_in(&update("m1", "k").to(2)), 202);
+    assert_eq!(forwarder.submit(&update("m1", "k").to_destination(2)), 202);
     eventually("the call", || target.ids() == ["m1"]);
     assert!(forwarder.is_running());
 }
 
 #[test]
-fn a_line_of_the_list_that_cannot_be_read_hides_no_other() {
+fn an_unreadable_list_entry_hides_no_other_entry() {
     let target = Server::start(|_| OK);
-    let platform = Platform::start(vec![line("s-2", target.address, 1, "leaving")]);
+    let platform = Platform::start(vec![list_entry("s-2", target.address, 1, "leaving")]);
     let forwarder = Forwarder::start(&platform);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
-    let mut odd = line("s-0", target.address, 1, "active");
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
+    let mut odd = list_entry("s-0", target.address, 1, "active");
     odd["state"] = "asleep".into();
-    platform.change(vec![odd, line("s-1", target.address, 1, "active")]);
+    platform.set_list(vec![odd, list_entry("s-1", target.address, 1, "active")]);
     eventually("the call", || target.ids() == ["m1"]);
 }
 
-/// Nothing is bounded by the size of today's fleet: 1,024 forwarders by the settings, 1,024 targets by an indented list that
-/// comes in small pieces, and a message to each.
+/// Nothing is limited to the size of current fleets: 1,024 forwarders in the settings, an indented
+/// list of 1,024 targets that arrives in small pieces, and one message to each target.
 #[test]
-fn a_thousand_targets_and_forwarders_are_no_bound() {
+fn a_thousand_targets_and_forwarders_are_supported() {
     const MANY: u32 = 1024;
     let target = Server::start(|_| OK);
     let at = target.address;
@@ -889,47 +919,54 @@
         if request.path.contains("since=") {
             return Reply::Silence;
         }
-        let servers = (0..MANY).map(|n| line(&format!("s-{n}"), at, n, "active")).collect::<Vec<_>>();
+        let servers = (0..MANY).map(|n| list_entry(&format!("s-{n}"), at, n, "active")).collect::<Vec<_>>();
         let list = serde_json::json!({"version": 7, "full": true, "servers": servers});
         Reply::InPieces(serde_json::to_vec_pretty(&list).unwrap(), 300)
     });
-    let platform = Platform::start(vec![line("s-0", at, 0, "active")]);
+    let platform = Platform::start(vec![list_entry("s-0", at, 0, "active")]);
     let forwarder = Forwarder::start_with(&platform, |config| {
         config["discovery"] = discovery.address.to_string().into();
         config["settings"]["balancers"] = MANY.into();
         config["settings"]["limits"]["max_open"] = (2 * MANY).into();
-        // A group of forwarders sees a returning partner pushed over by few calls of each: not what is asked here.
+        // In a fleet of this size a few calls per forwarder would overload a returning partner.
+        // That protection is not the subject of this test.
         config["settings"]["contract"]["tip_after"] = 1_000.into();
     });
-    eventually("the last target is known", || forwarder.hand_in(&update("last", "k").to(MANY - 1)) == 202);
+    eventually("the last target is listed", || {
+        forwarder.submit(&update("last", "k").to_destination(MANY - 1)) == 202
+    });
     for n in 0..MANY {
-        assert_eq!(forwarder.hand_in(&update(&format!("m{n}"), &format!("k{n}")).to(n)), 202, "{n}");
+        assert_eq!(
+            forwarder.submit(&update(&format!("m{n}"), &format!("k{n}")).to_destination(n)),
+            202,
+            "{n}"
+        );
     }
     eventually("all are delivered", || target.ids().len() == MANY as usize + 1);
     let mut ids = target.ids();
     ids.sort();
     ids.dedup();
-    assert_eq!(ids.len(), MANY as usize + 1, "one came twice");
+    assert_eq!(ids.len(), MANY as usize + 1, "one was sent twice");
 }
 
 #[test]
-fn running_out_of_descriptors_is_survived() {
+fn the_forwarder_survives_running_out_of_descriptors() {
     let (target, platform, mut forwarder) = one_target(|_| OK);
-    forwarder.restrict(32);
+    forwarder.restart_with_descriptor_limit(32);
     let crowd: Vec<_> = (0..60).map(|_| forwarder.connect()).collect();
     sleep(MS(100));
-    // The configuration can't be read just now: discovery stays where it is.
+    // The configuration cannot be read at the moment, so discovery keeps its address.
     forwarder.signal("HUP");
     sleep(MS(300));
     assert!(forwarder.is_running());
     drop(crowd);
-    eventually("it serves again", || forwarder.hand_in(&update("m1", "k")) == 202);
+    eventually("the forwarder serves again", || forwarder.submit(&update("m1", "k")) == 202);
     eventually("the call", || target.ids() == ["m1"]);
     assert!(platform.notices().is_empty());
 }
 
 #[test]
-fn what_it_cannot_start_with_is_said_in_a_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     for text in [None, Some("{"), Some("{\"listen\":\"127.0.0.1:0\"}")] {
@@ -943,11 +980,12 @@
     }
 }
 
-/// What a site of its own has is off under the platform: one file, one thread, no socket but those of the protocol.
+/// The features of a site file are off under the platform: one file, one thread, and no sockets
+/// except those of the protocol.
 #[test]
-fn under_the_platform_there_is_no_control_line_no_kept_end_and_no_other_thread() {
+fn under_the_platform_there_is_no_control_socket_no_stored_outcome_and_one_thread() {
     let (target, _platform, forwarder) = one_target(|_| OK);
-    assert_eq!(forwarder.hand_in(&fee("m1")), 202);
+    assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("the call", || target.ids() == ["m1"]);
     let state = forwarder.folder.path().join("state");
     let files: Vec<_> = fs::read_dir(state).unwrap().map(|f| f.unwrap().file_name()).collect();
--- a/tests/forwarder/world.rs
+++ b/tests/forwarder/world.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback for all that a forwarder talks to, and the forwarder as a process.
+//! Stand-ins on loopback for everything that a forwarder talks to, and the forwarder as a process.
 
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,9 +13,9 @@
 pub use foldtrack_standin::http::*;
 pub use foldtrack_standin::{eventually, PATIENCE};
 
-/// Version and lines of the list, and news of a change.
+/// Version and entries of the list, and a condition variable that signals changes.
 type List = (Mutex<(u64, Vec<Value>)>, Condvar);
-/// Discovery and the takers of notices.
+/// Stand-in for the platform: serves the list and receives notices.
 pub struct Platform {
     pub server: Arc<Server>,
     list: Arc<List>,
@@ -23,24 +23,27 @@
     silent: Arc<AtomicBool>,
 }
 
-pub fn line(id: &str, address: SocketAddr, cell: u32, state: &str) -> Value {
+/// An entry of the list.
+pub fn list_entry(id: &str, address: SocketAddr, cell: u32, state: &str) -> Value {
     json!({"id": id, "addr": address.to_string(), "zone": "z", "kind": "k", "cell": cell, "state": state,
         "weight": 0.0, "started_ms": 0})
 }
 
+/// A full list in discovery's format.
 fn list_text(version: u64, servers: &[Value]) -> Value {
     json!({"version": version, "full": true, "servers": servers})
 }
 
 impl Platform {
+    /// Starts the platform with a list of these entries.
     pub fn start(servers: Vec<Value>) -> Platform {
         let list = Arc::new((Mutex::new((1, servers)), Condvar::new()));
         let (shared, refuses) = (list.clone(), Arc::new(AtomicBool::new(false)));
         let refused = refuses.clone();
         let silent = Arc::new(AtomicBool::new(false));
-        let says_nothing = silent.clone();
+        let silent_now = silent.clone();
         let server = Server::start(move |request| match request.path.split_once("since=") {
-            _ if says_nothing.load(Ordering::SeqCst) => Reply::Silence,
+            _ if silent_now.load(Ordering::SeqCst) => Reply::Silence,
             _ if request.method == "POST" && refused.load(Ordering::SeqCst) => Reply::Status(503, ""),
             _ if request.method == "POST" => Reply::Status(204, ""),
             None => {
@@ -63,28 +66,30 @@
         Platform { server, list, refuses, silent }
     }
 
+    /// Rejects notices with 503, or accepts them again.
     pub fn refuse_notices(&self, refuse: bool) {
         self.refuses.store(refuse, Ordering::SeqCst);
     }
 
-    /// Takes calls in, of any kind, and answers none: as behind a line that is cut.
-    pub fn fall_silent(&self, silent: bool) {
+    /// Accepts requests without answering them, as behind a partition, or answers again.
+    pub fn set_silent(&self, silent: bool) {
         self.silent.store(silent, Ordering::SeqCst);
     }
 
-    pub fn change(&self, servers: Vec<Value>) {
+    /// Replaces the list by a new version.
+    pub fn set_list(&self, servers: Vec<Value>) {
         let mut list = self.list.0.lock().unwrap();
         *list = (list.0 + 1, servers);
         self.list.1.notify_all();
     }
 
-    /// The watch that follows a list has been asked for: the list has arrived.
-    pub fn has_told(&self) -> bool {
+    /// Whether the list has arrived: the watch after it has been requested.
+    pub fn list_delivered(&self) -> bool {
         let since = format!("since={}&", self.list.0.lock().unwrap().0);
         self.server.seen().iter().any(|r| r.path.contains(&since))
     }
 
-    /// Outcomes by message, in the order in which they were reported.
+    /// Message ids and outcomes of all notices, in the order of arrival.
     pub fn notices(&self) -> Vec<(String, String)> {
         let posts = self.server.seen().into_iter().filter(|r| r.method == "POST");
         let text = posts.map(|r| String::from_utf8(r.body).unwrap()).collect::<String>();
@@ -94,18 +99,20 @@
             .collect()
     }
 
-    pub fn has(&self, id: &str, outcome: &str) -> bool {
+    /// Whether a notice with this outcome was received.
+    pub fn has_notice(&self, id: &str, outcome: &str) -> bool {
         self.notices().contains(&(id.to_string(), outcome.to_string()))
     }
 }
 
-/// The forwarder's process with its folders, under an address of its own that it keeps over restarts.
+/// The forwarder's process with its folders. It keeps its address over restarts.
 pub struct Forwarder {
     pub listen: SocketAddr,
     pub folder: TempDir,
     child: Child,
 }
 
+/// A configuration with one `update` and one `fee` class.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, servers: &[Value]) -> Value {
     json!({
         "name": "n1", "listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
@@ -128,8 +135,8 @@
     })
 }
 
-/// A free address that no other test uses: each has a host number of its own.
-fn own_address() -> SocketAddr {
+/// An unused address; each test has its own host number.
+fn unused_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let host = NEXT.fetch_add(1, Ordering::Relaxed);
     let part = std::process::id() as usize % 250;
@@ -142,8 +149,9 @@
         Forwarder::start_with(platform, |_| ())
     }
 
+    /// Starts a forwarder with a changed configuration.
     pub fn start_with(platform: &Platform, change: impl Fn(&mut Value)) -> Forwarder {
-        let listen = own_address();
+        let listen = unused_address();
         let folder = tempfile::tempdir().unwrap();
         let mut config = config(listen, platform.server.address, &platform.list.0.lock().unwrap().1);
         change(&mut config);
@@ -151,17 +159,17 @@
         std::fs::create_dir(folder.path().join("state")).unwrap();
         let child = Forwarder::spawn(&folder);
         let forwarder = Forwarder { listen, folder, child };
-        forwarder.is_ready();
+        forwarder.wait_until_ready();
         forwarder
     }
 
-    /// Starts it again with so many descriptors at most.
-    pub fn restrict(&mut self, descriptors: u32) {
+    /// Restarts the process with a limit on file descriptors.
+    pub fn restart_with_descriptor_limit(&mut self, descriptors: u32) {
         self.kill();
         let mut shell = Command::new("/bin/sh");
         shell.args(["-c", &format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_foldtrack"))]);
         self.child = Forwarder::spawn_by(shell, &self.folder);
-        self.is_ready();
+        self.wait_until_ready();
     }
 
     fn spawn(folder: &TempDir) -> Child {
@@ -181,7 +189,7 @@
             .unwrap()
     }
 
-    fn is_ready(&self) {
+    fn wait_until_ready(&self) {
         let health = "GET /healthz HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n";
         eventually("the forwarder is ready", || self.exchange(health.as_bytes()).starts_with("HTTP/1.1 200"));
     }
@@ -190,7 +198,7 @@
         self.folder.path().join("state/journal/00000001")
     }
 
-    /// Bytes in the folder that lasts, as the deploy page counts them.
+    /// Size of the state folder in bytes, as the deploy page counts it.
     pub fn on_disk(&self) -> u64 {
         fn count(folder: &std::path::Path) -> u64 {
             let entries = std::fs::read_dir(folder).unwrap().filter_map(|entry| Some(entry.ok()?.path()));
@@ -203,8 +211,8 @@
         count(&self.folder.path().join("state"))
     }
 
-    /// Replaces the configuration by one that names this platform, and says so.
-    pub fn move_to(&self, platform: &Platform) {
+    /// Replaces discovery's address in the configuration and sends SIGHUP.
+    pub fn move_discovery_to(&self, platform: &Platform) {
         let path = self.folder.path().join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
         config["discovery"] = platform.server.address.to_string().into();
@@ -221,16 +229,18 @@
         assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
     }
 
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    pub fn start_again(&mut self) {
+    pub fn restart(&mut self) {
         self.child = Forwarder::spawn(&self.folder);
-        self.is_ready();
+        self.wait_until_ready();
     }
 
+    /// Waits until the process ends.
     pub fn wait(&mut self) -> ExitStatus {
         eventually("the process ends", || self.child.try_wait().unwrap().is_some());
         self.child.wait().unwrap()
@@ -240,7 +250,7 @@
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// Sends bytes on a new connection and gives what comes back until it is closed.
+    /// Sends bytes on a new connection and returns the response until the connection is closed.
     pub fn exchange(&self, bytes: &[u8]) -> String {
         let Ok(mut stream) = TcpStream::connect(self.listen) else { return String::new() };
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -249,15 +259,16 @@
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    pub fn connect(&self) -> Kept {
+    /// Opens a keep-alive connection.
+    pub fn connect(&self) -> KeepAliveConnection {
         let stream = TcpStream::connect(self.listen).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Kept { stream: BufReader::new(stream) }
+        KeepAliveConnection { stream: BufReader::new(stream) }
     }
 
-    /// Hands a message in and gives the status of the answer.
-    pub fn hand_in(&self, letter: &Letter) -> u16 {
-        let answer = self.exchange(&letter.bytes());
+    /// Submits a message and returns the status of the response, 0 if there was none.
+    pub fn submit(&self, submission: &Submission) -> u16 {
+        let answer = self.exchange(&submission.bytes());
         answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
@@ -269,14 +280,15 @@
     }
 }
 
-/// A connection that a client keeps.
-pub struct Kept {
+/// A client connection that stays open between requests.
+pub struct KeepAliveConnection {
     stream: BufReader<TcpStream>,
 }
 
-impl Kept {
-    /// The head of the answer in lower case, or nothing if the connection has ended.
-    pub fn ask(&mut self, path: &str) -> Option<String> {
+impl KeepAliveConnection {
+    /// Sends a GET and returns the head of the response in lower case, or none if the connection
+    /// has ended.
+    pub fn get(&mut self, path: &str) -> Option<String> {
         let request = format!("GET {path} HTTP/1.1\r\nHost: f\r\n\r\n");
         self.stream.get_mut().write_all(request.as_bytes()).ok()?;
         let mut head = String::new();
@@ -287,8 +299,8 @@
     }
 }
 
-/// A message as a client writes it.
-pub struct Letter {
+/// A message as a client submits it.
+pub struct Submission {
     pub id: String,
     pub path: String,
     pub destination: u32,
@@ -296,8 +308,9 @@
     pub body: Vec<u8>,
 }
 
-pub fn update(id: &str, key: &str) -> Letter {
-    Letter {
+/// A message of the keyed class `update`.
+pub fn update(id: &str, key: &str) -> Submission {
+    Submission {
         id: id.into(),
         path: format!("/update/{key}"),
         destination: 1,
@@ -306,25 +319,27 @@
     }
 }
 
-pub fn fee(id: &str) -> Letter {
-    Letter { path: "/fee".into(), ..update(id, "") }
+/// A message of the unsafe class `fee`.
+pub fn fee(id: &str) -> Submission {
+    Submission { path: "/fee".into(), ..update(id, "") }
 }
 
-impl Letter {
-    pub fn to(self, destination: u32) -> Letter {
-        Letter { destination, ..self }
+impl Submission {
+    pub fn to_destination(self, destination: u32) -> Submission {
+        Submission { destination, ..self }
     }
 
-    pub fn within(self, left_ms: u64) -> Letter {
-        Letter { left_ms, ..self }
+    pub fn deadline_ms(self, left_ms: u64) -> Submission {
+        Submission { left_ms, ..self }
     }
 
-    pub fn body(self, body: Vec<u8>) -> Letter {
-        Letter { body, ..self }
+    pub fn body(self, body: Vec<u8>) -> Submission {
+        Submission { body, ..self }
     }
 
+    /// The HTTP request.
     pub fn bytes(&self) -> Vec<u8> {
-        let Letter { id, path, destination, left_ms, body } = self;
+        let Submission { id, path, destination, left_ms, body } = self;
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: f\r\nConnection: close\r\nX-Request-Id: {id}\r\nX-Deadline: {left_ms}m\r\n\
              Idempotency-Key: key-of-{id}\r\nX-Consignee: dest={destination}\r\nContent-Length: {}\r\n\r\n",
