--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -1,7 +1,7 @@
 //! Blocks of clients by order, kept over restarts in a file of their own, and what the control line is told of clients. All
 //! of it runs on the control line's thread: the loop is not asked.
 
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use crate::places::Places;
 use foldtrack_admission::Event;
 use foldtrack_control::{self as control, ClientLine, Clients, Holding, KernelSockets};
@@ -82,9 +82,9 @@
             Err(e) => return Err(told(&e)),
         };
         let clock = places.clock();
-        let now = clock.unix(clock.now());
+        let now = clock.unix_time(clock.now());
         for Kept { network, until } in kept.iter().filter(|kept| kept.until > now) {
-            places.block(*network, clock.since_unix(*until)).map_err(|e| told(&e))?;
+            places.block(*network, clock.time_at_unix(*until)).map_err(|e| told(&e))?;
         }
         let events = broadcast::Sender::new(EVENTS);
         Ok(Arc::new(Blocks {
@@ -157,12 +157,12 @@
     /// Writes all that stands into a new file and puts it in the old one's place: whole or not at all, also when the power
     /// goes.
     fn keep(&self) -> io::Result<()> {
-        let _one = locked(&self.keeping);
+        let _one = lock_ignoring_poison(&self.keeping);
         let clock = self.places.clock();
         let now = clock.now();
         let standing = self.places.blocks().into_iter().filter(|(_, until)| *until > now);
         let kept: Vec<Kept> =
-            standing.map(|(network, until)| Kept { network, until: clock.unix(until) }).collect();
+            standing.map(|(network, until)| Kept { network, until: clock.unix_time(until) }).collect();
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let mut file = tempfile::NamedTempFile::new_in(folder)?;
         file.write_all(&serde_json::to_vec(&kept)?)?;
@@ -191,12 +191,12 @@
             let clock = self.places.clock();
             // Nobody need have subscribed.
             let _ = self.events.send(control::Event {
-                at: clock.unix(clock.now()),
+                at: clock.unix_time(clock.now()),
                 kind: kind.into(),
                 address: address.map_or(String::new(), |a| a.to_string()),
                 text: line.clone(),
             });
-            let mut floods = locked(&self.floods);
+            let mut floods = lock_ignoring_poison(&self.floods);
             floods.insert(0, line);
             floods.truncate(FLOODS);
         }
@@ -207,7 +207,7 @@
         let clock = self.places.clock();
         // Nobody may be listening.
         let _ = self.events.send(control::Event {
-            at: clock.unix(clock.now()),
+            at: clock.unix_time(clock.now()),
             kind: kind.into(),
             text: text.into(),
             ..control::Event::default()
@@ -221,7 +221,7 @@
 
     /// What the kernel tells of the listener's sockets, now or a moment ago.
     fn kernel(&self) -> Option<KernelSockets> {
-        let mut last = locked(&self.kernel);
+        let mut last = lock_ignoring_poison(&self.kernel);
         match &*last {
             Some((at, told)) if at.elapsed() < KERNEL_FRESH => told.clone(),
             _ => {
@@ -275,7 +275,7 @@
         Clients {
             clients: self.places.seen(most).into_iter().map(client).collect(),
             blocks: blocks.map(|(network, left)| (network.to_string(), left)).collect(),
-            floods: locked(&self.floods).clone(),
+            floods: lock_ignoring_poison(&self.floods).clone(),
             descriptors,
             lingering: self.places.lingering() as u32,
             kernel: self.kernel(),
--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -2,7 +2,7 @@
 //! thousand messages of all classes, and each rule checked from the partners' own books.
 
 use super::{fleet, say, show, Ended, Failure, FAILED};
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use clap::Args;
 use foldtrack_control::{Ask, Client, Partner as Shown, Status, Told};
 use foldtrack_load::exchange::{post, Exchange};
@@ -185,7 +185,7 @@
         let id = format!("demo-{n}");
         let request = post(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
         match kept.ask(&request, true).map(|answer| answer.status) {
-            Some(202) => drop(locked(&sent.taken).insert(id, class)),
+            Some(202) => drop(lock_ignoring_poison(&sent.taken).insert(id, class)),
             Some(503) => drop(sent.refused.fetch_add(1, Ordering::SeqCst)),
             _ => drop(sent.failed.fetch_add(1, Ordering::SeqCst)),
         }
@@ -202,7 +202,7 @@
         else {
             return Err(Failure(FAILED, "the forwarder answers something else than it was asked".into()));
         };
-        let given = locked(&sent.taken).len() as u64
+        let given = lock_ignoring_poison(&sent.taken).len() as u64
             + sent.refused.load(Ordering::SeqCst)
             + sent.failed.load(Ordering::SeqCst);
         let over = given >= messages && status.held == 0;
@@ -240,7 +240,7 @@
     status: &Status, partners: &[Shown], ends: &BTreeMap<String, Vec<String>>, books: &[(&str, Books)],
     sent: &Sent, took: Duration,
 ) -> Ended {
-    let taken = locked(&sent.taken);
+    let taken = lock_ignoring_poison(&sent.taken);
     let verdict = judge(books.iter().map(|(_, b)| b));
     let effect = |call: &&foldtrack_standin::books::Call| matches!(call.fate, Fate::Took | Fate::Swallowed);
     let effects: BTreeSet<&str> =
--- a/src/bin/foldtrack/cli/mod.rs
+++ b/src/bin/foldtrack/cli/mod.rs
@@ -301,7 +301,7 @@
 fn run(command: Command) -> Ended {
     match command {
         Command::Serve { site, disk_budget, clock_offset, clock_rate, end_with_input } => {
-            Clock::rehearse(clock_offset, clock_rate).map_err(|e| Failure(WRONG, e)).and_then(|()| {
+            Clock::simulate(clock_offset, clock_rate).map_err(|e| Failure(WRONG, e)).and_then(|()| {
                 if end_with_input {
                     std::thread::spawn(|| {
                         // Whatever comes is nothing to it; that nothing comes any more is.
--- a/src/bin/foldtrack/clients.rs
+++ b/src/bin/foldtrack/clients.rs
@@ -1,8 +1,8 @@
 //! The HTTP server that clients hand their messages in to.
 
 use crate::clock::Clock;
-use crate::door::{Answer, Input, Inputs, Stage};
 use crate::ends_api::{self, Fronts};
+use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::message::Message;
 use crate::places::{Places, Seat};
 use crate::streams::{HeadScan, Scanned};
@@ -52,7 +52,7 @@
 pub(crate) struct Desk {
     pub settings: Arc<Parsed>,
     pub clock: Clock,
-    pub inputs: Inputs,
+    pub events: EventSender,
     pub stage: watch::Receiver<Stage>,
     /// Bytes of bodies that may still be read before their messages are handed on.
     pub bodies: Semaphore,
@@ -264,9 +264,9 @@
         (&Method::GET, path) if path.starts_with("/v1/") => {
             let Some(fronts) = &desk.fronts else { return closing(plain(StatusCode::NOT_FOUND)) };
             match path.strip_prefix("/v1/messages/") {
-                Some(id) => ends_api::message(id, &desk.inputs).await,
+                Some(id) => ends_api::message(id, &desk.events).await,
                 None if path == "/v1/ends" => {
-                    ends_api::ends(request.uri().query().unwrap_or(""), fronts, &desk.inputs).await
+                    ends_api::ends(request.uri().query().unwrap_or(""), fronts, &desk.events).await
                 }
                 None => plain(StatusCode::NOT_FOUND),
             }
@@ -301,16 +301,16 @@
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
     let message = read(request, known, desk).await?;
     let (reply, answer) = oneshot::channel();
-    desk.inputs.send(Input::HandIn { message: Arc::new(message), known, reply });
+    desk.events.send(LoopEvent::Submit { message: Arc::new(message), from_known_client: known, reply });
     match answer.await {
-        Ok(Answer::TakenOn(mut receipt)) => {
+        Ok(SubmitReply::Accepted(mut receipt)) => {
             // When the client has closed, the connection drops this future before it comes here.
             receipt.written = true;
             Ok(plain(StatusCode::ACCEPTED))
         }
-        Ok(Answer::Refused { retry_in_ms }) => Ok(refused(retry_in_ms)),
-        Ok(Answer::Known { over: false }) => Ok(plain(StatusCode::ACCEPTED)),
-        Ok(Answer::Known { over: true }) => Err(StatusCode::CONFLICT),
+        Ok(SubmitReply::Refused { retry_in_ms }) => Ok(refused(retry_in_ms)),
+        Ok(SubmitReply::Duplicate { over: false }) => Ok(plain(StatusCode::ACCEPTED)),
+        Ok(SubmitReply::Duplicate { over: true }) => Err(StatusCode::CONFLICT),
         Err(_) => Err(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
--- a/src/bin/foldtrack/clock.rs
+++ b/src/bin/foldtrack/clock.rs
@@ -22,7 +22,7 @@
     /// The value at the start of the process, so that earlier times can be represented too.
     const START: Micros = 1 << 40;
 
-    /// Starts a clock, shifted and scaled if [`Clock::rehearse`] was called before.
+    /// Starts a clock, shifted and scaled if [`Clock::simulate`] was called before.
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let (offset, rate) = SIMULATION.get().copied().unwrap_or((0.0, 1.0));
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// The offset or the rate is out of range.
-    pub fn rehearse(offset: f64, rate: f64) -> Result<(), String> {
+    pub fn simulate(offset: f64, rate: f64) -> Result<(), String> {
         if !(0.5..=2.0).contains(&rate) || !(-1e9..=1e9).contains(&offset) {
             return Err(format!(
                 "clock offset {offset} s and rate {rate}: the rate must be from 0.5 to 2, the offset 30 years at most"
@@ -62,7 +62,7 @@
 
     /// The time now as Unix time in microseconds.
     pub fn unix_now(&self) -> Micros {
-        self.unix(self.now())
+        self.unix_time(self.now())
     }
 
     /// Real time since the start.
@@ -83,12 +83,12 @@
     }
 
     /// Converts a time to Unix time in microseconds.
-    pub fn unix(&self, at: Micros) -> Micros {
+    pub fn unix_time(&self, at: Micros) -> Micros {
         (self.unix_start + at).saturating_sub(Self::START)
     }
 
     /// Converts Unix time in microseconds to a time.
-    pub fn since_unix(&self, unix: Micros) -> Micros {
+    pub fn time_at_unix(&self, unix: Micros) -> Micros {
         (Self::START + unix).saturating_sub(self.unix_start)
     }
 }
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -50,11 +50,11 @@
     /// Whether a reply waits until its record is on stable storage.
     pub durable: bool,
     /// Only for a deployment with a site file.
-    pub site: Option<SiteParts>,
+    pub site: Option<SiteConfig>,
 }
 
 /// What a deployment with a site file has in addition to one under a platform.
-pub(crate) struct SiteParts {
+pub(crate) struct SiteConfig {
     pub site: Site,
     pub ends: Store,
     /// The peers of the site, if it has any.
--- a/src/bin/foldtrack/control.rs
+++ b/src/bin/foldtrack/control.rs
@@ -3,8 +3,8 @@
 
 use crate::blocks::{Blocks, LONGEST_MS};
 use crate::descriptors::{Descriptors, Drawn};
-use crate::door::{Ask as Front, Input, Inputs, Picture};
-use crate::lock::locked;
+use crate::events::{EventSender, LoopEvent, SiteRequest, Snapshot};
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::Party;
 use foldtrack_control::lines::{Lines, Unreadable, LONGEST};
 use foldtrack_control::protocol::read;
@@ -63,12 +63,12 @@
 /// Serves the control line from now on, on this runtime; readers get a thread of their own. `most` tells how many
 /// connections clients may have now, and by which limit.
 pub(crate) fn start(
-    listener: UnixListener, inputs: Inputs, blocks: Arc<Blocks>, descriptors: Arc<Descriptors>,
+    listener: UnixListener, events: EventSender, blocks: Arc<Blocks>, descriptors: Arc<Descriptors>,
     most: impl Fn() -> (usize, Result<usize, String>) + Send + 'static,
 ) -> Result<(), String> {
     let listener = Listener::from_std(listener).map_err(|e| format!("control line: {e}"))?;
     let line = Arc::new(Line {
-        inputs,
+        events,
         blocks: blocks.clone(),
         descriptors,
         picture: Mutex::default(),
@@ -89,11 +89,11 @@
 
 /// What all readers share.
 struct Line {
-    inputs: Inputs,
+    events: EventSender,
     blocks: Arc<Blocks>,
     descriptors: Arc<Descriptors>,
     /// The last picture.
-    picture: Mutex<Option<Arc<Picture>>>,
+    picture: Mutex<Option<Arc<Snapshot>>>,
     /// When the last order was carried out: no picture that is older is shown.
     ordered: std::sync::Mutex<Option<Instant>>,
     readers: std::sync::Mutex<BTreeMap<u64, (Instant, Arc<Notify>)>>,
@@ -120,7 +120,7 @@
 /// Gives a reader to the readers' thread, and starts that if there is none. A process with one thread is some
 /// percent faster than one with two: as long as nobody reads there is one.
 fn hand_over(stream: StdStream, line: &Arc<Line>) {
-    let mut thread = locked(&line.thread);
+    let mut thread = lock_ignoring_poison(&line.thread);
     let unsent = match thread.as_ref() {
         Some(readers) => readers.send(stream).map_err(|unsent| unsent.0),
         None => Err(stream),
@@ -151,8 +151,8 @@
             if let Ok(Some(stream)) = timeout(LINGER, streams.recv()).await {
                 break stream;
             }
-            let mut thread = locked(&line.thread);
-            if locked(&line.readers).is_empty() && streams.is_empty() {
+            let mut thread = lock_ignoring_poison(&line.thread);
+            if lock_ignoring_poison(&line.readers).is_empty() && streams.is_empty() {
                 *thread = None;
                 return;
             }
@@ -166,7 +166,7 @@
                 _ = serve(stream, number, &line) => {}
                 () = leave.notified() => {}
             }
-            locked(&line.readers).remove(&number);
+            lock_ignoring_poison(&line.readers).remove(&number);
             drop(descriptor);
         });
     }
@@ -175,7 +175,7 @@
 impl Line {
     /// Lets a reader in. Where there is no descriptor for one more, the one goes that has said nothing for longest.
     fn enter(&self, number: u64, leave: &Arc<Notify>) -> Drawn {
-        let mut readers = locked(&self.readers);
+        let mut readers = lock_ignoring_poison(&self.readers);
         let drawn = self.descriptors.draw(Party::Control).filter(|_| readers.len() < READERS);
         if drawn.is_none() {
             let quietest = readers.iter().min_by_key(|(_, (heard, _))| *heard).map(|(number, _)| *number);
@@ -189,7 +189,7 @@
     }
 
     fn heard(&self, number: u64) {
-        if let Some((heard, _)) = locked(&self.readers).get_mut(&number) {
+        if let Some((heard, _)) = lock_ignoring_poison(&self.readers).get_mut(&number) {
             *heard = Instant::now();
         }
     }
@@ -197,20 +197,20 @@
     /// What the loop answers; none if it ends before it has.
     async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> Front) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        self.inputs.send(Input::Site(ask(reply)));
+        self.events.send(LoopEvent::SiteRequest(ask(reply)));
         answer.await.ok()
     }
 
     /// A picture that is fresh, and not older than the last order.
-    async fn picture(&self) -> Option<Arc<Picture>> {
+    async fn picture(&self) -> Option<Arc<Snapshot>> {
         // While one asks, the others wait here and get the same.
         let mut last = self.picture.lock().await;
-        let from = *locked(&self.ordered);
-        let fresh = |p: &&Arc<Picture>| p.at.elapsed() < FRESH && from.is_none_or(|from| p.at >= from);
+        let from = *lock_ignoring_poison(&self.ordered);
+        let fresh = |p: &&Arc<Snapshot>| p.at.elapsed() < FRESH && from.is_none_or(|from| p.at >= from);
         if let Some(picture) = last.as_ref().filter(fresh) {
             return Some(picture.clone());
         }
-        let picture = self.ask(|reply| Front::Picture { reply }).await?;
+        let picture = self.ask(|reply| SiteRequest::Snapshot { reply }).await?;
         *last = Some(picture.clone());
         Some(picture)
     }
@@ -266,12 +266,12 @@
 async fn push(
     mut stream: UnixStream, id: Value, every: Duration, mut events: Option<Receiver<Event>>, line: &Line,
 ) -> io::Result<()> {
-    let mut last: Option<Arc<Picture>> = None;
+    let mut last: Option<Arc<Snapshot>> = None;
     let mut bytes = [0; 1024];
     loop {
         let Some(picture) = line.picture().await else { return Ok(()) };
-        let same = |p: &Arc<Picture>| {
-            let still = |p: &Picture| foldtrack_control::Status {
+        let same = |p: &Arc<Snapshot>| {
+            let still = |p: &Snapshot| foldtrack_control::Status {
                 at: 0,
                 up_ms: 0,
                 oldest_ms: 0,
@@ -337,18 +337,18 @@
         }
         Ask::Message { message } => {
             let id = message.clone();
-            return match line.ask(|reply| Front::Message { id, reply }).await {
+            return match line.ask(|reply| SiteRequest::Message { id, reply }).await {
                 Some(Some(message)) => Told::Message(Box::new(message)),
                 Some(None) => error("unknown_message", &format!("nothing is known of {message:?}")),
                 None => ending(),
             };
         }
         Ask::Peers => {
-            let told = line.ask(|reply| Front::Peers { reply }).await;
+            let told = line.ask(|reply| SiteRequest::Peers { reply }).await;
             return of_peers(told, |peers| Told::Peers(Box::new(peers)));
         }
         Ask::State => {
-            let told = line.ask(|reply| Front::State { reply }).await;
+            let told = line.ask(|reply| SiteRequest::State { reply }).await;
             return of_peers(told, |state| Told::State(Box::new(state)));
         }
         Ask::Clients { most } => {
@@ -358,7 +358,7 @@
         Ask::Block { network, for_ms } => return block(line, &network, Some(for_ms)).await,
         Ask::Unblock { network } => return block(line, &network, None).await,
         Ask::Stop => {
-            line.inputs.send(Input::Terminate);
+            line.events.send(LoopEvent::Terminate);
             let version = line.picture().await.map_or(0, |p| p.status.membership);
             return Told::Done(foldtrack_control::Done { changed: true, version, ..Default::default() });
         }
@@ -380,12 +380,12 @@
         }
         Ask::Subscribe { .. } => return error("unreadable", "already read elsewhere"),
     };
-    let told = match line.ask(|reply| Front::Order { order, reply }).await {
+    let told = match line.ask(|reply| SiteRequest::Order { order, reply }).await {
         Some(Ok(done)) => Told::Done(done),
         Some(Err(refused)) => Told::Error(refused),
         None => ending(),
     };
-    *locked(&line.ordered) = Some(Instant::now());
+    *lock_ignoring_poison(&line.ordered) = Some(Instant::now());
     told
 }
 
@@ -414,7 +414,7 @@
     }
     let kept = for_ms.map(|for_ms| line.blocks.block(network, for_ms));
     let name = network.to_string();
-    let done = match line.ask(|reply| Front::Network { network: name, for_ms, reply }).await {
+    let done = match line.ask(|reply| SiteRequest::Network { network: name, for_ms, reply }).await {
         Some(Ok(done)) => done,
         Some(Err(refused)) => return Told::Error(refused),
         None => return ending(),
@@ -426,7 +426,7 @@
     }
 }
 
-fn show(ask: Ask, picture: &Picture) -> Told {
+fn show(ask: Ask, picture: &Snapshot) -> Told {
     let most = |most: Option<u32>| most.unwrap_or(MOST_LINES).min(MOST_LINES) as usize;
     match ask {
         Ask::Status => Told::Status(Box::new(picture.status.clone())),
--- a/src/bin/foldtrack/descriptors.rs
+++ b/src/bin/foldtrack/descriptors.rs
@@ -1,7 +1,7 @@
 //! The process's descriptors: the ledger of `foldtrack-admission`, drawn from where sockets are opened and given back
 //! where they are closed.
 
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::descriptors::LEAST_PLACES;
 use foldtrack_admission::{Ledger, Part, Party};
 use std::sync::{Arc, Mutex};
@@ -39,7 +39,7 @@
 
 impl Drop for Drawn {
     fn drop(&mut self) {
-        locked(&self.from.ledger).give(self.party);
+        lock_ignoring_poison(&self.from.ledger).give(self.party);
     }
 }
 
@@ -59,38 +59,38 @@
 
     /// The limit is another one now, or the places are.
     pub fn set(&self, limit: usize, places: usize) {
-        locked(&self.ledger).set_limits(limit, Self::parts(limit, places, self.calls));
+        lock_ignoring_poison(&self.ledger).set_limits(limit, Self::parts(limit, places, self.calls));
     }
 
     /// How many a party may hold now.
     pub fn room(&self, party: Party) -> usize {
-        locked(&self.ledger).room(party)
+        lock_ignoring_poison(&self.ledger).room(party)
     }
 
     /// How many a party holds.
     pub fn held(&self, party: Party) -> usize {
-        locked(&self.ledger).held(party)
+        lock_ignoring_poison(&self.ledger).held(party)
     }
 
     /// How many a party holds beyond what it may.
     pub fn over(&self, party: Party) -> usize {
-        locked(&self.ledger).over(party)
+        lock_ignoring_poison(&self.ledger).over(party)
     }
 
     /// Who holds how many, and may hold: clients, calls, readers of the control line.
     pub fn seen(&self) -> [(usize, usize); 3] {
-        let ledger = locked(&self.ledger);
+        let ledger = lock_ignoring_poison(&self.ledger);
         [Party::Clients, Party::Calls, Party::Control].map(|p| (ledger.held(p), ledger.room(p)))
     }
 
     /// Draws one, if the party may have one more.
     pub fn draw(self: &Arc<Self>, party: Party) -> Option<Drawn> {
-        locked(&self.ledger).draw(party).then(|| Drawn { from: self.clone(), party })
+        lock_ignoring_poison(&self.ledger).draw(party).then(|| Drawn { from: self.clone(), party })
     }
 
     /// Notes one that is open already.
     pub fn note(self: &Arc<Self>, party: Party) -> Drawn {
-        locked(&self.ledger).note(party);
+        lock_ignoring_poison(&self.ledger).note(party);
         Drawn { from: self.clone(), party }
     }
 }
--- a/src/bin/foldtrack/ends_api.rs
+++ b/src/bin/foldtrack/ends_api.rs
@@ -3,8 +3,8 @@
 //! `GET /v1/messages/ID` tells of one message. `GET /v1/ends?after=CURSOR` gives the ends behind a cursor and
 //! acknowledges those up to it; where there is none, it waits for one.
 
-use crate::door::{Ask, Input, Inputs};
-use crate::told::told_end;
+use crate::events::{EventSender, LoopEvent, SiteRequest};
+use crate::message_view::message_view;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderValue, CONTENT_TYPE, RETRY_AFTER};
@@ -51,9 +51,9 @@
 }
 
 /// Answers `GET /v1/messages/ID`.
-pub(crate) async fn message(id: &str, inputs: &Inputs) -> Response<Full<Bytes>> {
+pub(crate) async fn message(id: &str, events: &EventSender) -> Response<Full<Bytes>> {
     let (reply, answer) = oneshot::channel();
-    inputs.send(Input::Site(Ask::Message { id: id.to_string(), reply }));
+    events.send(LoopEvent::SiteRequest(SiteRequest::Message { id: id.to_string(), reply }));
     match answer.await {
         Ok(Some(message)) => told(StatusCode::OK, &json!(message)),
         Ok(None) => told(StatusCode::NOT_FOUND, &json!({"id": id, "state": "unknown"})),
@@ -87,7 +87,7 @@
 }
 
 /// Answers `GET /v1/ends`.
-pub(crate) async fn ends(query: &str, fronts: &Fronts, inputs: &Inputs) -> Response<Full<Bytes>> {
+pub(crate) async fn ends(query: &str, fronts: &Fronts, events: &EventSender) -> Response<Full<Bytes>> {
     let Poll { mut after, peek, most, wait } = match poll(query) {
         Ok(poll) => poll,
         Err(problem) => return wrong(StatusCode::BAD_REQUEST, &problem),
@@ -102,7 +102,7 @@
     loop {
         seen.mark_unchanged();
         let (reply, answer) = oneshot::channel();
-        inputs.send(Input::Site(Ask::Ends { after, peek, most, reply }));
+        events.send(LoopEvent::SiteRequest(SiteRequest::Ends { after, peek, most, reply }));
         let fetched = match answer.await {
             Ok(Ok(fetched)) => fetched,
             Ok(Err(e)) if e.kind() == io::ErrorKind::InvalidInput => {
@@ -119,7 +119,7 @@
             continue;
         }
         let line = |(cursor, end)| {
-            let mut line = json!(told_end(end));
+            let mut line = json!(message_view(end));
             line["cursor"] = json!(cursor);
             line
         };
--- a/src/bin/foldtrack/door.rs
+++ b/src/bin/foldtrack/events.rs
@@ -30,11 +30,11 @@
 }
 
 /// Reply to a submitted message.
-pub(crate) enum Answer {
-    TakenOn(Receipt),
+pub(crate) enum SubmitReply {
+    Accepted(Receipt),
     /// The id was submitted before: the message was accepted then, or is `over` and will not be
     /// sent.
-    Known {
+    Duplicate {
         over: bool,
     },
     Refused {
@@ -45,32 +45,32 @@
 /// Reports to the event loop, when dropped, whether the reply to the client was written.
 pub(crate) struct Receipt {
     pub number: u64,
-    pub inputs: Inputs,
+    pub events: EventSender,
     pub written: bool,
 }
 
 impl Drop for Receipt {
     fn drop(&mut self) {
-        self.inputs.send(Input::Answered { number: self.number, written: self.written });
+        self.events.send(LoopEvent::ReplySent { number: self.number, written: self.written });
     }
 }
 
 /// An event for the event loop.
-pub(crate) enum Input {
-    HandIn {
+pub(crate) enum LoopEvent {
+    Submit {
         message: Arc<message::Message>,
         /// Its client is known and may use the reserved part of the journal.
-        known: bool,
-        reply: oneshot::Sender<Answer>,
+        from_known_client: bool,
+        reply: oneshot::Sender<SubmitReply>,
     },
-    Answered {
+    ReplySent {
         number: u64,
         written: bool,
     },
     CallEnded(CallEnd),
     /// A connection opened ahead of demand: the connection and the time it took, or none if it
     /// failed.
-    Opened {
+    Preconnected {
         target: TargetId,
         number: u64,
         opened: Option<(Connection, Duration)>,
@@ -80,22 +80,22 @@
         from: SocketAddr,
     },
     /// The platform answered a batch of notices with this status, or not at all.
-    Reported {
+    NoticesReported {
         numbers: Vec<u64>,
         status: Option<StatusCode>,
         to: SocketAddr,
     },
     /// Discovery has moved to this address.
-    Discovery(SocketAddr),
+    DiscoveryMoved(SocketAddr),
     Terminate,
     /// A datagram from a peer.
     Datagram(Vec<u8>),
     /// The peers' store has synced everything up to this ticket.
-    PeersKept(u64),
+    PeerRecordsStored(u64),
     /// A journal sync has finished or failed.
-    Synced(Synced),
+    JournalSynced(Synced),
     /// A request of the HTTP API or the control socket, only with a site file.
-    Site(Ask),
+    SiteRequest(SiteRequest),
 }
 
 /// A sync that has finished or failed.
@@ -105,17 +105,17 @@
 }
 
 /// A request of the site's HTTP API or control socket. Each gets one reply.
-pub(crate) enum Ask {
+pub(crate) enum SiteRequest {
     /// Outcomes after a cursor. Those up to the cursor are acknowledged unless the client only
     /// peeks.
     Ends { after: Option<u64>, peek: bool, most: usize, reply: oneshot::Sender<io::Result<Fetched>> },
     /// What is known of a message.
     Message { id: String, reply: oneshot::Sender<Option<Message>> },
     /// A snapshot of status, partners, endpoints, failures and queues.
-    Picture { reply: oneshot::Sender<Arc<Picture>> },
+    Snapshot { reply: oneshot::Sender<Arc<Snapshot>> },
     /// The peers of the site; none if it has no others.
     Peers { reply: oneshot::Sender<Option<Peers>> },
-    /// The facts that the peers have agreed on.
+    /// The facts about orders, and whether each is in effect.
     State { reply: oneshot::Sender<Option<SiteState>> },
     /// An order. The reply is sent once it is stored.
     Order { order: Order, reply: oneshot::Sender<Result<Done, Error>> },
@@ -126,7 +126,7 @@
 
 /// Snapshot of the forwarder's state for operators.
 #[derive(Debug)]
-pub(crate) struct Picture {
+pub(crate) struct Snapshot {
     pub at: Instant,
     pub status: Status,
     pub partners: Vec<Partner>,
@@ -139,20 +139,20 @@
 /// Sender of events to the loop. The channel is unbounded, but each connection and each call has at
 /// most one event in flight, and connections and calls are bounded.
 #[derive(Clone)]
-pub(crate) struct Inputs(UnboundedSender<Input>);
+pub(crate) struct EventSender(UnboundedSender<LoopEvent>);
 
-impl Inputs {
+impl EventSender {
     /// Sends an event.
-    pub fn send(&self, input: Input) {
+    pub fn send(&self, input: LoopEvent) {
         // The loop is gone only when the process ends.
         let _ = self.0.send(input);
     }
 }
 
 /// Creates the channel of an event loop that is about to start.
-pub(crate) fn channel() -> (Inputs, UnboundedReceiver<Input>) {
+pub(crate) fn channel() -> (EventSender, UnboundedReceiver<LoopEvent>) {
     let (sender, receiver) = mpsc::unbounded_channel();
-    (Inputs(sender), receiver)
+    (EventSender(sender), receiver)
 }
 
 /// How a call ended.
@@ -162,13 +162,13 @@
     pub attempt: u32,
     pub target: TargetId,
     /// When the call started.
-    pub begun: Instant,
+    pub started_at: Instant,
     pub outcome: Outcome,
     /// Nothing more is owed for the message.
-    pub over: bool,
+    pub settled: bool,
     /// The call's deadline had passed when its end was seen: whether the partner wrote its answer
     /// in time is unknown.
-    pub late: bool,
+    pub past_deadline: bool,
     /// The partner rejects the message permanently, or it cannot be sent to this partner.
     pub refused: bool,
     /// Why no connection could be made, for operators; empty if there was one.
@@ -178,9 +178,9 @@
     /// The rate limits that the partner reported.
     pub report: Option<LimitReport>,
     /// How long a reused connection had been idle; none for a new one.
-    pub idle: Option<Duration>,
+    pub idle_for: Option<Duration>,
     /// How long a new connection took to establish; none for a reused one.
-    pub dialled: Option<Duration>,
+    pub connect_time: Option<Duration>,
     /// A connection that is fit for the next call.
-    pub connection: Option<Connection>,
+    pub reusable_connection: Option<Connection>,
 }
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -11,27 +11,27 @@
 mod connections;
 mod control;
 mod descriptors;
-mod door;
 mod ends_api;
+mod events;
 mod list;
 mod lock;
 mod logs;
 mod membership;
 mod message;
+mod message_view;
 mod node;
 mod notices;
 mod peers;
 mod places;
 mod platform;
+mod registry;
 mod serve;
 mod speech;
 mod streams;
-mod table;
 mod targets;
-mod told;
 
 use config::Config;
-use door::{Input, Inputs};
+use events::{EventSender, LoopEvent};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -46,7 +46,7 @@
 const CONFIG_READ_PAUSE: Duration = Duration::from_millis(50);
 
 /// Moves to the discovery address in the configuration file on each SIGHUP.
-async fn follow_discovery_changes(mut hangup: Signal, path: PathBuf, inputs: Inputs) {
+async fn follow_discovery_changes(mut hangup: Signal, path: PathBuf, events: EventSender) {
     while hangup.recv().await.is_some() {
         let mut read = config::read_discovery_address(&path);
         for _ in 1..CONFIG_READ_ATTEMPTS {
@@ -56,34 +56,34 @@
             }
         }
         match read {
-            Ok(address) => inputs.send(Input::Discovery(address)),
+            Ok(address) => events.send(LoopEvent::DiscoveryMoved(address)),
             Err(error) => eprintln!("SIGHUP: discovery address not changed: {error}"),
         }
     }
 }
 
 async fn run(config: Config, path: PathBuf) -> Result<(), String> {
-    let (inputs, receiver) = door::channel();
+    let (events, receiver) = events::channel();
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    tokio::spawn(follow_discovery_changes(hangup, path, inputs.clone()));
-    serve_until_told(config, inputs, receiver, &[SignalKind::terminate()]).await
+    tokio::spawn(follow_discovery_changes(hangup, path, events.clone()));
+    serve_until_signal(config, events, receiver, &[SignalKind::terminate()]).await
 }
 
 /// Runs the event loop until one of these signals is received.
-async fn serve_until_told(
-    config: Config, inputs: Inputs, receiver: UnboundedReceiver<Input>, ends: &[SignalKind],
+async fn serve_until_signal(
+    config: Config, events: EventSender, receiver: UnboundedReceiver<LoopEvent>, ends: &[SignalKind],
 ) -> Result<(), String> {
     for kind in ends {
         let mut received = signal(*kind).map_err(|e| format!("signals: {e}"))?;
-        let to_node = inputs.clone();
+        let to_node = events.clone();
         tokio::spawn(async move {
             while received.recv().await.is_some() {
-                to_node.send(Input::Terminate);
+                to_node.send(LoopEvent::Terminate);
             }
         });
     }
     let (listen, state) = (config.listen, config.state.clone());
-    let end = node::run(config, inputs, receiver).await;
+    let end = node::run(config, events, receiver).await;
     end.map_err(|e| format!("listening on {listen} with the state in {}: {e}", state.display()))
 }
 
--- a/src/bin/foldtrack/membership.rs
+++ b/src/bin/foldtrack/membership.rs
@@ -1,6 +1,6 @@
 //! Sources of the list of targets: the platform's discovery, or a site file and operators' orders.
 
-use crate::door::Inputs;
+use crate::events::EventSender;
 use crate::list::{ServerEntry, ServerList, ServerState};
 use foldtrack_membership::{Change, Log, Order, State, Trouble};
 use foldtrack_site::Site;
@@ -14,7 +14,7 @@
 
     /// Starts to watch for changes, if the source reports any. Returns whether startup waits for
     /// the first of them.
-    fn start_updates(&self, inputs: &Inputs) -> bool;
+    fn start_updates(&self, events: &EventSender) -> bool;
 
     /// Carries out an order at a Unix time in microseconds. [`Membership::current_list`] then returns the
     /// changed list.
@@ -70,7 +70,7 @@
         ServerList { version: state.version(), full: true, servers }
     }
 
-    fn start_updates(&self, _: &Inputs) -> bool {
+    fn start_updates(&self, _: &EventSender) -> bool {
         false
     }
 
--- a/src/bin/foldtrack/told.rs
+++ b/src/bin/foldtrack/message_view.rs
@@ -5,14 +5,14 @@
 use foldtrack_ends::{End, Result as EndResult};
 
 /// Converts an attempt.
-pub(crate) fn told_attempt(attempt: &foldtrack_ends::Attempt) -> Attempt {
+pub(crate) fn attempt_view(attempt: &foldtrack_ends::Attempt) -> Attempt {
     let (endpoint, outcome) = (attempt.endpoint.clone(), attempt.outcome.word().into());
     let may_have_run = !attempt.outcome.never_ran();
     Attempt { at: attempt.at, until: attempt.until, endpoint, outcome, may_have_run }
 }
 
 /// Converts the outcome of a message.
-pub(crate) fn told_end(end: &End) -> Message {
+pub(crate) fn message_view(end: &End) -> Message {
     let (state, retry_in_ms, harmless_until) = match end.result {
         EndResult::Delivered => ("delivered", 0, 0),
         EndResult::GivenUp => ("given_up", 0, 0),
@@ -31,6 +31,6 @@
         ended: end.ended,
         retry_in_ms,
         harmless_until,
-        attempts: end.attempts.iter().map(told_attempt).collect(),
+        attempts: end.attempts.iter().map(attempt_view).collect(),
     }
 }
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -2,8 +2,8 @@
 //! to operators.
 
 use super::HeldMessage;
-use crate::config::SiteParts;
-use crate::door::Answer;
+use crate::config::SiteConfig;
+use crate::events::SubmitReply;
 use foldtrack_control::Failure;
 use foldtrack_ends::{self as ends, End, Store};
 use foldtrack_journal::Notice;
@@ -89,8 +89,8 @@
 }
 
 impl SiteRuntime {
-    pub fn new(parts: SiteParts, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
-        let SiteParts { site, ends, .. } = parts;
+    pub fn new(parts: SiteConfig, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
+        let SiteConfig { site, ends, .. } = parts;
         ends_seen.send_replace(ends.last());
         let info = |p: &foldtrack_site::Partner| PartnerInfo {
             name: p.name.clone(),
@@ -137,7 +137,9 @@
 
     /// Refuses a message that exceeds the memory limit or the capacity for outcomes, with a retry
     /// delay.
-    pub fn capacity_refusal(&mut self, message: &crate::message::Message, held: usize) -> Option<Answer> {
+    pub fn capacity_refusal(
+        &mut self, message: &crate::message::Message, held: usize,
+    ) -> Option<SubmitReply> {
         let bytes = self.held_bytes + message.journal_size() as u64 > self.max_held_bytes;
         let coming = held as u64 + self.pending.len() as u64 + 1;
         let ends = !self.ends.has_room(coming, self.reserved + self.outcome_size(message));
@@ -151,9 +153,9 @@
 
     /// The refusal while the forwarder is full, with this retry delay in milliseconds, or the
     /// default if it is 0.
-    pub fn refusal(&mut self, wait_ms: u64) -> Answer {
+    pub fn refusal(&mut self, wait_ms: u64) -> SubmitReply {
         self.counts.refused += 1;
-        Answer::Refused { retry_in_ms: self.retry_delay(wait_ms) }
+        SubmitReply::Refused { retry_in_ms: self.retry_delay(wait_ms) }
     }
 
     /// The retry delay in milliseconds told to clients: this one, or the default if it is 0,
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -3,13 +3,13 @@
 use super::appliance::attempt_outcome;
 use super::{Acceptance, Node, PendingSend};
 use crate::descriptors::Drawn;
-use crate::door::CallEnd;
+use crate::events::CallEnd;
 use crate::targets::{self, Call};
 use foldtrack_admission::Party;
-use foldtrack_clearance::Overtaken;
 use foldtrack_control::Failure;
 use foldtrack_ends::{self as ends, Attempt};
 use foldtrack_journal::{Fate, Notice, Record};
+use foldtrack_preflight::PreflightError;
 use hatchline::{Action, Event, Micros, Outcome, TargetId};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -46,7 +46,7 @@
             Action::Fail { id } => self.end_message(id, Notice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all earlier decisions, and no later than the next one.
-            Action::FoundOut { target } => self.targets.found_out(target, self.clock.now()),
+            Action::FoundOut { target } => self.targets.record_outage(target, self.clock.now()),
             Action::CloseIdle { target } => self.idle.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is always watched. Probes and messages between forwarders are not used in
@@ -99,16 +99,16 @@
         let PendingSend { attempt, target, until, decided_at } = send;
         let Some(held) = self.messages.get(&number) else { return };
         let (message, journaled_attempts) = (held.message.clone(), held.journaled_attempts);
-        let Some((address, zone, clearance)) = self.targets.begin_call(target, decided_at) else {
+        let Some((address, zone, preflight)) = self.targets.begin_call(target, decided_at) else {
             return self.report_outcome(number, attempt, target, Outcome::NotSent, false);
         };
         // The same check is repeated once the connection is up. A call that is already known to be
         // blocked needs no journal record.
-        if let Err(why) = clearance.check(self.clock.now()) {
+        if let Err(why) = preflight.check(self.clock.now()) {
             self.targets.end_call(target);
             return self.report_withheld(number, attempt, target, why);
         }
-        let at = self.clock.unix(self.clock.now());
+        let at = self.clock.unix_time(self.clock.now());
         let endpoint =
             if self.site.is_some() { self.targets.name(target).to_string() } else { String::new() };
         let begun = Record::Try { attempt: journaled_attempts, at, zone, endpoint };
@@ -139,7 +139,7 @@
             until: self.clock.instant(until),
             connection,
             descriptor,
-            clearance,
+            preflight,
             clock: self.clock,
             speech,
             settings: self.settings.clone(),
@@ -176,7 +176,7 @@
             let (number, speech) = (self.next_preconnect, self.speeches.of(destination));
             let timeout = Duration::from_micros(self.settings.settings.connect_timeout);
             let dial =
-                targets::dial(target, number, address, speech, descriptor, timeout, self.inputs.clone());
+                targets::dial(target, number, address, speech, descriptor, timeout, self.events.clone());
             let dial = tokio::spawn(dial).abort_handle();
             self.idle.dials_ahead(target, number, dial);
         }
@@ -200,10 +200,10 @@
 
     /// Reports a call that was not made because newer information has overtaken the decision. The
     /// scheduler decides again; the wait is passed on because it may not know it yet.
-    fn report_withheld(&mut self, id: u64, attempt: u32, target: TargetId, why: Overtaken) {
+    fn report_withheld(&mut self, id: u64, attempt: u32, target: TargetId, why: PreflightError) {
         let wait = match why {
-            Overtaken::Waits { until } => until.saturating_sub(self.clock.now()),
-            Overtaken::FoundOut | Overtaken::Closed => 0,
+            PreflightError::RetryAfter { until } => until.saturating_sub(self.clock.now()),
+            PreflightError::OutageDetected | PreflightError::Closed => 0,
         };
         let outcome = self.count_withheld(id, Outcome::HeldBack);
         self.notify_scheduler(Event::Outcome {
@@ -238,10 +238,10 @@
     /// outcome to the scheduler.
     pub(super) fn call_ended(&mut self, end: CallEnd) {
         self.calls.remove(&(end.number, end.attempt));
-        self.idle.ended(end.target, end.idle, end.dialled, end.outcome);
+        self.idle.ended(end.target, end.idle_for, end.connect_time, end.outcome);
         self.record_attempt_end(&end);
         let listed = self.targets.end_call(end.target);
-        if let Some(connection) = end.connection.filter(|_| listed) {
+        if let Some(connection) = end.reusable_connection.filter(|_| listed) {
             self.idle.put(end.target, connection);
         }
         self.preconnect(end.target);
@@ -258,11 +258,11 @@
             // The partner may have written its answer after the deadline. The platform then waits
             // for the message's outcome indefinitely, so it is sent a notice. A notice for a
             // message that is already finished does no harm (PROTOCOL).
-            None => end.late,
+            None => end.past_deadline,
         };
-        if end.over && given_up {
+        if end.settled && given_up {
             self.end_message(end.number, Notice::GivenUp);
-        } else if end.over {
+        } else if end.settled {
             self.end_delivered(end.number);
         } else if held {
             // At most one attempt is in flight.
@@ -277,8 +277,8 @@
             attempt: end.attempt,
             target: end.target,
             outcome,
-            took: now.saturating_sub(self.clock.micros(end.begun)),
-            ended: end.over || !held,
+            took: now.saturating_sub(self.clock.micros(end.started_at)),
+            ended: end.settled || !held,
             // The wait runs from the arrival of the answer, not from now.
             wait: end.wait_until.map_or(0, |until| until.saturating_sub(now)),
             report: end.report,
@@ -305,7 +305,7 @@
         }
         let attempt = held.history.len() as u32;
         let Some(tried) = held.history.last_mut() else { return };
-        tried.until = self.clock.unix(self.clock.now());
+        tried.until = self.clock.unix_time(self.clock.now());
         tried.outcome = if end.refused { ends::Outcome::Refused } else { attempt_outcome(end.outcome) };
         if end.outcome == Outcome::Ok {
             return;
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -4,7 +4,7 @@
 //! collects while one runs.
 
 use super::Node;
-use crate::door::{Answer, Input, Receipt, Synced};
+use crate::events::{LoopEvent, Receipt, SubmitReply, Synced};
 use crate::targets::{self, Call};
 use foldtrack_ends::Result as EndResult;
 use foldtrack_journal::journal::SyncJob;
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(super) struct Group {
     /// Clients to be told that their message is accepted.
-    pub answers: Vec<(Ticket, u64, oneshot::Sender<Answer>)>,
+    pub answers: Vec<(Ticket, u64, oneshot::Sender<SubmitReply>)>,
     /// Calls whose records must be stored before their first byte goes out. Without the record a
     /// payment would be sent again after a power failure, because nothing would show that it was
     /// sent before.
@@ -134,12 +134,12 @@
                 }
             };
         commit.syncing = Some(std::mem::take(&mut commit.collecting));
-        let inputs = self.inputs.clone();
+        let events = self.events.clone();
         tokio::task::spawn_blocking(move || {
             // Outcomes are synced first: the journal must not forget a message before its outcome
             // is stored.
             let result = ends.iter().try_for_each(File::sync_data).and_then(|()| job.run());
-            inputs.send(Input::Synced(Synced { job, result }));
+            events.send(LoopEvent::JournalSynced(Synced { job, result }));
         });
     }
 
@@ -159,10 +159,10 @@
     fn release(&mut self, group: Group, stored: bool) {
         for (_, number, reply) in group.answers {
             if stored {
-                let receipt = Receipt { number, inputs: self.inputs.clone(), written: false };
+                let receipt = Receipt { number, events: self.events.clone(), written: false };
                 // If the client has disconnected, the receipt is dropped here and reports that
                 // nothing was written.
-                let _ = reply.send(Answer::TakenOn(receipt));
+                let _ = reply.send(SubmitReply::Accepted(receipt));
             } else {
                 // The record may or may not survive a power failure. The client keeps the message
                 // and may submit it again under the same id.
@@ -184,12 +184,12 @@
     fn release_call(&mut self, call: Call, mut cancelled: oneshot::Receiver<()>, stored: bool) {
         let still_valid = cancelled.try_recv().is_err() && call.until > Instant::now();
         if stored && still_valid {
-            tokio::spawn(targets::call(call, cancelled, self.inputs.clone()));
+            tokio::spawn(targets::call(call, cancelled, self.events.clone()));
             return;
         }
         let mut end = call.not_begun(Outcome::NotSent);
-        end.connection = call.connection.map(|(connection, _)| connection);
-        self.inputs.send(Input::CallEnded(end));
+        end.reusable_connection = call.connection.map(|(connection, _)| connection);
+        self.events.send(LoopEvent::CallEnded(end));
     }
 
     /// Makes outcomes visible to clients, and lets the journal forget their messages if the
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -1,10 +1,10 @@
 //! How messages end: stored outcomes for a site, notices to the platform.
 
 use super::{Acceptance, HeldMessage, Node};
-use crate::door::Answer;
+use crate::events::SubmitReply;
 use crate::notices::Ending;
 use crate::platform;
-use crate::table::SubmissionState;
+use crate::registry::SubmissionState;
 use foldtrack_ends::{EndRef, Result as EndResult};
 use foldtrack_journal::{Notice, Record};
 use hatchline::{Effect, Micros};
@@ -42,7 +42,7 @@
                     site.release(&held.message);
                     site.refusal(retry_in_ms)
                 }
-                None => Answer::Refused { retry_in_ms },
+                None => SubmitReply::Refused { retry_in_ms },
             };
             let _ = reply.send(answer);
             return;
@@ -91,7 +91,7 @@
         let Some(until) = self.harmless_until(&message.id).into_iter().chain(own).min() else {
             return EndResult::HandedBack { retry_in_ms };
         };
-        let back = self.clock.unix(self.clock.now()) + 1_000 * retry_in_ms + DEDUP_MARGIN_US;
+        let back = self.clock.unix_time(self.clock.now()) + 1_000 * retry_in_ms + DEDUP_MARGIN_US;
         if back >= until {
             return EndResult::InDoubt;
         }
@@ -140,7 +140,7 @@
         if held.attempts > 1 || result != EndResult::Delivered {
             site.set_followup(number, word);
         }
-        let ended = self.clock.unix(self.clock.now());
+        let ended = self.clock.unix_time(self.clock.now());
         // Before an old outcome is dropped, the journal must know that its message is finished.
         if site.ends.drops(ended) {
             if let Err(error) = self.journal.flush() {
@@ -218,7 +218,7 @@
     pub(super) fn drop_expired_outcomes(&mut self) {
         let Some(site) = &mut self.site else { return };
         match self.journal.flush() {
-            Ok(()) => site.ends.drop_old(self.clock.unix(self.clock.now()), 0),
+            Ok(()) => site.ends.drop_old(self.clock.unix_time(self.clock.now()), 0),
             Err(error) => eprintln!("journal: {error}"),
         }
     }
@@ -227,7 +227,7 @@
     pub(super) fn send_notices(&mut self) {
         let Some(discovery) = &self.discovery else { return };
         while let Some((numbers, lines)) = self.notices.next(self.clock.now()) {
-            tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.inputs.clone()));
+            tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.events.clone()));
         }
     }
 
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -2,9 +2,9 @@
 //! reply.
 
 use super::{Acceptance, HeldMessage, Node, PendingSend};
-use crate::door::Answer;
+use crate::events::SubmitReply;
 use crate::message::Message;
-use crate::table::SubmissionState;
+use crate::registry::SubmissionState;
 use foldtrack_ends::Result as EndResult;
 use foldtrack_journal::{Accepted, Record};
 use hatchline::{Event, Outcome};
@@ -14,10 +14,10 @@
 impl Node {
     /// Handles a submitted message.
     pub(super) fn submit(
-        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<Answer>,
+        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<SubmitReply>,
     ) {
         if let Some(state) = self.ids.state(&message.id) {
-            let _ = reply.send(Answer::Known { over: state != SubmissionState::Accepted });
+            let _ = reply.send(SubmitReply::Duplicate { over: state != SubmissionState::Accepted });
             return;
         }
         if let Some(answer) = self.reply_from_outcome(&message.id) {
@@ -31,7 +31,7 @@
 
     /// Passes a message to the scheduler. No other forwarder holds it.
     pub(super) fn accept(
-        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<Answer>,
+        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<SubmitReply>,
     ) {
         let message = self.limit_to_dedup_window(message);
         if let Some(refused) = self.capacity_refusal(&message, from_known_client) {
@@ -53,7 +53,7 @@
             site.hold(&message);
         }
         let held_size = message.journal_size();
-        let (arrived_at, history) = (self.clock.unix(self.clock.now()), Vec::new());
+        let (arrived_at, history) = (self.clock.unix_time(self.clock.now()), Vec::new());
         let acceptance = Acceptance::Undecided(reply);
         self.messages.insert(
             id,
@@ -74,7 +74,7 @@
     }
 
     /// The refusal of a message for which there is no capacity, or no endpoint.
-    fn capacity_refusal(&mut self, message: &Message, from_known_client: bool) -> Option<Answer> {
+    fn capacity_refusal(&mut self, message: &Message, from_known_client: bool) -> Option<SubmitReply> {
         if !self.targets.knows_destination(message.destination) {
             // Its targets may be in a list that has not arrived yet.
             return Some(self.refusal(message.destination));
@@ -91,7 +91,7 @@
     /// Limits the deadline of a message that was handed back and may have been executed to the time
     /// for which its partner remembers it.
     fn limit_to_dedup_window(&self, message: Arc<Message>) -> Arc<Message> {
-        match self.harmless_until(&message.id).map(|until| self.clock.since_unix(until)) {
+        match self.harmless_until(&message.id).map(|until| self.clock.time_at_unix(until)) {
             Some(until) if until < message.expires => {
                 let copy = Message { expires: until, ..Message::clone(&message) };
                 Arc::new(copy)
@@ -102,29 +102,28 @@
 
     /// The reply to a message whose outcome is stored. One that was handed back may be submitted
     /// again.
-    fn reply_from_outcome(&self, id: &str) -> Option<Answer> {
+    fn reply_from_outcome(&self, id: &str) -> Option<SubmitReply> {
         let site = self.site.as_ref()?;
         let (_, end) = site.ends.look(id).ok().flatten()?;
         match end.result {
-            EndResult::Delivered => Some(Answer::Known { over: false }),
-            EndResult::GivenUp | EndResult::InDoubt => Some(Answer::Known { over: true }),
+            EndResult::Delivered => Some(SubmitReply::Duplicate { over: false }),
+            EndResult::GivenUp | EndResult::InDoubt => Some(SubmitReply::Duplicate { over: true }),
             EndResult::HandedBack { .. } => None,
             // The partner may have forgotten the key: the message could take effect twice.
-            EndResult::HandedBackUntil { until, .. } => {
-                (self.clock.unix(self.clock.now()) >= until).then_some(Answer::Known { over: true })
-            }
+            EndResult::HandedBackUntil { until, .. } => (self.clock.unix_time(self.clock.now()) >= until)
+                .then_some(SubmitReply::Duplicate { over: true }),
         }
     }
 
     /// The refusal when there is no capacity or no endpoint, with the delay after which the
     /// scheduler expects capacity.
-    pub(super) fn refusal(&mut self, destination: u32) -> Answer {
+    pub(super) fn refusal(&mut self, destination: u32) -> SubmitReply {
         let wait = self.brain.advice(destination).div_ceil(1000);
-        self.site.as_mut().map_or(Answer::Refused { retry_in_ms: 0 }, |s| s.refusal(wait))
+        self.site.as_mut().map_or(SubmitReply::Refused { retry_in_ms: 0 }, |s| s.refusal(wait))
     }
 
     /// The refusal of a message that could not be recorded in the journal.
-    pub(super) fn refusal_for(&mut self, number: u64) -> Answer {
+    pub(super) fn refusal_for(&mut self, number: u64) -> SubmitReply {
         let destination = self.messages.get(&number).map_or(0, |h| h.message.destination);
         self.refusal(destination)
     }
@@ -147,7 +146,7 @@
                 key: message.key.clone(),
                 idempotency_key: message.idempotency_key.clone(),
                 retry: message.retry.clone(),
-                expires: self.clock.unix(message.expires),
+                expires: self.clock.unix_time(message.expires),
                 body: message.body.to_vec(),
             };
             let accepted = match self.site {
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -1,5 +1,5 @@
 //! The event loop, which owns all mutable state: the scheduler, the messages and the journal.
-//! Socket and timer tasks send it [`Input`]s; it carries out the scheduler's actions in the order
+//! Socket and timer tasks send it [`LoopEvent`]s; it carries out the scheduler's actions in the order
 //! in which they were issued.
 
 mod appliance;
@@ -18,14 +18,14 @@
 use crate::config::Config;
 use crate::connections::{IdleConnections, Keeping};
 use crate::descriptors::{half, Descriptors};
-use crate::door::{Answer, Input, Inputs, Stage};
 use crate::ends_api::Fronts;
+use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::list::{ServerList, ServerState};
 use crate::membership::Membership;
 use crate::message::Message;
 use crate::notices::Notices;
+use crate::registry::{MessageIds, Targets};
 use crate::speech::Speeches;
-use crate::table::{MessageIds, Targets};
 use crate::targets::{read_what_has_come, STOOD_STILL};
 use appliance::{SiteRuntime, MAX_NAME_BYTES};
 use foldtrack_admission::Party;
@@ -65,7 +65,7 @@
 /// Whether the client has been told that its message is accepted.
 enum Acceptance {
     /// Not told: the scheduler may still refuse the message.
-    Undecided(oneshot::Sender<Answer>),
+    Undecided(oneshot::Sender<SubmitReply>),
     /// The reply is being written, or waits for the journal.
     Replying,
     /// The client has received the reply.
@@ -104,7 +104,7 @@
     brain: Brain,
     settings: Arc<Parsed>,
     journal: Journal,
-    inputs: Inputs,
+    events: EventSender,
     membership: Box<dyn Membership>,
     /// Address of discovery, which receives notices; none for a site file.
     discovery: Option<watch::Sender<SocketAddr>>,
@@ -152,12 +152,12 @@
 /// # Errors
 /// The journal or the list of targets cannot be opened, or the listener cannot be bound.
 pub(crate) async fn run(
-    mut config: Config, inputs: Inputs, mut receiver: UnboundedReceiver<Input>,
+    mut config: Config, events: EventSender, mut receiver: UnboundedReceiver<LoopEvent>,
 ) -> io::Result<()> {
     let clock = Clock::new();
     let others = config.site.as_mut().and_then(|parts| parts.peers.take());
     let others = match others {
-        Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &inputs)?),
+        Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &events)?),
         None => None,
     };
     let ready = others.as_ref().map(|(_, hands)| hands.ready.clone());
@@ -192,7 +192,7 @@
         brain: Brain::new(clock.now(), config.seed, settings.settings.clone()),
         settings: settings.clone(),
         journal,
-        inputs: inputs.clone(),
+        events: events.clone(),
         membership: config.membership,
         discovery: config.discovery,
         site: site.map(Box::new),
@@ -221,7 +221,7 @@
         terminated_at: None,
         actions: Vec::new(),
     };
-    let reports_updates = node.membership.start_updates(&inputs);
+    let reports_updates = node.membership.start_updates(&events);
     node.apply_list(
         node.membership.current_list(),
         if reports_updates { ListKind::Cached } else { ListKind::Full },
@@ -237,7 +237,7 @@
     let listener = clients::listen(config.listen)?;
     let bodies = Semaphore::new(config.memory_bytes / BODY_MEMORY_DIVISOR);
     let bodies_of_others = Semaphore::new(config.memory_bytes / BODY_MEMORY_DIVISOR / 2);
-    let desk = Desk { settings, clock, inputs, stage: stage_seen, bodies, bodies_of_others, fronts, ready };
+    let desk = Desk { settings, clock, events, stage: stage_seen, bodies, bodies_of_others, fronts, ready };
     tokio::spawn(clients::serve(listener, Arc::new(desk), config.places));
     while !node.has_ended() {
         let started = Instant::now();
@@ -280,7 +280,7 @@
 impl Node {
     /// One iteration: handles the events, lets the scheduler decide once, and carries out its
     /// actions.
-    fn run_iteration(&mut self, batch: &mut Vec<Input>) {
+    fn run_iteration(&mut self, batch: &mut Vec<LoopEvent>) {
         for input in batch.drain(..) {
             self.handle_event(input);
         }
@@ -337,33 +337,35 @@
         self.brain.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    fn handle_event(&mut self, input: Input) {
+    fn handle_event(&mut self, input: LoopEvent) {
         match input {
-            Input::HandIn { message, known, reply } => self.submit(message, known, reply),
-            Input::Answered { number, written } => self.reply_finished(number, written),
-            Input::CallEnded(end) => self.call_ended(end),
-            Input::Opened { target, number, opened } => {
+            LoopEvent::Submit { message, from_known_client, reply } => {
+                self.submit(message, from_known_client, reply)
+            }
+            LoopEvent::ReplySent { number, written } => self.reply_finished(number, written),
+            LoopEvent::CallEnded(end) => self.call_ended(end),
+            LoopEvent::Preconnected { target, number, opened } => {
                 let open = self.targets.is_open(target);
                 self.idle.opened(target, number, opened.filter(|_| open));
             }
             // A list that the previous address sent before discovery moved is ignored.
-            Input::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
-            Input::List { list, .. } => {
+            LoopEvent::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
+            LoopEvent::List { list, .. } => {
                 let kind = if list.full { ListKind::Full } else { ListKind::Delta };
                 self.apply_list(list, kind);
             }
-            Input::Reported { numbers, status, to } => self.notices_reported(numbers, status, to),
-            Input::Discovery(address) => {
+            LoopEvent::NoticesReported { numbers, status, to } => self.notices_reported(numbers, status, to),
+            LoopEvent::DiscoveryMoved(address) => {
                 if let Some(discovery) = &self.discovery {
                     discovery.send_replace(address);
                 }
                 self.notices.moved();
             }
-            Input::Site(ask) => self.handle_request(ask),
-            Input::Synced(synced) => self.finish_sync(synced),
-            Input::Datagram(bytes) => self.handle_datagram(&bytes),
-            Input::PeersKept(ticket) => self.peer_records_stored(ticket),
-            Input::Terminate => {
+            LoopEvent::SiteRequest(ask) => self.handle_request(ask),
+            LoopEvent::JournalSynced(synced) => self.finish_sync(synced),
+            LoopEvent::Datagram(bytes) => self.handle_datagram(&bytes),
+            LoopEvent::PeerRecordsStored(ticket) => self.peer_records_stored(ticket),
+            LoopEvent::Terminate => {
                 if self.terminated_at.is_none() {
                     self.terminated_at = Some(Instant::now());
                     self.stage.send_replace(Stage::Draining);
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -1,7 +1,7 @@
 //! Operators' orders, and requests of the site's HTTP API and control socket.
 
 use super::Node;
-use crate::door::Ask;
+use crate::events::SiteRequest;
 use foldtrack_control::{Done, Error};
 use foldtrack_ends::Fetched;
 use foldtrack_membership::{Change, Order, Trouble};
@@ -12,23 +12,23 @@
 
 impl Node {
     /// Handles a request of the HTTP API or the control socket.
-    pub(super) fn handle_request(&mut self, ask: Ask) {
+    pub(super) fn handle_request(&mut self, ask: SiteRequest) {
         match ask {
             // The requester may have disconnected.
-            Ask::Ends { after, peek, most, reply } => {
+            SiteRequest::Ends { after, peek, most, reply } => {
                 drop(reply.send(self.fetch_outcomes(after, peek, most)))
             }
-            Ask::Message { id, reply } => drop(reply.send(self.message_history(&id))),
-            Ask::Picture { reply } => self.request_snapshot(reply),
-            Ask::Order { order, reply } => self.handle_order(order, reply),
-            Ask::Network { network, for_ms, reply } => self.publish_block(network, for_ms, reply),
-            Ask::Peers { .. } | Ask::State { .. } => self.handle_peer_request(ask),
+            SiteRequest::Message { id, reply } => drop(reply.send(self.message_history(&id))),
+            SiteRequest::Snapshot { reply } => self.request_snapshot(reply),
+            SiteRequest::Order { order, reply } => self.handle_order(order, reply),
+            SiteRequest::Network { network, for_ms, reply } => self.publish_block(network, for_ms, reply),
+            SiteRequest::Peers { .. } | SiteRequest::State { .. } => self.handle_peer_request(ask),
         }
     }
 
     /// Reads outcomes after a cursor, and acknowledges those up to it unless the client only peeks.
     fn fetch_outcomes(&mut self, after: Option<u64>, peek: bool, most: usize) -> io::Result<Fetched> {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         let Some(site) = &mut self.site else {
             return Err(io::Error::other("this forwarder stores no outcomes"));
         };
@@ -42,7 +42,7 @@
     /// targets in the same iteration, so that no later decision ignores it. The reply waits for the
     /// sync, which runs outside the event loop.
     fn handle_order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
             if self.speeches.shows_secrets(partner, *address) {
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -3,7 +3,7 @@
 //! operator gives.
 
 use super::Node;
-use crate::door::{Answer, Ask, Input};
+use crate::events::{LoopEvent, SiteRequest, SubmitReply};
 use crate::list::ServerList;
 use crate::message::Message;
 use crate::peers::Hands;
@@ -48,7 +48,7 @@
 struct PendingClaim {
     message: Arc<Message>,
     from_known_client: bool,
-    reply: oneshot::Sender<Answer>,
+    reply: oneshot::Sender<SubmitReply>,
 }
 
 /// An order whose operator waits for the reply.
@@ -101,7 +101,7 @@
     /// applies the ledger.
     pub(super) fn start_peers(&mut self) {
         let now = self.now_ms();
-        let at = self.clock.unix(self.clock.now());
+        let at = self.clock.unix_time(self.clock.now());
         let imports = self.local_orders();
         let Some(peer_state) = &mut self.peers else { return };
         // A block that survived the process has its remaining time in its own record.
@@ -127,19 +127,19 @@
     /// are unsent only in an older copy of its state folder. Other events that arrive meanwhile are
     /// kept for the loop.
     pub(super) async fn wait_for_peers(
-        &mut self, receiver: &mut UnboundedReceiver<Input>, deferred: &mut Vec<Input>,
+        &mut self, receiver: &mut UnboundedReceiver<LoopEvent>, deferred: &mut Vec<LoopEvent>,
     ) {
         while self.peers.as_ref().is_some_and(|s| !s.hands.ready.load(Ordering::Relaxed)) {
             let due = self.peers_next_due().unwrap_or_else(Instant::now);
             tokio::select! {
                 input = receiver.recv() => match input {
                     Some(
-                        input @ (Input::Datagram(_)
-                        | Input::PeersKept(_)
-                        | Input::Site(Ask::Peers { .. } | Ask::State { .. })),
+                        input @ (LoopEvent::Datagram(_)
+                        | LoopEvent::PeerRecordsStored(_)
+                        | LoopEvent::SiteRequest(SiteRequest::Peers { .. } | SiteRequest::State { .. })),
                     ) => self.handle_event(input),
                     Some(input) => {
-                        let ends = matches!(input, Input::Terminate);
+                        let ends = matches!(input, LoopEvent::Terminate);
                         deferred.push(input);
                         if ends {
                             return;
@@ -270,7 +270,7 @@
         &mut self, subject: Subject, word: Word, order: Option<(Order, Change)>,
         reply: oneshot::Sender<Result<Done, Error>>,
     ) {
-        let (now, at) = (self.now_ms(), self.clock.unix(self.clock.now()));
+        let (now, at) = (self.now_ms(), self.clock.unix_time(self.clock.now()));
         let Some(peer_state) = &mut self.peers else { return };
         let number = peer_state.next_order;
         peer_state.next_order += 1;
@@ -440,7 +440,7 @@
     /// Applies an order to the scheduler's list in this iteration. The ledger keeps it; the log has
     /// it as well, for a start without the peers.
     fn apply_local_order(&mut self, order: &Order) {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         match self.membership.order(now, order) {
             Ok(Change::Done) => {
                 self.apply_list(self.membership.current_list(), ListKind::Full);
@@ -480,8 +480,8 @@
     /// Claims the id of a message that must not be repeated freely; the submission continues in
     /// [`Node::claim_settled`]. Returns a message that needs no claim.
     pub(super) fn claim_id(
-        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<Answer>,
-    ) -> Option<(Arc<Message>, oneshot::Sender<Answer>)> {
+        &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<SubmitReply>,
+    ) -> Option<(Arc<Message>, oneshot::Sender<SubmitReply>)> {
         let now = self.now_ms();
         let class = &self.settings.settings.classes[message.class];
         let effect = match class.effect {
@@ -494,7 +494,7 @@
         if peer_state.pending_claims.contains_key(&id) {
             // The message was submitted on two connections at once. The claim's result is the reply
             // to the other one.
-            let _ = reply.send(Answer::Refused { retry_in_ms: CLAIM_RETRY_MS });
+            let _ = reply.send(SubmitReply::Refused { retry_in_ms: CLAIM_RETRY_MS });
             return None;
         }
         peer_state.pending_claims.insert(id, PendingClaim { message, from_known_client, reply });
@@ -516,11 +516,11 @@
                 };
                 return self.accept(message, from_known_client, reply);
             }
-            Verdict::Held | Verdict::Delivered => Answer::Known { over: false },
-            Verdict::Over => Answer::Known { over: true },
+            Verdict::Held | Verdict::Delivered => SubmitReply::Duplicate { over: false },
+            Verdict::Over => SubmitReply::Duplicate { over: true },
             Verdict::Later(wait) => match &mut self.site {
                 Some(site) => site.refusal(wait),
-                None => Answer::Refused { retry_in_ms: wait },
+                None => SubmitReply::Refused { retry_in_ms: wait },
             },
         };
         // The client may have disconnected.
@@ -549,7 +549,7 @@
             EndResult::HandedBack { .. } => EndWord::Back(0),
             EndResult::HandedBackUntil { until, .. } => {
                 // 0 would mean without limit.
-                EndWord::Back((until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1))
+                EndWord::Back((until.saturating_sub(self.clock.unix_time(self.clock.now())) / 1000).max(1))
             }
         }
     }
@@ -570,7 +570,7 @@
         let classes = &self.settings.settings.classes;
         let held = self.messages.values();
         let held = held.filter(|h| classes[h.message.class].effect != hatchline::Effect::Repeatable);
-        let unix = self.clock.unix(self.clock.now());
+        let unix = self.clock.unix_time(self.clock.now());
         let names = &self.settings.class_names;
         let is_claimed = |class: &String| {
             let class = names.iter().position(|name| name == class);
@@ -604,10 +604,10 @@
     }
 
     /// Answers requests for the state of the peers.
-    pub(super) fn handle_peer_request(&mut self, ask: Ask) {
+    pub(super) fn handle_peer_request(&mut self, ask: SiteRequest) {
         match ask {
-            Ask::Peers { reply } => drop(reply.send(self.peers_view())),
-            Ask::State { reply } => drop(reply.send(self.state_view())),
+            SiteRequest::Peers { reply } => drop(reply.send(self.peers_view())),
+            SiteRequest::State { reply } => drop(reply.send(self.state_view())),
             _ => {}
         }
     }
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -4,8 +4,8 @@
 
 use super::Node;
 use crate::connections::SeenConnections;
-use crate::door::{Picture, Stage};
-use crate::told::{told_attempt, told_end};
+use crate::events::{Snapshot, Stage};
+use crate::message_view::{attempt_view, message_view};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
 use foldtrack_membership::State;
 use hatchline::views::{DestinationView, Health, LaneView};
@@ -45,7 +45,7 @@
 #[derive(Default)]
 pub(super) struct SnapshotScan {
     /// Requesters that wait for it.
-    requesters: Vec<oneshot::Sender<Arc<Picture>>>,
+    requesters: Vec<oneshot::Sender<Arc<Snapshot>>>,
     /// Messages up to this number have been visited.
     visited_up_to: u64,
     total: HeldSummary,
@@ -84,7 +84,7 @@
 
 impl Node {
     /// Queues a request for a snapshot, which is answered within the next iterations.
-    pub(super) fn request_snapshot(&mut self, reply: oneshot::Sender<Arc<Picture>>) {
+    pub(super) fn request_snapshot(&mut self, reply: oneshot::Sender<Arc<Snapshot>>) {
         self.scan.requesters.push(reply);
     }
 
@@ -113,9 +113,9 @@
         scan.requesters.into_iter().for_each(|reply| drop(reply.send(snapshot.clone())));
     }
 
-    fn build_snapshot(&mut self, scan: &SnapshotScan) -> Arc<Picture> {
+    fn build_snapshot(&mut self, scan: &SnapshotScan) -> Arc<Snapshot> {
         let now = self.clock.now();
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         let views = self.brain.view(now);
         let (total, held_by_partner) = (scan.total, &scan.partners);
         let queues = self.queues(scan, unix);
@@ -129,7 +129,7 @@
         };
         let failures =
             self.site.iter().flat_map(|s| s.failures.iter().rev().map(|(_, f)| f.clone())).collect();
-        Arc::new(Picture { at: Instant::now(), status, partners, endpoints, failures, queues })
+        Arc::new(Snapshot { at: Instant::now(), status, partners, endpoints, failures, queues })
     }
 
     fn status(&self, unix: Micros, total: HeldSummary, longest: Duration) -> Status {
@@ -327,13 +327,13 @@
                 partner: site.partner_name(message.destination).into_owned(),
                 key: message.key.clone(),
                 taken: held.arrived_at,
-                expires: self.clock.unix(message.expires),
-                attempts: held.history.iter().map(told_attempt).collect(),
+                expires: self.clock.unix_time(message.expires),
+                attempts: held.history.iter().map(attempt_view).collect(),
                 ..Message::default()
             });
         }
         match site.ends.look(id) {
-            Ok(found) => found.map(|(_, end)| told_end(&end)),
+            Ok(found) => found.map(|(_, end)| message_view(&end)),
             Err(error) => {
                 eprintln!("ends: {error}");
                 None
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -4,7 +4,7 @@
 use super::{Acceptance, HeldMessage, Node};
 use crate::message::{order_key, Message};
 use crate::notices::Ending;
-use crate::table::SubmissionState;
+use crate::registry::SubmissionState;
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{Fate, Notice, Record, Restored, Tried};
 use hatchline::{Effect, Event, Outcome};
@@ -48,7 +48,7 @@
             key: accepted.key,
             idempotency_key: accepted.idempotency_key,
             retry: accepted.retry,
-            expires: self.clock.since_unix(accepted.expires).min(latest),
+            expires: self.clock.time_at_unix(accepted.expires).min(latest),
             body: accepted.body.into(),
         };
         let message = self.limit_stale_message(message, arrived_at);
@@ -95,7 +95,7 @@
             return self.end_message(number, Notice::GivenUp);
         };
         let first = attempts.iter().find(|t| t.fate != Some(Fate::NeverRan));
-        let first_run = first.map(|t| (self.clock.since_unix(t.at), t.zone));
+        let first_run = first.map(|t| (self.clock.time_at_unix(t.at), t.zone));
         let outcome = |fate| match fate {
             Some(Fate::NeverRan) => Outcome::NotSent,
             Some(Fate::MayHaveRun) | None => Outcome::Reset,
@@ -125,7 +125,8 @@
         if !self.has_stale_folder() {
             return message;
         }
-        let until = self.clock.since_unix(arrived_at.saturating_add(window).saturating_sub(DEDUP_MARGIN_US));
+        let until =
+            self.clock.time_at_unix(arrived_at.saturating_add(window).saturating_sub(DEDUP_MARGIN_US));
         Message { expires: message.expires.min(until), ..message }
     }
 }
--- a/src/bin/foldtrack/node/shutdown.rs
+++ b/src/bin/foldtrack/node/shutdown.rs
@@ -1,7 +1,7 @@
 //! The shutdown sequence after SIGTERM.
 
 use super::{Node, ACCEPT_GRACE, SHUTDOWN_LIMIT};
-use crate::door::Stage;
+use crate::events::Stage;
 use foldtrack_admission::Party;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -2,7 +2,7 @@
 //! is told and what follows from it is for `foldtrack-peers` to say, and for the loop to carry out.
 
 use crate::blocks::Blocks;
-use crate::door::{Input, Inputs};
+use crate::events::{EventSender, LoopEvent};
 use foldtrack_peers::claims::Kept;
 use foldtrack_peers::seal::{Sealer, LONGEST};
 use foldtrack_peers::store::{ClaimLog, Opened, OpenedClaims, Store};
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// The address can't be had, or there is no thread left.
-    pub fn start(self, seed: u64, now: u64, inputs: &Inputs) -> std::io::Result<(Peers, Hands)> {
+    pub fn start(self, seed: u64, now: u64, events: &EventSender) -> std::io::Result<(Peers, Hands)> {
         let said = self.said;
         let named =
             |e: std::io::Error| std::io::Error::new(e.kind(), format!("peers.listen {}: {e}", said.listen));
@@ -68,10 +68,10 @@
         let socket = Arc::new(UdpSocket::from_std(socket).map_err(named)?);
         let waiting = Arc::new(AtomicUsize::new(0));
         let crowded = Arc::new(AtomicUsize::new(0));
-        tokio::spawn(read(socket.clone(), inputs.clone(), waiting.clone(), crowded.clone()));
+        tokio::spawn(read(socket.clone(), events.clone(), waiting.clone(), crowded.clone()));
         let (records, to_keep) = mpsc::channel();
         let unkept = Arc::new(std::sync::Mutex::new(String::new()));
-        let (store, back, problem) = (self.store, inputs.clone(), unkept.clone());
+        let (store, back, problem) = (self.store, events.clone(), unkept.clone());
         std::thread::Builder::new()
             .name("peers".into())
             .spawn(move || keep(&store, &to_keep, &back, &problem))?;
@@ -125,7 +125,7 @@
         let _ = self.socket.try_send_to(bytes, self.addresses[to]);
     }
 
-    /// Has records kept; [`Input::PeersKept`] tells when they are.
+    /// Has records kept; [`LoopEvent::PeerRecordsStored`] tells when they are.
     pub fn keep(&self, ticket: u64, records: Vec<Record>) {
         // The thread ends only with the process.
         let _ = self.records.send((ticket, records));
@@ -157,7 +157,7 @@
 
     /// Why records are not kept, if they are not.
     pub fn unkept(&self) -> String {
-        crate::lock::locked(&self.unkept).clone()
+        crate::lock::lock_ignoring_poison(&self.unkept).clone()
     }
 
     /// Tells operators.
@@ -168,7 +168,9 @@
 }
 
 /// Reads datagrams for as long as the process runs.
-async fn read(socket: Arc<UdpSocket>, inputs: Inputs, waiting: Arc<AtomicUsize>, crowded: Arc<AtomicUsize>) {
+async fn read(
+    socket: Arc<UdpSocket>, events: EventSender, waiting: Arc<AtomicUsize>, crowded: Arc<AtomicUsize>,
+) {
     // One byte more than any: what fills it was longer, and is refused as that.
     let mut bytes = vec![0; LONGEST + 1];
     loop {
@@ -181,7 +183,7 @@
                     tokio::task::yield_now().await;
                     continue;
                 }
-                inputs.send(Input::Datagram(bytes[..length].to_vec()));
+                events.send(LoopEvent::Datagram(bytes[..length].to_vec()));
             }
             Err(_) => sleep(READ_PAUSE).await,
         }
@@ -191,7 +193,7 @@
 /// Keeps records, in their order, for as long as there is a loop. What can't be kept is tried again, and nothing behind it
 /// is acknowledged meanwhile.
 fn keep(
-    store: &Store, records: &mpsc::Receiver<(u64, Vec<Record>)>, inputs: &Inputs,
+    store: &Store, records: &mpsc::Receiver<(u64, Vec<Record>)>, events: &EventSender,
     problem: &std::sync::Mutex<String>,
 ) {
     while let Ok((mut ticket, mut batch)) = records.recv() {
@@ -202,7 +204,7 @@
         }
         while let Err(error) = store.keep(&batch) {
             let told = error.to_string();
-            let mut last = crate::lock::locked(problem);
+            let mut last = crate::lock::lock_ignoring_poison(problem);
             if *last != told {
                 eprintln!("peers: what was ordered is not kept yet: {told}");
                 *last = told;
@@ -210,12 +212,12 @@
             drop(last);
             std::thread::sleep(KEEP_PAUSE);
         }
-        let mut last = crate::lock::locked(problem);
+        let mut last = crate::lock::lock_ignoring_poison(problem);
         if !last.is_empty() {
             eprintln!("peers: what was ordered is kept again");
             last.clear();
         }
         drop(last);
-        inputs.send(Input::PeersKept(ticket));
+        events.send(LoopEvent::PeerRecordsStored(ticket));
     }
 }
--- a/src/bin/foldtrack/places.rs
+++ b/src/bin/foldtrack/places.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::descriptors::{Descriptors, Drawn};
-use crate::lock::locked;
+use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::{Admit, Ask, Event, Gate, Party, Seen, Settings};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, HashMap};
@@ -68,7 +68,7 @@
     }
 
     fn hall(&self) -> MutexGuard<'_, Hall> {
-        locked(&self.hall)
+        lock_ignoring_poison(&self.hall)
     }
 
     /// Waits until those who were let go of have left, but for a few.
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::asking::{Asking, Failure, Source};
 use crate::connections::Connection;
-use crate::door::{Input, Inputs};
+use crate::events::{EventSender, LoopEvent};
 use crate::list::ServerList;
 use crate::membership::Membership;
 use bytes::Bytes;
@@ -81,9 +81,9 @@
     /// Startup waits for the first list because the known one may be old: a target that was drained
     /// before the restart would otherwise receive the messages held. The agent answers at once
     /// unless discovery is down.
-    fn start_updates(&self, inputs: &Inputs) -> bool {
+    fn start_updates(&self, events: &EventSender) -> bool {
         let asking = Asking::new(self.forwarder_count, self.source, self.drain_grace, self.seed);
-        tokio::spawn(watch(self.discovery.subscribe(), asking, inputs.clone()));
+        tokio::spawn(watch(self.discovery.subscribe(), asking, events.clone()));
         true
     }
 
@@ -105,7 +105,7 @@
 }
 
 /// Watches the list for as long as the process runs.
-async fn watch(mut discovery: watch::Receiver<SocketAddr>, mut asking: Asking, inputs: Inputs) {
+async fn watch(mut discovery: watch::Receiver<SocketAddr>, mut asking: Asking, events: EventSender) {
     loop {
         let address = *discovery.borrow_and_update();
         // A watch that hangs on the previous address would take seconds to end.
@@ -115,13 +115,13 @@
                 Ok(()) => asking.moved(),
                 Err(_) => return,
             },
-            () = watch_at(address, &mut asking, &inputs) => {}
+            () = watch_at(address, &mut asking, &events) => {}
         }
     }
 }
 
 /// Watches the list at one address, starting with the whole list.
-async fn watch_at(address: SocketAddr, asking: &mut Asking, inputs: &Inputs) {
+async fn watch_at(address: SocketAddr, asking: &mut Asking, events: &EventSender) {
     let mut connection = None;
     let mut version: Option<u64> = None;
     loop {
@@ -163,7 +163,7 @@
                 version = Some(list.version);
                 let pause = asking.answered(!empty);
                 if !empty {
-                    inputs.send(Input::List { list, from: address });
+                    events.send(LoopEvent::List { list, from: address });
                     if !pause.is_zero() {
                         sleep(pause).await;
                     }
@@ -188,7 +188,7 @@
 /// Sends notices as JSON lines. Reports to the event loop whether they were accepted, rejected as
 /// unreadable, or not answered.
 pub(crate) async fn report(
-    mut discovery: watch::Receiver<SocketAddr>, lines: String, numbers: Vec<u64>, inputs: Inputs,
+    mut discovery: watch::Receiver<SocketAddr>, lines: String, numbers: Vec<u64>, events: EventSender,
 ) {
     let to = *discovery.borrow_and_update();
     let status = tokio::select! {
@@ -198,7 +198,7 @@
         // answer may never arrive.
         _ = discovery.changed() => None,
     };
-    inputs.send(Input::Reported { numbers, status, to });
+    events.send(LoopEvent::NoticesReported { numbers, status, to });
 }
 
 async fn post(address: SocketAddr, lines: String) -> Option<StatusCode> {
--- a/src/bin/foldtrack/table.rs
+++ b/src/bin/foldtrack/registry.rs
@@ -2,7 +2,7 @@
 //! drop what is gone, so that they do not grow without bound.
 
 use crate::list::{ServerEntry, ServerState};
-use foldtrack_clearance::{Clearance, Lane, Lanes, Way};
+use foldtrack_preflight::{PreflightCheck, RouteScope, RouteState, RouteStates};
 use hatchline::{Micros, TargetId};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -26,7 +26,7 @@
     /// Set when no new call may be written to it; read by calls whose connection is not up yet.
     closed: Arc<AtomicBool>,
     /// Shared with the other targets of its destination: requested waits and detected outages.
-    lane: Arc<Lane>,
+    route: Arc<RouteState>,
 }
 
 impl TargetEntry {
@@ -47,7 +47,7 @@
     next: TargetId,
     /// Destinations, and when each last had a target.
     last_seen: BTreeMap<u32, Micros>,
-    lanes: Lanes,
+    routes: RouteStates,
 }
 
 impl Targets {
@@ -64,7 +64,7 @@
                 && !server.gone
             {
                 server.set_state(gone, leaving);
-                server.lane.told_to_wait(line.hold_until);
+                server.route.defer_until(line.hold_until);
                 return Some((known?, None));
             }
             server.set_state(true, server.leaving);
@@ -76,8 +76,12 @@
         self.next += 1;
         self.numbers_by_id.insert(line.id.clone(), number);
         let (address, destination, id) = (line.addr, line.cell, line.id.clone());
-        let lane = self.lanes.of(if apart { Way::Route(number) } else { Way::Destination(destination) });
-        lane.told_to_wait(line.hold_until);
+        let route = self.routes.of(if apart {
+            RouteScope::Endpoint(number)
+        } else {
+            RouteScope::Destination(destination)
+        });
+        route.defer_until(line.hold_until);
         self.by_number.insert(
             number,
             TargetEntry {
@@ -89,7 +93,7 @@
                 leaving,
                 calls: 0,
                 closed: Arc::new(AtomicBool::new(leaving)),
-                lane,
+                route,
             },
         );
         Some((number, known))
@@ -116,17 +120,19 @@
     }
 
     /// Starts a call that was decided on at this time, unless the target has been closed since.
-    pub fn begin_call(&mut self, number: TargetId, decided: Micros) -> Option<(SocketAddr, u32, Clearance)> {
+    pub fn begin_call(
+        &mut self, number: TargetId, decided_at: Micros,
+    ) -> Option<(SocketAddr, u32, PreflightCheck)> {
         let server = self.by_number.get_mut(&number).filter(|s| !s.gone && !s.leaving)?;
         server.calls += 1;
-        let (lane, closed) = (server.lane.clone(), server.closed.clone());
-        Some((server.address, server.zone, Clearance { lane, closed, decided }))
+        let (route, closed) = (server.route.clone(), server.closed.clone());
+        Some((server.address, server.zone, PreflightCheck { route, closed, decided_at }))
     }
 
     /// Records that the scheduler has detected an outage of the target's route at this time.
-    pub fn found_out(&self, number: TargetId, at: Micros) {
+    pub fn record_outage(&self, number: TargetId, at: Micros) {
         if let Some(server) = self.by_number.get(&number) {
-            server.lane.found_out(at);
+            server.route.record_outage(at);
         }
     }
 
@@ -167,7 +173,7 @@
     /// since `before`. Returns the numbers of the dropped targets.
     pub fn remove_stale(&mut self, now: Micros, before: Micros) -> Vec<TargetId> {
         self.mark_seen(now);
-        self.lanes.sweep(now);
+        self.routes.sweep(now);
         self.last_seen.retain(|_, seen| *seen >= before);
         let stale = self.by_number.iter().filter(|(_, s)| s.gone && s.calls == 0);
         let stale: Vec<TargetId> = over.map(|(number, _)| *number).collect();
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -2,14 +2,14 @@
 
 use crate::blocks::Blocks;
 use crate::clock::Clock;
-use crate::config::{Config, SiteParts};
+use crate::config::{Config, SiteConfig};
 use crate::control;
 use crate::descriptors::{allowed, Descriptors, OTHER_SOCKETS};
-use crate::door;
+use crate::events;
 use crate::membership::SiteMembership;
 use crate::peers::Setup;
 use crate::places::Places;
-use crate::{logs, runtime, serve_until_told, speech};
+use crate::{logs, runtime, serve_until_signal, speech};
 use foldtrack_admission::descriptors::{self, Kept};
 use foldtrack_admission::Rate;
 use foldtrack_ends::shelf::Bounds;
@@ -70,7 +70,7 @@
     let socket = control::bind(&site.control_socket())?;
     let (speeches, keeper) = speech::of_site(&site)?;
     let _logs = (!keeper.is_idle()).then(logs::start);
-    let (inputs, receiver) = door::channel();
+    let (events, receiver) = events::channel();
     let config = Config {
         listen: site.listen,
         state: site.state.clone(),
@@ -86,13 +86,13 @@
         membership: Box::new(SiteMembership::new(log, site.clone())),
         discovery: None,
         durable: site.durability == Durability::Machine,
-        site: Some(SiteParts { site, ends, peers }),
+        site: Some(SiteConfig { site, ends, peers }),
     };
     let ends = [SignalKind::terminate(), SignalKind::interrupt()];
     runtime()?.block_on(async {
         keeper.start();
-        control::start(socket, inputs.clone(), blocks, ledger, most)?;
-        serve_until_told(config, inputs, receiver, &ends).await
+        control::start(socket, events.clone(), blocks, ledger, most)?;
+        serve_until_signal(config, events, receiver, &ends).await
     })
 }
 
--- a/src/bin/foldtrack/targets.rs
+++ b/src/bin/foldtrack/targets.rs
@@ -3,12 +3,12 @@
 use crate::clock::Clock;
 use crate::connections::{Connection, Failure};
 use crate::descriptors::Drawn;
-use crate::door::{CallEnd, Input, Inputs};
+use crate::events::{CallEnd, EventSender, LoopEvent};
 use crate::message::Message;
 use crate::speech::Speech;
 use crate::streams::Tap;
-use foldtrack_clearance::{Clearance, Overtaken};
 use foldtrack_dialect::{Dialect, Meaning, Outgoing, Values};
+use foldtrack_preflight::{PreflightCheck, PreflightError};
 use hatchline::settings::Parsed;
 use hatchline::{LimitReport, Micros, Outcome, TargetId};
 use http::request::Parts;
@@ -29,7 +29,7 @@
 const REST_WAIT: Duration = Duration::from_millis(20);
 const REST_BYTES: usize = 64 * 1024;
 /// Whoever is so late has perhaps stood still: what has come meanwhile is read first. In so many turns of the runtime a head
-/// gets from the socket to [`Clearance`], under TLS too.
+/// gets from the socket to [`PreflightCheck`], under TLS too.
 pub(crate) const STOOD_STILL: Duration = Duration::from_millis(10);
 const TURNS: u32 = 4;
 /// ENFILE and EMFILE.
@@ -53,7 +53,7 @@
     /// Answers told as limit reports (PROTOCOL).
     pub reports: bool,
     /// Whether it may still go, whatever is told meanwhile.
-    pub clearance: Clearance,
+    pub preflight: PreflightCheck,
     pub clock: Clock,
     /// How its partner is spoken to.
     pub speech: Arc<Speech>,
@@ -68,7 +68,7 @@
     /// The message lacks what this partner's dialect needs, whenever it is sent.
     Never,
     /// News has overtaken the decision. The connection is as good as before.
-    Overtaken(Overtaken, Option<Box<Connection>>),
+    PreflightError(PreflightError, Option<Box<Connection>>),
 }
 
 impl Call {
@@ -78,17 +78,17 @@
             number: self.number,
             attempt: self.attempt,
             target: self.target,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             outcome,
-            over: false,
-            late: false,
+            settled: false,
+            past_deadline: false,
             refused: false,
             cause: String::new(),
             wait_until: None,
             report: None,
-            idle: self.connection.as_ref().map(|(_, idle)| *idle),
-            dialled: None,
-            connection: None,
+            idle_for: self.connection.as_ref().map(|(_, idle)| *idle),
+            connect_time: None,
+            reusable_connection: None,
         }
     }
 }
@@ -96,12 +96,12 @@
 /// Opens a connection ahead of demand and tells its end.
 pub(crate) async fn dial(
     target: TargetId, number: u64, address: SocketAddr, speech: Arc<Speech>, descriptor: Drawn,
-    dial_timeout: Duration, inputs: Inputs,
+    dial_timeout: Duration, events: EventSender,
 ) {
     let begun = Instant::now();
     let opening = Connection::open(address, speech.encryption.as_ref(), Some(descriptor));
     let opened = timeout(dial_timeout, opening).await.ok().and_then(Result::ok);
-    inputs.send(Input::Opened { target, number, opened: opened.map(|c| (c, begun.elapsed())) });
+    events.send(LoopEvent::Preconnected { target, number, opened: opened.map(|c| (c, begun.elapsed())) });
 }
 
 /// Why there is no connection, for people.
@@ -111,7 +111,7 @@
 }
 
 /// Makes one call and tells its end: exactly once, and never tries again by itself.
-pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, inputs: Inputs) {
+pub(crate) async fn call(call: Call, mut cancelled: oneshot::Receiver<()>, events: EventSender) {
     let mut end = call.not_begun(Outcome::ConnectFailed);
     let Call {
         message,
@@ -123,7 +123,7 @@
         reports,
         speech,
         settings,
-        clearance,
+        preflight,
         clock,
         ..
     } = call;
@@ -136,7 +136,7 @@
             Some((connection, _)) => connection,
             None => {
                 // Nothing is opened for a call that must not go.
-                clearance.check(clock.now()).map_err(|why| Unsent::Overtaken(why, None))?;
+                preflight.check(clock.now()).map_err(|why| Unsent::PreflightError(why, None))?;
                 let descriptor = Some(descriptor.ok_or(Unsent::By(Outcome::NotSent))?);
                 let begun = Instant::now();
                 let opening = Connection::open(address, speech.encryption.as_ref(), descriptor);
@@ -154,13 +154,13 @@
                 }
             }
         };
-        if clock.now() > clearance.decided + STOOD_STILL.as_micros() as Micros {
+        if clock.now() > preflight.decided + STOOD_STILL.as_micros() as Micros {
             read_what_has_come().await;
         }
         // Guards against news that came while the connection did: up to the time for connecting lies between the decision
         // and the first byte, and whoever has told another call to wait meanwhile, drains or looks out gets nothing new.
-        if let Err(why) = clearance.check(clock.now()) {
-            return Err(Unsent::Overtaken(why, Some(Box::new(connection))));
+        if let Err(why) = preflight.check(clock.now()) {
+            return Err(Unsent::PreflightError(why, Some(Box::new(connection))));
         }
         // It came up in the moment in which the call's time ended: what was decided on in time would be written too late.
         if Instant::now() >= until {
@@ -187,8 +187,8 @@
         () = sleep_until(until) => Err(None),
         Ok(()) = &mut cancelled => Err(Some(Unsent::By(Outcome::Cancelled))),
     };
-    end.dialled = dialled;
-    end.late = Instant::now() >= until;
+    end.connect_time = dialled;
+    end.past_deadline = Instant::now() >= until;
     if let (Err(None | Some(Unsent::By(Outcome::Cancelled))), Some(tap)) = (&answer, &handed_over) {
         tap.last_look();
         tap.give_up();
@@ -196,8 +196,9 @@
     // At once, and not with the call's end by way of the loop: other calls may be about to go.
     let told_to_wait = |end: &mut CallEnd, headers: &HeaderMap| {
         let now = clock.now();
-        end.wait_until = speech.dialect.wait(headers, clock.unix(now)).map(|wait| now.saturating_add(wait));
-        end.wait_until.into_iter().for_each(|until| clearance.lane.told_to_wait(until));
+        end.wait_until =
+            speech.dialect.wait(headers, clock.unix_time(now)).map(|wait| now.saturating_add(wait));
+        end.wait_until.into_iter().for_each(|until| preflight.route.defer_until(until));
     };
     let unread = answer.is_err();
     match answer {
@@ -210,19 +211,20 @@
             let rest = timeout(REST_WAIT, connection.finish(response.into_body(), REST_BYTES)).await;
             // After a switch of protocols it speaks another one.
             let usable = matches!(rest, Ok(Some(_))) && response_status != StatusCode::SWITCHING_PROTOCOLS;
-            end.connection = usable.then_some(connection);
+            end.reusable_connection = usable.then_some(connection);
         }
         // The first line is true though nothing else of the answer can be read: the message is delivered.
         Err(_) if handed_over.as_ref().is_some_and(|tap| delivers(tap, &speech.dialect)) => {
-            (end.outcome, end.over) = (Outcome::Ok, true);
+            (end.outcome, end.settled) = (Outcome::Ok, true);
         }
-        Err(Some(Unsent::Overtaken(why, connection))) => {
+        Err(Some(Unsent::PreflightError(why, connection))) => {
             end.outcome = Outcome::HeldBack;
             // Nothing new goes to an endpoint that drains: there is nothing to keep it for.
-            end.connection = connection.filter(|_| why != Overtaken::Closed).map(|connection| *connection);
-            end.wait_until = if let Overtaken::Waits { until } = why { Some(until) } else { None };
+            end.reusable_connection =
+                connection.filter(|_| why != PreflightError::Closed).map(|connection| *connection);
+            end.wait_until = if let PreflightError::RetryAfter { until } = why { Some(until) } else { None };
         }
-        Err(Some(Unsent::Never)) => (end.outcome, end.over, end.refused) = (Outcome::NotSent, true, true),
+        Err(Some(Unsent::Never)) => (end.outcome, end.settled, end.refused) = (Outcome::NotSent, true, true),
         Err(Some(Unsent::Unconnected(why))) => (end.outcome, end.cause) = (Outcome::ConnectFailed, why),
         Err(Some(Unsent::By(Outcome::Cancelled))) if handed_over.is_none() => end.outcome = Outcome::NotSent,
         Err(None) if handed_over.is_none() => end.outcome = Outcome::ConnectFailed,
@@ -235,7 +237,7 @@
             told_to_wait(&mut end, &headers);
         }
     }
-    inputs.send(Input::CallEnded(end));
+    events.send(LoopEvent::CallEnded(end));
 }
 
 /// Guards against a process that stood still, for its disk or since its host took the core away: what it wakes to first may be
@@ -276,7 +278,7 @@
         Meaning::HasNotRun => Outcome::ConnectFailed,
         Meaning::MayHaveRun => Outcome::Error,
     };
-    end.over = matches!(meaning, Meaning::Delivered | Meaning::Over | Meaning::RefusedForGood);
+    end.settled = matches!(meaning, Meaning::Delivered | Meaning::Over | Meaning::RefusedForGood);
     end.refused = meaning == Meaning::RefusedForGood;
     let told = dialect.limit(headers).map(|limit| LimitReport { share_left: limit.left, rate: limit.rate });
     end.report = told.or_else(|| text(headers, "X-Load").filter(|_| reports).and_then(limit_report));
