--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -109,7 +109,7 @@
     Ok(read_file(path)?.discovery)
 }
 
-/// The address in an environment env_var if it is set, otherwise the one from the file.
+/// The address in an environment variable if it is set, otherwise the one from the file.
 fn address_from_env(name: &str, from_file: SocketAddr) -> Result<SocketAddr, String> {
     match env::var(name) {
         Ok(text) => text.parse().map_err(|e| format!("{name}: {text}: {e}")),
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -64,8 +64,8 @@
     pub(super) fn end_undelivered(&mut self, number: u64, held: HeldMessage, notice: Notice) {
         let result = match notice {
             Notice::HandedBack { retry_in_ms } => {
-                let told = self.site.as_ref().map_or(retry_in_ms, |s| s.retry_delay(retry_in_ms));
-                self.handed_back_result(&held, told)
+                let delay = self.site.as_ref().map_or(retry_in_ms, |s| s.retry_delay(retry_in_ms));
+                self.handed_back_result(&held, delay)
             }
             Notice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => EndResult::InDoubt,
             // An attempt of an earlier submission of this id may have been executed.
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -25,12 +25,12 @@
             return;
         }
         if let Some((message, reply)) = self.claim_id(message, from_known_client, reply) {
-            self.accept(message, from_known_client, reply);
+            self.enqueue(message, from_known_client, reply);
         }
     }
 
     /// Passes a message to the scheduler. No other forwarder holds it.
-    pub(super) fn accept(
+    pub(super) fn enqueue(
         &mut self, message: Arc<Message>, from_known_client: bool, reply: oneshot::Sender<SubmitReply>,
     ) {
         let message = self.limit_to_dedup_window(message);
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -514,7 +514,7 @@
                 } else {
                     message
                 };
-                return self.accept(message, from_known_client, reply);
+                return self.enqueue(message, from_known_client, reply);
             }
             Verdict::Held | Verdict::Delivered => SubmitReply::Duplicate { over: false },
             Verdict::Over => SubmitReply::Duplicate { over: true },
