--- a/src/bin/foldtrack/control.rs
+++ b/src/bin/foldtrack/control.rs
@@ -195,7 +195,7 @@
     }
 
     /// What the loop answers; none if it ends before it has.
-    async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> Front) -> Option<T> {
+    async fn ask<T>(&self, ask: impl FnOnce(oneshot::Sender<T>) -> SiteRequest) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.events.send(LoopEvent::SiteRequest(ask(reply)));
         answer.await.ok()
--- a/src/bin/foldtrack/targets.rs
+++ b/src/bin/foldtrack/targets.rs
@@ -154,7 +154,7 @@
                 }
             }
         };
-        if clock.now() > preflight.decided + STOOD_STILL.as_micros() as Micros {
+        if clock.now() > preflight.decided_at + STOOD_STILL.as_micros() as Micros {
             read_what_has_come().await;
         }
         // Guards against news that came while the connection did: up to the time for connecting lies between the decision
