--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -74,8 +74,8 @@
 
     /// The control protocol's error for a failed order.
     pub(super) fn order_error(error: &Trouble) -> Error {
-        let code = if matches!(trouble, Trouble::Refused(_)) { "refused" } else { "not_kept" };
-        Error { code: code.into(), text: trouble.to_string() }
+        let code = if matches!(error, Trouble::Refused(_)) { "refused" } else { "not_kept" };
+        Error { code: code.into(), text: error.to_string() }
     }
 
     /// Records when an order has closed endpoints.
--- a/src/bin/foldtrack/registry.rs
+++ b/src/bin/foldtrack/registry.rs
@@ -176,7 +176,7 @@
         self.routes.sweep(now);
         self.last_seen.retain(|_, seen| *seen >= before);
         let stale = self.by_number.iter().filter(|(_, s)| s.gone && s.calls == 0);
-        let stale: Vec<TargetId> = over.map(|(number, _)| *number).collect();
+        let stale: Vec<TargetId> = stale.map(|(number, _)| *number).collect();
         for number in &stale {
             let Some(server) = self.by_number.remove(number) else { continue };
             if self.numbers_by_id.get(&server.id) == Some(number) {
--- a/tests/forwarder/deployments.rs
+++ b/tests/forwarder/deployments.rs
@@ -141,7 +141,7 @@
             let (id, name) = (format!("m-{life}-{number}"), class["name"].as_str().unwrap());
             let left_ms = class["deadline"].as_u64().unwrap() / 1_000;
             let destination = (number % kinds.len()) as u32;
-            let message = update(&id, "key").to_destination(destination).deadline_ms(left_ms);
+            let message = update(&id, "key").for_destination(destination).deadline_ms(left_ms);
             let message = Submission { path: format!("/{name}/key"), ..message };
             assert_eq!(forwarder.submit(&message), 202, "{name}");
             submitted.insert(id);
--- a/tests/forwarder/main.rs
+++ b/tests/forwarder/main.rs
@@ -191,7 +191,7 @@
     ]);
     eventually("the list arrives", || platform.list_delivered());
     last(&old, "m4");
-    assert_eq!(forwarder.submit(&fee("m5").to_destination(2)), 202);
+    assert_eq!(forwarder.submit(&fee("m5").for_destination(2)), 202);
     eventually("the call", || new.ids() == ["m3", "m5"]);
 }
 
@@ -604,7 +604,7 @@
     assert_eq!(forwarder.submit(&fee("out")), 202);
     eventually("the call", || target.ids() == ["out"]);
     // The target is not usable yet.
-    assert_eq!(forwarder.submit(&fee("held").to_destination(2)), 202);
+    assert_eq!(forwarder.submit(&fee("held").for_destination(2)), 202);
     let start = Instant::now();
     let mut kept = forwarder.connect();
     forwarder.signal("TERM");
@@ -613,7 +613,7 @@
         None => true,
     });
     // Accepted, or not received at all on a slow machine.
-    let late = forwarder.submit(&fee("late").to_destination(2));
+    let late = forwarder.submit(&fee("late").for_destination(2));
     assert!(late == 202 || late == 0, "{late}");
     assert!(forwarder.wait().success());
     // The shutdown does not wait for held messages. The limit is generous for slow machines.
@@ -891,7 +891,7 @@
     eventually("the watch continues", || platform.list_delivered());
     fs::remove_file(&path).unwrap();
     forwarder.signal("HUP");
-    assert_eq!(forwarder.submit(&update("m1", "k").to_destination(2)), 202);
+    assert_eq!(forwarder.submit(&update("m1", "k").for_destination(2)), 202);
     eventually("the call", || target.ids() == ["m1"]);
     assert!(forwarder.is_running());
 }
@@ -933,11 +933,11 @@
         config["settings"]["contract"]["tip_after"] = 1_000.into();
     });
     eventually("the last target is listed", || {
-        forwarder.submit(&update("last", "k").to_destination(MANY - 1)) == 202
+        forwarder.submit(&update("last", "k").for_destination(MANY - 1)) == 202
     });
     for n in 0..MANY {
         assert_eq!(
-            forwarder.submit(&update(&format!("m{n}"), &format!("k{n}")).to_destination(n)),
+            forwarder.submit(&update(&format!("m{n}"), &format!("k{n}")).for_destination(n)),
             202,
             "{n}"
         );
--- a/tests/forwarder/world.rs
+++ b/tests/forwarder/world.rs
@@ -325,7 +325,7 @@
 }
 
 impl Submission {
-    pub fn to_destination(self, destination: u32) -> Submission {
+    pub fn for_destination(self, destination: u32) -> Submission {
         Submission { destination, ..self }
     }
 
