--- a/crates/admission/benches/gate.rs
+++ b/crates/admission/benches/gate.rs
@@ -15,7 +15,7 @@
 fn main() {
     const COUNT: u32 = 500_000;
     let address = |n: u32| IpAddr::V4(Ipv4Addr::from(0x2d00_0000u32.wrapping_add(n)));
-    let mut gate = Gate::new(Settings::for_places(496));
+    let mut gate = Gate::new(Settings::for_connections(496));
     let one = address(7);
     let begun = Instant::now();
     let mut away = 0u32;
@@ -28,7 +28,7 @@
         begun.elapsed().as_nanos() as f64 / f64::from(COUNT)
     );
 
-    let (mut gate, before) = (Gate::new(Settings::for_places(496)), resident());
+    let (mut gate, before) = (Gate::new(Settings::for_connections(496)), resident());
     let begun = Instant::now();
     for n in 0..100_000u32 {
         gate.connects(
@@ -44,7 +44,7 @@
         resident().saturating_sub(before)
     );
 
-    let mut gate = Gate::new(Settings::for_places(496));
+    let mut gate = Gate::new(Settings::for_connections(496));
     let begun = Instant::now();
     for n in 0..COUNT {
         let (now, number) = (1_000_000 + u64::from(n) * 5_000, u64::from(n));
--- a/crates/admission/src/account.rs
+++ b/crates/admission/src/account.rs
@@ -71,7 +71,7 @@
             last: now,
             flood: None,
             away: (0, 0),
-            new: Bucket::new(now, settings.new, used),
+            new: Bucket::new(now, settings.new_connections, used),
             earned: 0.0,
             earned_at: now,
             rate: 0.0,
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -212,7 +212,7 @@
     pub fn new(settings: Settings) -> Gate {
         let sketch = || Estimator::new(SKETCH.0, SKETCH.1);
         Gate {
-            strangers: Bucket::new(0, settings.strangers, 0.0),
+            strangers: Bucket::new(0, settings.unknown_connections, 0.0),
             settings,
             now: 0,
             connections: HashMap::new(),
@@ -244,7 +244,7 @@
     /// first, and nobody with an open request.
     pub fn set_places(&mut self, now: Micros, places: usize) -> Vec<u64> {
         let now = self.at(now);
-        self.settings.places = places;
+        self.settings.max_connections = places;
         let mut gone = Vec::new();
         while self.connections.len() > places {
             let [others, knowns] = &self.groups;
@@ -270,9 +270,9 @@
         let Some(account) = self.accounts.get_mut(&address) else { return Admit::Wait };
         account.review(now, &self.settings);
         if !account.known {
-            let own = account.new.take(now, self.settings.new);
+            let own = account.new.take(now, self.settings.new_connections);
             // Whoever is over its own rate uses up nothing of what all share.
-            let taken = own.and_then(|()| self.strangers.take(now, self.settings.strangers));
+            let taken = own.and_then(|()| self.strangers.take(now, self.settings.unknown_connections));
             if let Err(retry) = taken {
                 self.turn_away(address, now);
                 return Admit::Away { why: Why::TooFast, retry };
@@ -331,7 +331,7 @@
     /// Whether there is a place, or who makes one.
     fn room(&self, known: bool, open: usize, own: Option<u64>, now: Micros) -> Result<Option<u64>, Why> {
         let [others, knowns] = &self.groups;
-        let places = self.settings.places;
+        let places = self.settings.max_connections;
         let free = match known {
             true => others.open + knowns.open < places,
             false => others.open + knowns.open.max(self.settings.reserve) < places,
@@ -385,7 +385,7 @@
         if self.accounts.contains_key(&address) {
             return;
         }
-        if self.accounts.len() >= self.settings.addresses + self.settings.places {
+        if self.accounts.len() >= self.settings.addresses + self.settings.max_connections {
             // Of those with nothing open the longest unseen, and those that have earned something last.
             if let Some(oldest) = self.resting.pop_first() {
                 self.accounts.remove(&oldest.2);
@@ -474,7 +474,7 @@
         account.last = now;
         account.ask(now);
         self.requests += 1;
-        if open >= self.settings.requests {
+        if open >= self.settings.max_requests_per_address {
             account.refused += 1;
             return Ask::Away { why: Why::Requests, retry: 100_000 };
         }
--- a/crates/admission/src/ledger.rs
+++ b/crates/admission/src/ledger.rs
@@ -3,7 +3,7 @@
 
 /// Who draws.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Party {
+pub enum DescriptorUser {
     /// Connections of clients, also those that have been told to leave and are not closed yet.
     Clients,
     /// Connections to partners: calls that are out, dials, and what stands idle between calls.
@@ -34,14 +34,14 @@
 }
 
 impl Ledger {
-    /// A ledger in which nothing is drawn. Parts in the order of [`Party`].
+    /// A ledger in which nothing is drawn. Parts in the order of [`DescriptorUser`].
     pub fn new(limit: usize, house: usize, parts: [Part; PARTIES]) -> Ledger {
         let parts = parts.map(|p| Part { most: p.most.max(p.guaranteed), ..p });
         Ledger { limit, house, parts, held: [0; PARTIES] }
     }
 
     /// How many a party may hold just now: its own part, and what is left over beyond the others' parts and holdings.
-    pub fn room(&self, party: Party) -> usize {
+    pub fn room(&self, party: DescriptorUser) -> usize {
         let at = party as usize;
         let taken = |i: usize| self.held[i].max(self.parts[i].guaranteed);
         let others: usize = (0..PARTIES).filter(|i| *i != at).map(taken).sum();
@@ -50,25 +50,25 @@
     }
 
     /// Draws one, unless the party holds all that it may.
-    pub fn draw(&mut self, party: Party) -> bool {
+    pub fn draw(&mut self, party: DescriptorUser) -> bool {
         let granted = self.held(party) < self.room(party);
         self.held[party as usize] += usize::from(granted);
         granted
     }
 
     /// Notes one that is open already, decided on elsewhere by [`Ledger::room`].
-    pub fn note(&mut self, party: Party) {
+    pub fn note(&mut self, party: DescriptorUser) {
         self.held[party as usize] += 1;
     }
 
     /// Gives one back.
-    pub fn give(&mut self, party: Party) {
+    pub fn give(&mut self, party: DescriptorUser) {
         let held = &mut self.held[party as usize];
         *held = held.saturating_sub(1);
     }
 
     /// How many a party holds.
-    pub fn held(&self, party: Party) -> usize {
+    pub fn held(&self, party: DescriptorUser) -> usize {
         self.held[party as usize]
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// How many a party holds beyond what it may by now, as when the limit was lowered.
-    pub fn over(&self, party: Party) -> usize {
+    pub fn over(&self, party: DescriptorUser) -> usize {
         self.held(party).saturating_sub(self.room(party))
     }
 }
@@ -89,7 +89,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    const ALL: [Party; PARTIES] = [Party::Clients, Party::Calls, Party::Control];
+    const ALL: [DescriptorUser; PARTIES] =
+        [DescriptorUser::Clients, DescriptorUser::Calls, DescriptorUser::Control];
 
     fn part(guaranteed: usize, most: usize) -> Part {
         Part { guaranteed, most }
@@ -100,17 +101,24 @@
         let parts = [part(4, 60), part(30, 50), part(8, 32)];
         let mut ledger = Ledger::new(100, 20, parts);
         let draw_all = |ledger: &mut Ledger, party| (0..1_000).filter(|_| ledger.draw(party)).count();
-        assert_eq!(draw_all(&mut ledger, Party::Clients), 42, "what the parts of calls and control leave");
-        assert_eq!(draw_all(&mut ledger, Party::Calls), 30);
-        assert_eq!(draw_all(&mut ledger, Party::Control), 8);
-        assert!(!ledger.draw(Party::Clients) && ledger.over(Party::Clients) == 0);
+        assert_eq!(
+            draw_all(&mut ledger, DescriptorUser::Clients),
+            42,
+            "what the parts of calls and control leave"
+        );
+        assert_eq!(draw_all(&mut ledger, DescriptorUser::Calls), 30);
+        assert_eq!(draw_all(&mut ledger, DescriptorUser::Control), 8);
+        assert!(!ledger.draw(DescriptorUser::Clients) && ledger.over(DescriptorUser::Clients) == 0);
         // What one gives back beyond its part is anybody's.
-        (0..10).for_each(|_| ledger.give(Party::Clients));
-        assert_eq!(draw_all(&mut ledger, Party::Control), 10);
+        (0..10).for_each(|_| ledger.give(DescriptorUser::Clients));
+        assert_eq!(draw_all(&mut ledger, DescriptorUser::Control), 10);
         // Lowered while it runs: who holds more than its part is told by how much.
         ledger.set_limits(70, parts);
-        assert_eq!((ledger.over(Party::Clients), ledger.over(Party::Control)), (32 - 4, 18 - 8));
-        assert!(ledger.over(Party::Calls) == 0 && !ledger.draw(Party::Calls));
+        assert_eq!(
+            (ledger.over(DescriptorUser::Clients), ledger.over(DescriptorUser::Control)),
+            (32 - 4, 18 - 8)
+        );
+        assert!(ledger.over(DescriptorUser::Calls) == 0 && !ledger.draw(DescriptorUser::Calls));
     }
 
     proptest! {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use bucket::Rate;
 pub use gate::{Admit, Ask, Doing, Event, Gate, Seen, Why};
-pub use ledger::{Ledger, Part, Party};
+pub use ledger::{DescriptorUser, Ledger, Part};
 pub use settings::Settings;
 
 /// A point in time or a span, in microseconds.
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Connections at once.
-    pub places: usize,
+    pub max_connections: usize,
     /// Those of them that are kept for known clients.
     pub reserve: usize,
     /// Connections of an address that is not known, and of one that is.
@@ -22,11 +22,11 @@
     /// Bits of a prefix, 0 to 128.
     pub v6_prefix: u8,
     /// New connections of an address that is not known.
-    pub new: Rate,
+    pub new_connections: Rate,
     /// New connections of all such addresses together.
-    pub strangers: Rate,
+    pub unknown_connections: Rate,
     /// Requests of one address that are open at once.
-    pub requests: usize,
+    pub max_requests_per_address: usize,
     /// Open requests of all from which on shares are kept to.
     pub busy_from: usize,
     /// Known clients by name. An address of the list is known whatever it does.
@@ -43,19 +43,19 @@
 
 impl Settings {
     /// Figures for so many places, with nobody known by name.
-    pub fn for_places(places: usize) -> Settings {
+    pub fn for_connections(max_connections: usize) -> Settings {
         Settings {
-            places,
-            reserve: places / 2,
-            per_address: (places / 8).max(2),
-            per_known: (places / 2).max(2),
-            per_prefix: (places / 4).max(2),
+            max_connections,
+            reserve: max_connections / 2,
+            per_address: (max_connections / 8).max(2),
+            per_known: (max_connections / 2).max(2),
+            per_prefix: (max_connections / 4).max(2),
             v4_prefix: 24,
             v6_prefix: 64,
-            new: Rate { per_second: 50.0, burst: 50.0 },
-            strangers: Rate { per_second: 500.0, burst: places.max(500) as f64 },
-            requests: (places / 4).max(2),
-            busy_from: (places / 8).max(4),
+            new_connections: Rate { per_second: 50.0, burst: 50.0 },
+            unknown_connections: Rate { per_second: 500.0, burst: max_connections.max(500) as f64 },
+            max_requests_per_address: (max_connections / 4).max(2),
+            busy_from: (max_connections / 8).max(4),
             known: Vec::new(),
             earned_by: 10.0,
             earned_half: 600_000_000,
@@ -65,14 +65,14 @@
     }
 
     /// Figures where every client comes through one front: its addresses are known, and it may have every place.
-    pub fn behind_a_front(places: usize, front: Vec<IpNet>) -> Settings {
+    pub fn behind_proxy(max_connections: usize, front: Vec<IpNet>) -> Settings {
         Settings {
             reserve: 0,
             per_known: usize::MAX,
-            requests: places,
-            busy_from: places,
+            max_requests_per_address: max_connections,
+            busy_from: max_connections,
             known: front,
-            ..Settings::for_places(places)
+            ..Settings::for_connections(max_connections)
         }
     }
 
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -15,7 +15,7 @@
         per_known: 40,
         per_prefix: 30,
         known: vec!["10.0.0.0/8".parse().unwrap()],
-        ..Settings::for_places(60)
+        ..Settings::for_connections(60)
     }
 }
 
@@ -167,7 +167,8 @@
     assert_eq!(admit, Admit::In { let_go: Some(greedy[1]) });
     assert!(world.gate.held().1 == 40);
     // Open requests never go.
-    let mut world = World::new(Settings { per_address: 60, per_prefix: 60, requests: 60, ..settings() });
+    let mut world =
+        World::new(Settings { per_address: 60, per_prefix: 60, max_requests_per_address: 60, ..settings() });
     for _ in 0..40 {
         let number = world.enters("192.0.2.1");
         world.gate.asks(world.now, number);
@@ -177,7 +178,7 @@
 
 #[test]
 fn a_greedy_client_is_refused_its_surplus_and_a_modest_one_never() {
-    let mut world = World::new(Settings { busy_from: 4, requests: 40, ..settings() });
+    let mut world = World::new(Settings { busy_from: 4, max_requests_per_address: 40, ..settings() });
     let greedy: Vec<u64> = (0..20).map(|_| world.enters("10.0.0.1")).collect();
     let modest: Vec<u64> = (0..5).map(|n| world.enters(&format!("10.0.1.{n}"))).collect();
     let (mut refused, mut open) = (0, Vec::new());
@@ -212,7 +213,7 @@
         "{seen:?}"
     );
     // Alone it may have everything.
-    let mut world = World::new(Settings { busy_from: 4, requests: 40, ..settings() });
+    let mut world = World::new(Settings { busy_from: 4, max_requests_per_address: 40, ..settings() });
     let alone: Vec<u64> = (0..20).map(|_| world.enters("10.0.0.1")).collect();
     for _ in 0..500 {
         for number in &alone {
@@ -268,11 +269,14 @@
 /// address that is over its own rate does not use up.
 #[test]
 fn strangers_together_have_a_rate_and_known_clients_none() {
-    let strangers = Rate { per_second: 10.0, burst: 20.0 };
-    let mut world = World::new(Settings { places: 1_000, strangers, ..settings() });
+    let unknown_connections = Rate { per_second: 10.0, burst: 20.0 };
+    let mut world = World::new(Settings { max_connections: 1_000, unknown_connections, ..settings() });
     // One alone is over its own rate long before it has used up what all share.
-    let mut world_of_one =
-        World::new(Settings { new: Rate { per_second: 5.0, burst: 5.0 }, strangers, ..settings() });
+    let mut world_of_one = World::new(Settings {
+        new_connections: Rate { per_second: 5.0, burst: 5.0 },
+        unknown_connections,
+        ..settings()
+    });
     for _ in 0..200 {
         world_of_one.connect("192.0.2.1");
     }
@@ -291,8 +295,14 @@
 /// Who is told to wait asks again without counting as one more.
 #[test]
 fn waiting_for_a_place_uses_up_no_rate() {
-    let new = Rate { per_second: 1.0, burst: 70.0 };
-    let mut world = World::new(Settings { places: 2, per_known: 10, requests: 10, new, ..settings() });
+    let new_connections = Rate { per_second: 1.0, burst: 70.0 };
+    let mut world = World::new(Settings {
+        max_connections: 2,
+        per_known: 10,
+        max_requests_per_address: 10,
+        new_connections,
+        ..settings()
+    });
     let first = world.enters("10.0.0.1");
     let second = world.enters("10.0.0.1");
     for number in [first, second] {
@@ -314,7 +324,7 @@
 #[test]
 fn behind_a_front_connections_take_turns_as_they_always_did() {
     let front = vec!["127.0.0.0/8".parse().unwrap()];
-    let mut world = World::new(Settings::behind_a_front(3, front));
+    let mut world = World::new(Settings::behind_proxy(3, front));
     let first = world.enters("127.0.0.5");
     world.gate.asks(world.now, first);
     let silent = world.enters("127.0.0.5");
@@ -375,8 +385,8 @@
     /// holds less than another never goes for it; bookkeeping is bounded and adds up, whatever the clock does.
     #[test]
     fn the_gate_keeps_its_promises(steps in prop::collection::vec(step(), 1..400)) {
-        let settings = Settings { addresses: 8, places: 12, reserve: 4, per_address: 4, per_known: 8, per_prefix: 6, requests: 4,
-            earned_by: 3.0, new: Rate { per_second: 50.0, burst: 20.0 }, ..settings() };
+        let settings = Settings { addresses: 8, max_connections: 12, reserve: 4, per_address: 4, per_known: 8, per_prefix: 6, max_requests_per_address: 4,
+            earned_by: 3.0, new_connections: Rate { per_second: 50.0, burst: 20.0 }, ..settings() };
         let mut gate = Gate::new(settings.clone());
         let (mut now, mut next) = (SECOND, 0);
         let mut open: BTreeMap<u64, IpAddr> = BTreeMap::new();
@@ -434,9 +444,9 @@
             }
             let (known, others) = gate.held();
             prop_assert_eq!(known + others, open.len());
-            prop_assert!(open.len() <= settings.places);
-            prop_assert!(others <= settings.places - settings.reserve.min(settings.places));
-            prop_assert!(gate.remembered() <= settings.addresses + settings.places + 1);
+            prop_assert!(open.len() <= settings.max_connections);
+            prop_assert!(others <= settings.max_connections - settings.reserve.min(settings.max_connections));
+            prop_assert!(gate.remembered() <= settings.addresses + settings.max_connections + 1);
             let spoken = gate.open();
             prop_assert!(spoken.0 <= spoken.1 && spoken.1 == open.len());
         }
--- a/crates/dialect/src/answers.rs
+++ b/crates/dialect/src/answers.rs
@@ -49,7 +49,7 @@
 
 /// Statuses and what they mean.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Table {
+pub struct StatusTable {
     own: Vec<(RangeInclusive<u16>, Meaning)>,
     usual: Usual,
 }
@@ -76,22 +76,24 @@
     }
 }
 
-impl Table {
+impl StatusTable {
     /// Today's protocol.
-    pub fn foldtrack() -> Table {
-        Table { own: Vec::new(), usual: Usual::Foldtrack }
+    pub fn foldtrack() -> StatusTable {
+        StatusTable { own: Vec::new(), usual: Usual::Foldtrack }
     }
 
     /// A usual service.
-    pub fn http() -> Table {
-        Table { own: Vec::new(), usual: Usual::Http }
+    pub fn http() -> StatusTable {
+        StatusTable { own: Vec::new(), usual: Usual::Http }
     }
 
     /// Adds lines of a site file: `("422", "delivered")`, `("500-599", "has-not-run")`.
     ///
     /// # Errors
     /// The first line that can't be read, or whose statuses another line has too.
-    pub fn with<'a>(mut self, lines: impl IntoIterator<Item = (&'a str, &'a str)>) -> Result<Table, String> {
+    pub fn with_overrides<'a>(
+        mut self, lines: impl IntoIterator<Item = (&'a str, &'a str)>,
+    ) -> Result<StatusTable, String> {
         for (statuses, word) in lines {
             let (from, to) = statuses.split_once('-').unwrap_or((statuses, statuses));
             let read = |text: &str| text.trim().parse::<u16>().ok().filter(|s| (200..=599).contains(s));
@@ -127,7 +129,8 @@
 
     #[test]
     fn a_table_says_what_its_lines_say_and_else_what_is_usual() {
-        let table = Table::http().with([("409", "delivered"), ("500-502", "has-not-run")]).unwrap();
+        let table =
+            StatusTable::http().with_overrides([("409", "delivered"), ("500-502", "has-not-run")]).unwrap();
         for (status, meaning) in [
             (202, Meaning::Delivered),
             (204, Meaning::Delivered),
@@ -147,9 +150,13 @@
             [("409", "delivered"), ("400-410", "wait")],
             [("409", "gone"), ("1", "x")],
         ] {
-            assert!(Table::http().with(lines).is_err(), "{lines:?}");
+            assert!(StatusTable::http().with_overrides(lines).is_err(), "{lines:?}");
         }
-        assert_eq!(Table::foldtrack().meaning(202), Meaning::MayHaveRun, "today's protocol knows 200 alone");
+        assert_eq!(
+            StatusTable::foldtrack().meaning(202),
+            Meaning::MayHaveRun,
+            "today's protocol knows 200 alone"
+        );
     }
 
     proptest! {
@@ -158,7 +165,7 @@
         fn what_no_line_names_is_as_usual(status in 0..1000u16, from in 200..600u16, width in 0..50u16) {
             let to = (from + width).min(599);
             let lines = format!("{from}-{to}");
-            let table = Table::http().with([(lines.as_str(), "has-not-run")]).unwrap();
+            let table = StatusTable::http().with_overrides([(lines.as_str(), "has-not-run")]).unwrap();
             let claims = table.meaning(status) == Meaning::HasNotRun;
             prop_assert_eq!(claims, (from..=to).contains(&status));
         }
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod template;
 pub mod waits;
 
-pub use answers::{Meaning, Table};
+pub use answers::{Meaning, StatusTable};
 pub use limits::Limit;
 pub use template::{Template, Values};
 
@@ -49,7 +49,7 @@
 
 /// A call as far as the message and the moment determine it.
 #[derive(Clone, Copy, Debug)]
-pub struct Outgoing<'a> {
+pub struct CallContext<'a> {
     /// What the message is called.
     pub values: Values<'a>,
     /// Its idempotency key.
@@ -57,12 +57,12 @@
     /// The endpoint, for `Host`.
     pub authority: &'a str,
     /// How long the answer is waited for, in microseconds.
-    pub left: u64,
+    pub timeout_us: u64,
 }
 
 /// Why a message can't be sent in a dialect, now or ever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum Unsendable {
     /// Its path can't be filled.
     Path,
     /// A header can't.
@@ -89,10 +89,10 @@
     /// Further headers.
     pub headers: Vec<(HeaderName, Template)>,
     /// What comes back means.
-    pub answers: Table,
+    pub answers: StatusTable,
     /// Answers have the headers of the project's own protocol (PROTOCOL): waits in milliseconds, and that all slots are
     /// taken; otherwise those of usual services.
-    pub own: bool,
+    pub native: bool,
     /// For how many seconds a limit counts that is told without its window; none where such a limit is passed over.
     pub limit_window: Option<f64>,
 }
@@ -109,8 +109,8 @@
             deadline_header: Some(HeaderName::from_static("x-deadline")),
             id_header: Some(HeaderName::from_static("x-request-id")),
             headers: Vec::new(),
-            answers: Table::foldtrack(),
-            own: true,
+            answers: StatusTable::foldtrack(),
+            native: true,
             limit_window: None,
         }
     }
@@ -122,8 +122,8 @@
             content_type: "application/json".into(),
             deadline_header: None,
             id_header: None,
-            answers: Table::http(),
-            own: false,
+            answers: StatusTable::http(),
+            native: false,
             ..Dialect::foldtrack()
         }
     }
@@ -137,47 +137,50 @@
     /// What an answer's head means for the message.
     pub fn meaning(&self, status: u16, headers: &HeaderMap) -> Meaning {
         match self.answers.meaning(status) {
-            Meaning::Wait if self.own && status == 503 && headers.contains_key(LINE_BUSY) => Meaning::NotSent,
+            Meaning::Wait if self.native && status == 503 && headers.contains_key(LINE_BUSY) => {
+                Meaning::NotSent
+            }
             meaning => meaning,
         }
     }
 
     /// What an answer tells of the partner's limit; the project's own protocol tells it elsewhere.
     pub fn limit(&self, headers: &HeaderMap) -> Option<Limit> {
-        (!self.own).then(|| limits::limits(headers, self.limit_window)).flatten()
+        (!self.native).then(|| limits::limits(headers, self.limit_window)).flatten()
     }
 
     /// The head of a call.
     ///
     /// # Errors
     /// The message lacks a value that the dialect needs, or has one that can't stand in its place: it can never be sent.
-    pub fn head(&self, call: &Outgoing<'_>) -> Result<http::request::Parts, Unfit> {
-        let path = self.path.fill_path(call.values).ok_or(Unfit::Path)?;
+    pub fn head(&self, call: &CallContext<'_>) -> Result<http::request::Parts, Unsendable> {
+        let path = self.path.fill_path(call.values).ok_or(Unsendable::Path)?;
         let mut request = http::Request::new(());
         *request.method_mut() = self.method.clone();
-        *request.uri_mut() = path.parse().map_err(|_| Unfit::Path)?;
+        *request.uri_mut() = path.parse().map_err(|_| Unsendable::Path)?;
         let headers = request.headers_mut();
-        let value = |text: &str| HeaderValue::from_str(text).map_err(|_| Unfit::Header);
+        let value = |text: &str| HeaderValue::from_str(text).map_err(|_| Unsendable::Header);
         headers.insert(HOST, value(self.host.as_deref().unwrap_or(call.authority))?);
         if let Some(name) = &self.id_header {
             headers.insert(name.clone(), value(call.values.id)?);
         }
         if let Some(name) = &self.deadline_header {
-            headers.insert(name.clone(), value(&format!("{}u", call.left))?);
+            headers.insert(name.clone(), value(&format!("{}u", call.timeout_us))?);
         }
         headers.insert(CONTENT_TYPE, value(&self.content_type)?);
         if let Some((name, key)) = self.key_header.as_ref().zip(call.idempotency_key) {
             headers.insert(name.clone(), value(key)?);
         }
         for (name, template) in &self.headers {
-            headers.insert(name.clone(), template.fill_header(call.values).ok_or(Unfit::Header)?);
+            headers.insert(name.clone(), template.fill_header(call.values).ok_or(Unsendable::Header)?);
         }
         Ok(request.into_parts().0)
     }
 
     /// The wait that an answer tells, in microseconds from now, at most [`waits::LONGEST`]; none if it tells none.
     pub fn wait(&self, headers: &HeaderMap, unix_us: u64) -> Option<u64> {
-        let told = if self.own { waits::come_back_ms(headers) } else { waits::retry_after(headers, unix_us) };
+        let told =
+            if self.native { waits::come_back_ms(headers) } else { waits::retry_after(headers, unix_us) };
         told.map(|wait| wait.min(waits::LONGEST))
     }
 }
--- a/crates/dialect/src/limits.rs
+++ b/crates/dialect/src/limits.rs
@@ -15,7 +15,7 @@
     /// Calls a second, above 0.
     pub rate: f64,
     /// Share of the window's calls that is left, 0 to 1.
-    pub left: f64,
+    pub remaining: f64,
 }
 
 /// One policy: its name, how many calls, in how many seconds.
@@ -61,7 +61,7 @@
     let sound = quota > 0.0 && window > 0.0 && window <= LONGEST_WINDOW && left >= 0.0;
     let rate = quota / window;
     (sound && rate.is_finite() && rate <= HIGHEST_RATE)
-        .then_some(Limit { rate, left: (left / quota).min(1.0) })
+        .then_some(Limit { rate, remaining: (left / quota).min(1.0) })
 }
 
 /// What an answer's headers tell of the partner's limit. `window` is the site's own word for how many seconds a limit
@@ -85,7 +85,7 @@
         limit(*quota, *window, find(&numbers, "r")?)
     });
     // The tightest: the one with the fewest calls left in a second of its window.
-    let tightest = told.min_by(|a, b| (a.rate * a.left).total_cmp(&(b.rate * b.left)));
+    let tightest = told.min_by(|a, b| (a.rate * a.remaining).total_cmp(&(b.rate * b.remaining)));
     tightest.or_else(|| {
         let families = [
             ("ratelimit-limit", "ratelimit-remaining"),
@@ -111,7 +111,7 @@
         for (name, value) in lines {
             headers.append(HeaderName::from_static(name), value.parse().unwrap());
         }
-        limits(&headers, window).map(|l| (l.rate, l.left))
+        limits(&headers, window).map(|l| (l.rate, l.remaining))
     }
 
     #[test]
--- a/crates/ends/src/end.rs
+++ b/crates/ends/src/end.rs
@@ -4,7 +4,7 @@
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Result {
+pub enum FinalStatus {
     /// Its partner has answered that it took it.
     Delivered,
     /// It surely has had no effect: every attempt is known not to have run, or there was none.
@@ -27,7 +27,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// It is out.
     Out,
     /// Served.
@@ -35,7 +35,8 @@
     /// Answered with an error.
     Error,
     /// Turned away: over a limit, shut or draining.
-    Full,
+    #[serde(rename = "Full")]
+    Rejected,
     /// No answer in time.
     TimedOut,
     /// No connection.
@@ -45,7 +46,8 @@
     /// Called off.
     Cancelled,
     /// Answered in a way that can't be read.
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    UnreadableResponse,
     /// Not sent at all.
     NotSent,
     /// Out when its process ended.
@@ -58,24 +60,24 @@
     Refused,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// The word of the control protocol.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Outcome::Out => "out",
-            Outcome::Ok => "ok",
-            Outcome::Error => "error",
-            Outcome::Full => "full",
-            Outcome::TimedOut => "timed out",
-            Outcome::NotConnected => "not connected",
-            Outcome::Reset => "reset",
-            Outcome::Cancelled => "cancelled",
-            Outcome::Spoilt => "spoilt",
-            Outcome::NotSent => "not sent",
-            Outcome::Lost => "lost",
-            Outcome::DidNotRun => "did not run",
-            Outcome::MayHaveRun => "may have run",
-            Outcome::Refused => "refused",
+            AttemptOutcome::Out => "out",
+            AttemptOutcome::Ok => "ok",
+            AttemptOutcome::Error => "error",
+            AttemptOutcome::Rejected => "full",
+            AttemptOutcome::TimedOut => "timed out",
+            AttemptOutcome::NotConnected => "not connected",
+            AttemptOutcome::Reset => "reset",
+            AttemptOutcome::Cancelled => "cancelled",
+            AttemptOutcome::UnreadableResponse => "spoilt",
+            AttemptOutcome::NotSent => "not sent",
+            AttemptOutcome::Lost => "lost",
+            AttemptOutcome::DidNotRun => "did not run",
+            AttemptOutcome::MayHaveRun => "may have run",
+            AttemptOutcome::Refused => "refused",
         }
     }
 
@@ -83,7 +85,11 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::NotConnected | Outcome::NotSent | Outcome::DidNotRun | Outcome::Refused
+            AttemptOutcome::Rejected
+                | AttemptOutcome::NotConnected
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::DidNotRun
+                | AttemptOutcome::Refused
         )
     }
 }
@@ -98,12 +104,12 @@
     /// The endpoint's name.
     pub endpoint: String,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
 }
 
 /// The end of a message. Times are Unix time in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct MessageOutcome {
     /// The message's number in the journal; never used twice in a state folder.
     pub number: u64,
     /// As the client named it.
@@ -119,38 +125,38 @@
     /// When it ended.
     pub ended: u64,
     /// How.
-    pub result: Result,
+    pub result: FinalStatus,
     /// All its attempts, in their order.
     pub attempts: Vec<Attempt>,
 }
 
-/// An end whose names stand elsewhere: it is written as an [`End`].
+/// An end whose names stand elsewhere: it is written as an [`MessageOutcome`].
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct EndRef<'a> {
-    /// See [`End::number`].
+pub struct MessageOutcomeRef<'a> {
+    /// See [`MessageOutcome::number`].
     pub number: u64,
-    /// See [`End::id`].
+    /// See [`MessageOutcome::id`].
     pub id: &'a str,
-    /// See [`End::class`].
+    /// See [`MessageOutcome::class`].
     pub class: &'a str,
-    /// See [`End::partner`].
+    /// See [`MessageOutcome::partner`].
     pub partner: &'a str,
-    /// See [`End::key`].
+    /// See [`MessageOutcome::key`].
     pub key: &'a str,
-    /// See [`End::taken`].
+    /// See [`MessageOutcome::taken`].
     pub taken: u64,
-    /// See [`End::ended`].
+    /// See [`MessageOutcome::ended`].
     pub ended: u64,
-    /// See [`End::result`].
-    pub result: Result,
-    /// See [`End::attempts`].
+    /// See [`MessageOutcome::result`].
+    pub result: FinalStatus,
+    /// See [`MessageOutcome::attempts`].
     pub attempts: &'a [Attempt],
 }
 
-impl EndRef<'_> {
+impl MessageOutcomeRef<'_> {
     /// With names of its own.
-    pub fn to_owned(&self) -> End {
-        End {
+    pub fn to_owned(&self) -> MessageOutcome {
+        MessageOutcome {
             number: self.number,
             id: self.id.into(),
             class: self.class.into(),
@@ -164,10 +170,10 @@
     }
 }
 
-impl End {
+impl MessageOutcome {
     /// By reference.
-    pub fn by_ref(&self) -> EndRef<'_> {
-        EndRef {
+    pub fn by_ref(&self) -> MessageOutcomeRef<'_> {
+        MessageOutcomeRef {
             number: self.number,
             id: &self.id,
             class: &self.class,
@@ -182,7 +188,7 @@
 
     /// Bytes that the end of a message with so many bytes of names, and so many attempts of endpoints with names of
     /// `endpoint` bytes, takes at most.
-    pub fn room(names: usize, attempts: usize, endpoint: usize) -> u64 {
+    pub fn max_encoded_len(names: usize, attempts: usize, endpoint: usize) -> u64 {
         // Frame 10, sequence and times 10 each, outcome 24, lengths.
         (128 + names + attempts * (64 + endpoint)) as u64
     }
--- a/crates/ends/src/shelf.rs
+++ b/crates/ends/src/retention.rs
@@ -2,25 +2,25 @@
 
 use std::collections::VecDeque;
 
-/// Bounds of the store.
+/// RetentionLimits of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct RetentionLimits {
     /// Ends at most.
-    pub count: u64,
+    pub max_count: u64,
     /// Bytes at most.
-    pub size: u64,
+    pub max_bytes: u64,
     /// Microseconds for which an acknowledged end is kept.
-    pub age: u64,
+    pub max_age_us: u64,
 }
 
-impl Bounds {
+impl RetentionLimits {
     /// Bytes after which a segment is closed: small parts of the whole, since only whole segments go.
     pub fn segment(&self) -> u64 {
-        (self.size / 16).max(4096)
+        (self.max_bytes / 16).max(4096)
     }
 }
 
-/// A segment as far as its bounds matter.
+/// A segment as far as its limits matter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Segment {
     /// Sequence number of its first end, and of the one after its last.
@@ -36,8 +36,8 @@
 /// All segments, the oldest first; the last one is open.
 #[derive(Clone, Debug)]
 pub struct Shelf {
-    /// The bounds.
-    pub bounds: Bounds,
+    /// The limits.
+    pub limits: RetentionLimits,
     /// The segments.
     pub segments: VecDeque<Segment>,
     /// Every end up to this one has been acknowledged.
@@ -62,12 +62,12 @@
 
     /// Whether one more message can be taken on: its end, and those of all that are held, must fit beside the ends
     /// that nobody has acknowledged, also when all come before the next acknowledgement. `reserved` is
-    /// the sum of [`crate::End::room`] over the held ones and the new one, `held` their count.
-    pub fn has_room(&self, held: u64, reserved: u64) -> bool {
+    /// the sum of [`crate::MessageOutcome::max_encoded_len`] over the held ones and the new one, `held` their count.
+    pub fn has_capacity(&self, held: u64, reserved: u64) -> bool {
         let bound: u64 = self.segments.iter().filter(|s| !self.may_go(s)).map(|s| s.bytes).sum();
         // The open segment may be closed short of its length by one end, and a head stands in each new one.
-        let heads = 2 * HEAD + reserved / self.bounds.segment() * HEAD;
-        self.unfetched() + held <= self.bounds.count && bound + reserved + heads <= self.bounds.size
+        let heads = 2 * HEAD + reserved / self.limits.segment() * HEAD;
+        self.unfetched() + held <= self.limits.max_count && bound + reserved + heads <= self.limits.max_bytes
     }
 
     /// Whether nobody is owed anything in a segment. The open one stays: it holds the latest acknowledgement.
@@ -80,8 +80,8 @@
     pub fn oldest_goes(&self, now: u64, coming: u64) -> bool {
         let Some(oldest) = self.segments.front().filter(|s| self.may_go(s)) else { return false };
         let count = self.next() - oldest.first;
-        let old = oldest.newest.saturating_add(self.bounds.age) < now;
-        old || count > self.bounds.count || self.bytes() + coming > self.bounds.size
+        let old = oldest.newest.saturating_add(self.limits.max_age_us) < now;
+        old || count > self.limits.max_count || self.bytes() + coming > self.limits.max_bytes
     }
 }
 
@@ -93,21 +93,21 @@
     use super::*;
 
     fn shelf() -> Shelf {
-        let bounds = Bounds { count: 100, size: 64 << 10, age: 1_000 };
+        let limits = RetentionLimits { max_count: 100, max_bytes: 64 << 10, max_age_us: 1_000 };
         let segment = |n: u64| Segment { first: 1 + 10 * n, next: 11 + 10 * n, bytes: 4096, newest: 100 * n };
-        Shelf { bounds, segments: (0..4).map(segment).collect(), acknowledged: 0 }
+        Shelf { limits, segments: (0..4).map(segment).collect(), acknowledged: 0 }
     }
 
     #[test]
     fn what_is_not_acknowledged_never_goes_and_bounds_what_is_taken_on() {
         let mut shelf = shelf();
         assert!(!shelf.oldest_goes(u64::MAX, 1 << 30), "nothing is acknowledged");
-        assert!(shelf.has_room(60, 1) && !shelf.has_room(61, 1), "40 and 60 are the bound");
+        assert!(shelf.has_capacity(60, 1) && !shelf.has_capacity(61, 1), "40 and 60 are the bound");
         let left = (64 << 10) - 4 * 4096;
-        assert!(!shelf.has_room(1, left));
+        assert!(!shelf.has_capacity(1, left));
         shelf.acknowledged = 10;
-        assert!(shelf.has_room(70, 1) && !shelf.has_room(71, 1));
-        assert!(shelf.has_room(1, left), "the first segment can go");
+        assert!(shelf.has_capacity(70, 1) && !shelf.has_capacity(71, 1));
+        assert!(shelf.has_capacity(1, left), "the first segment can go");
         shelf.acknowledged = 40;
         assert_eq!(shelf.unfetched(), 0);
     }
@@ -119,7 +119,7 @@
         assert!(!shelf.oldest_goes(1_000, 0));
         assert!(shelf.oldest_goes(1_001, 0), "too old");
         assert!(shelf.oldest_goes(0, 64 << 10), "no room for what comes");
-        shelf.bounds.count = 39;
+        shelf.limits.max_count = 39;
         assert!(shelf.oldest_goes(0, 0), "too many");
         while shelf.oldest_goes(u64::MAX, 0) {
             shelf.segments.pop_front();
--- a/crates/ends/src/store.rs
+++ b/crates/ends/src/store.rs
@@ -1,7 +1,7 @@
 //! The ends in the files of a folder.
 
-use crate::end::{End, EndRef};
-use crate::shelf::{Bounds, Segment, Shelf};
+use crate::end::{MessageOutcome, MessageOutcomeRef};
+use crate::retention::{RetentionLimits, Segment, Shelf};
 use foldtrack_journal::{frame, Budget};
 use serde::{Deserialize, Serialize};
 use std::collections::hash_map::RandomState;
@@ -27,7 +27,7 @@
         acknowledged: u64,
         highest_number: u64,
     },
-    End(End),
+    End(MessageOutcome),
     /// Every end up to this one has been acknowledged.
     Acknowledged(u64),
 }
@@ -36,7 +36,7 @@
 #[derive(Serialize)]
 enum Written<'a> {
     Head { format: u32, first: u64, acknowledged: u64, highest_number: u64 },
-    End(EndRef<'a>),
+    End(MessageOutcomeRef<'a>),
     Acknowledged(u64),
 }
 
@@ -55,14 +55,14 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Fetched {
     /// Ends with their sequence numbers, one after another.
-    pub ends: Vec<(u64, End)>,
+    pub ends: Vec<(u64, MessageOutcome)>,
     /// Ask on after this one; asking acknowledges up to it.
     pub cursor: u64,
 }
 
 /// The ends of a state folder.
 #[derive(Debug)]
-pub struct Store {
+pub struct OutcomeStore {
     folder: PathBuf,
     shelf: Shelf,
     /// The files of the shelf's segments.
@@ -76,7 +76,7 @@
     /// Length of what is whole in the open segment. Behind it a part of a write may stand that could not be cut off;
     /// it is cut off before the next one.
     whole: u64,
-    /// What follows it at the next [`Store::commit`].
+    /// What follows it at the next [`OutcomeStore::commit`].
     staged: Vec<u8>,
     /// Sequence number of the next end when the last commit was done: those from it on are not told yet.
     committed: u64,
@@ -94,13 +94,13 @@
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
 
-impl Store {
+impl OutcomeStore {
     /// Opens the store in a folder, or begins one. What a process left unfinished at the end of the last segment is
     /// cut off.
     ///
     /// # Errors
     /// A file can't be read or written, was written by a later version, or is damaged before its end.
-    pub fn open(folder: &Path, bounds: Bounds) -> io::Result<Store> {
+    pub fn open(folder: &Path, limits: RetentionLimits) -> io::Result<OutcomeStore> {
         fs::create_dir_all(folder).map_err(|e| named(folder, e))?;
         let mut names = Vec::new();
         for entry in fs::read_dir(folder).map_err(|e| named(folder, e))? {
@@ -111,9 +111,9 @@
             }
         }
         names.sort();
-        let mut store = Store {
+        let mut store = OutcomeStore {
             folder: folder.to_path_buf(),
-            shelf: Shelf { bounds, segments: VecDeque::new(), acknowledged: 0 },
+            shelf: Shelf { limits, segments: VecDeque::new(), acknowledged: 0 },
             files: VecDeque::new(),
             places: VecDeque::new(),
             by_name: HashMap::new(),
@@ -144,7 +144,7 @@
     }
 
     /// Keeps to a budget from now on, as if the disk were no larger.
-    pub fn within(mut self, budget: Option<Budget>) -> Store {
+    pub fn with_budget(mut self, budget: Option<Budget>) -> OutcomeStore {
         self.budget = budget;
         self
     }
@@ -212,7 +212,7 @@
         Ok(())
     }
 
-    fn index(&mut self, end: EndRef<'_>, sequence: u64, segment: u64, at: u64, length: usize) {
+    fn index(&mut self, end: MessageOutcomeRef<'_>, sequence: u64, segment: u64, at: u64, length: usize) {
         let name = self.hasher.hash_one(end.id);
         self.by_name.insert(name, sequence);
         self.highest_number = self.highest_number.max(end.number);
@@ -224,7 +224,7 @@
         let head = frame::encode(&Written::Head { format: FORMAT, first, acknowledged, highest_number })?;
         let written = || {
             let mut file = OpenOptions::new().read(true).append(true).create_new(true).open(&path)?;
-            Store::write_within(self.budget.as_ref(), &mut file, 0, &head).map(|()| file)
+            OutcomeStore::write_within(self.budget.as_ref(), &mut file, 0, &head).map(|()| file)
         };
         let file = written().map_err(|e| {
             let _ = fs::remove_file(&path);
@@ -237,25 +237,25 @@
         Ok(())
     }
 
-    /// Whether one more message can be taken on; see [`Shelf::has_room`].
-    pub fn has_room(&self, held: u64, reserved: u64) -> bool {
-        self.shelf.has_room(held, reserved)
+    /// Whether one more message can be taken on; see [`Shelf::has_capacity`].
+    pub fn has_capacity(&self, held: u64, reserved: u64) -> bool {
+        self.shelf.has_capacity(held, reserved)
     }
 
     /// Whether keeping an end now may drop older ones.
     pub fn drops(&self, now: u64) -> bool {
-        self.shelf.oldest_goes(now, self.shelf.bounds.segment())
+        self.shelf.oldest_goes(now, self.shelf.limits.segment())
     }
 
-    /// Stages an end; gives its sequence number. It is kept from the next [`Store::commit`] on, and told from then on.
+    /// Stages an end; gives its sequence number. It is kept from the next [`OutcomeStore::commit`] on, and told from then on.
     ///
     /// # Errors
     /// It is longer than a record can be.
-    pub fn append(&mut self, end: EndRef<'_>) -> io::Result<u64> {
+    pub fn append(&mut self, end: MessageOutcomeRef<'_>) -> io::Result<u64> {
         let frame = frame::encode(&Written::End(end))?;
-        self.drop_old(end.ended, frame.len() as u64);
+        self.drop_expired(end.ended, frame.len() as u64);
         let open = self.shelf.segments.back().copied().unwrap_or_default();
-        if open.next > open.first && open.bytes + frame.len() as u64 > self.shelf.bounds.segment() {
+        if open.next > open.first && open.bytes + frame.len() as u64 > self.shelf.limits.segment() {
             // Where that fails the segment grows, and the next end tries again.
             let begun = self
                 .commit()
@@ -296,7 +296,7 @@
             file.set_len(self.whole)?;
             self.torn = false;
         }
-        if let Err(error) = Store::write_within(self.budget.as_ref(), file, self.whole, &self.staged) {
+        if let Err(error) = OutcomeStore::write_within(self.budget.as_ref(), file, self.whole, &self.staged) {
             // What was written of it would hide what follows from a restart.
             self.torn = file.set_len(self.whole).is_err();
             return Err(error);
@@ -309,17 +309,17 @@
     }
 
     /// What a job was taken for has not been synced: all counts as not synced again.
-    pub fn not_synced(&mut self) {
+    pub fn mark_unsynced(&mut self) {
         self.dirty.extend(self.shelf.segments.iter().map(|s| s.first));
     }
 
     /// Sequence number of the last end that is in a file.
-    pub fn written(&self) -> u64 {
+    pub fn last_committed(&self) -> u64 {
         self.committed - 1
     }
 
     /// Ends up to this one may be told.
-    pub fn release(&mut self, up_to: u64) {
+    pub fn publish(&mut self, up_to: u64) {
         self.released = self.released.max(up_to + 1).min(self.committed);
     }
 
@@ -342,18 +342,18 @@
     }
 
     /// Whether something is staged that a commit did not write.
-    pub fn is_behind(&self) -> bool {
+    pub fn has_uncommitted(&self) -> bool {
         !self.staged.is_empty()
     }
 
-    /// Acknowledges every end up to `cursor`; it is written with the next [`Store::commit`]. A kill may undo the
+    /// Acknowledges every end up to `cursor`; it is written with the next [`OutcomeStore::commit`]. A kill may undo the
     /// latest: what it acknowledged is fetched once more.
     ///
     /// # Errors
     /// It lies beyond the last end, which nobody can have fetched.
     pub fn acknowledge(&mut self, cursor: u64, now: u64) -> io::Result<()> {
         if cursor >= self.released {
-            let last = self.last();
+            let last = self.last_published();
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
                 format!("the last end is {last}, not {cursor}"),
@@ -365,12 +365,12 @@
         let frame = frame::encode(&Written::Acknowledged(cursor))?;
         self.stage(&frame);
         self.shelf.acknowledged = cursor;
-        self.drop_old(now, 0);
+        self.drop_expired(now, 0);
         Ok(())
     }
 
-    /// Drops the segments that are out of bounds, where nobody is owed anything in them.
-    pub fn drop_old(&mut self, now: u64, coming: u64) {
+    /// Drops the segments that are out of limits, where nobody is owed anything in them.
+    pub fn drop_expired(&mut self, now: u64, coming: u64) {
         while self.shelf.oldest_goes(now, coming) {
             let Some(segment) = self.shelf.segments.pop_front() else { return };
             self.files.pop_front();
@@ -395,7 +395,7 @@
     pub fn fetch(&self, cursor: u64, most: usize) -> io::Result<Fetched> {
         let oldest = self.oldest();
         let from = (cursor + 1).max(oldest);
-        let mut fetched = Fetched { ends: Vec::new(), cursor: cursor.min(self.last()) };
+        let mut fetched = Fetched { ends: Vec::new(), cursor: cursor.min(self.last_published()) };
         let mut bytes = 0;
         for sequence in (from..self.released).take(most) {
             let Some(end) = self.read(sequence)? else { break };
@@ -413,7 +413,7 @@
         self.shelf.segments.front().map_or(1, |s| s.first)
     }
 
-    fn read(&self, sequence: u64) -> io::Result<Option<End>> {
+    fn read(&self, sequence: u64) -> io::Result<Option<MessageOutcome>> {
         let Some(place) = sequence.checked_sub(self.oldest()).and_then(|n| self.places.get(n as usize))
         else {
             return Ok(None);
@@ -437,14 +437,14 @@
     ///
     /// # Errors
     /// A file can't be read.
-    pub fn look(&self, id: &str) -> io::Result<Option<(u64, End)>> {
+    pub fn find(&self, id: &str) -> io::Result<Option<(u64, MessageOutcome)>> {
         let Some(sequence) = self.by_name.get(&self.hasher.hash_one(id)) else { return Ok(None) };
         // Another id may have the same hash.
         Ok(self.read(*sequence)?.filter(|end| end.id == id).map(|end| (*sequence, end)))
     }
 
     /// Sequence number of the last end that is told, 0 for none.
-    pub fn last(&self) -> u64 {
+    pub fn last_published(&self) -> u64 {
         self.released - 1
     }
 
@@ -459,18 +459,18 @@
     }
 
     /// The numbers of the messages whose ends are kept.
-    pub fn numbers(&self) -> impl Iterator<Item = u64> + '_ {
+    pub fn message_numbers(&self) -> impl Iterator<Item = u64> + '_ {
         self.places.iter().map(|place| place.number)
     }
 
     /// Ends kept, those not acknowledged, and bytes in files.
-    pub fn kept(&self) -> (u64, u64, u64) {
+    pub fn usage(&self) -> (u64, u64, u64) {
         (self.places.len() as u64, self.shelf.unfetched(), self.shelf.bytes())
     }
 
-    /// The bounds that it keeps.
-    pub fn bounds(&self) -> Bounds {
-        self.shelf.bounds
+    /// The limits that it keeps.
+    pub fn limits(&self) -> RetentionLimits {
+        self.shelf.limits
     }
 }
 
--- a/crates/journal/benches/journal/main.rs
+++ b/crates/journal/benches/journal/main.rs
@@ -9,7 +9,7 @@
 
 use fjall::{KeyspaceCreateOptions, PersistMode};
 use foldtrack_journal::disk::Disk;
-use foldtrack_journal::{Accepted, Folder, Journal, Options, Record};
+use foldtrack_journal::{Accepted, Journal, JournalDir, JournalOptions, Record};
 use redb::{Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use std::io;
 use std::num::NonZeroU64;
@@ -51,8 +51,8 @@
     }
 }
 
-fn options(room: u64, durable: bool) -> Options {
-    Options { room, attempts: 8, name: 0, durable, identity: 7 }
+fn options(room: u64, durable: bool) -> JournalOptions {
+    JournalOptions { capacity_bytes: room, max_attempts: 8, max_endpoint_name_len: 0, durable, identity: 7 }
 }
 
 /// A store that takes messages on, forgets them, and brings what it was told to stable storage.
@@ -80,11 +80,11 @@
         self.write(number, &Record::Accepted(message(number, body)));
     }
     fn over(&mut self, number: u64) {
-        self.write(number, &Record::Over);
+        self.write(number, &Record::Finished);
     }
     fn end_group(&mut self, sync: bool) {
         assert!(self.0.commit().is_empty());
-        self.0.step(Instant::now() + Duration::from_micros(300)).unwrap();
+        self.0.compact_step(Instant::now() + Duration::from_micros(300)).unwrap();
         if sync {
             self.0.sync().unwrap();
         }
@@ -109,7 +109,7 @@
         self.0.append(number, &v1::Record::Accepted(accepted)).unwrap();
     }
     fn over(&mut self, number: u64) {
-        self.0.append(number, &v1::Record::Over).unwrap();
+        self.0.append(number, &v1::Record::Finished).unwrap();
     }
     fn end_group(&mut self, sync: bool) {
         // It never synced: what it would have cost, had it.
@@ -295,13 +295,13 @@
         let (mut first, mut last) = (1, 0);
         // Of what may be live at the most, since more is not taken on.
         let mut most = 0;
-        while journal.has_room(1_200) {
+        while journal.has_capacity(1_200) {
             last += 1;
             journal.append(last, &Record::Accepted(message(last, 1_000))).unwrap();
             most = journal.live_bytes();
         }
         while journal.live_bytes() > most / 100 * percent {
-            journal.append(first, &Record::Over).unwrap();
+            journal.append(first, &Record::Finished).unwrap();
             first += 1;
         }
         let before = journal.written();
@@ -312,15 +312,15 @@
             // Some stay for long: what is over is not simply the oldest.
             let over = if n % 4 == 0 { first } else { last - 20 };
             if over >= first {
-                journal.append(over, &Record::Over).unwrap();
+                journal.append(over, &Record::Finished).unwrap();
             }
             first += u64::from(n % 4 == 0);
             while journal.live_bytes() > most / 100 * percent {
-                journal.append(first, &Record::Over).unwrap();
+                journal.append(first, &Record::Finished).unwrap();
                 first += 1;
             }
-            journal.step(Instant::now() + Duration::from_micros(300)).unwrap();
-            longest = longest.max(journal.length());
+            journal.compact_step(Instant::now() + Duration::from_micros(300)).unwrap();
+            longest = longest.max(journal.disk_bytes());
         }
         let (appended, carried) = (journal.written().0 - before.0, journal.written().1 - before.1);
         println!(
@@ -339,14 +339,14 @@
         let mut old =
             Version1(v1::Journal::open(two.path(), 3_000_000, 8).unwrap().0, tempfile::tempfile().unwrap());
         let new = count(&mut |n| {
-            let fits = segments.has_room(body + 128);
+            let fits = segments.has_capacity(body + 128);
             if fits {
                 segments.append(n, &Record::Accepted(message(n, body))).unwrap();
             }
             fits
         });
         let before = count(&mut |n| {
-            let fits = old.0.has_room(body + 128);
+            let fits = old.0.has_capacity(body + 128);
             if fits {
                 old.take(n, body);
             }
@@ -357,7 +357,7 @@
 }
 
 /// A disk that is not told what will be read.
-struct Untold(Folder);
+struct Untold(JournalDir);
 
 impl Disk for Untold {
     fn will_read(&mut self, _: u64, _: u64, _: NonZeroU64) {}
@@ -419,10 +419,10 @@
         for n in 0..4_000 {
             journal.append(held + 1 + n, &Record::Accepted(message(held + 1 + n, 10_000))).unwrap();
             if n > 50 {
-                journal.append(held + 1 + n - 50, &Record::Over).unwrap();
+                journal.append(held + 1 + n - 50, &Record::Finished).unwrap();
             }
             let (start, before) = (Instant::now(), journal.written().1);
-            journal.step(start + Duration::from_micros(300)).unwrap();
+            journal.compact_step(start + Duration::from_micros(300)).unwrap();
             // The forwarder's rounds have other work and the sockets between them.
             let took = start.elapsed();
             if journal.written().1 > before {
@@ -443,8 +443,8 @@
     );
     for _ in 0..3 {
         let (one, two) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-        steps(Folder::new(one.path()).unwrap(), one.path(), "told ahead");
-        steps(Untold(Folder::new(two.path()).unwrap()), two.path(), "not told");
+        steps(JournalDir::new(one.path()).unwrap(), one.path(), "told ahead");
+        steps(Untold(JournalDir::new(two.path()).unwrap()), two.path(), "not told");
     }
 }
 
--- a/crates/journal/benches/journal/v1.rs
+++ b/crates/journal/benches/journal/v1.rs
@@ -18,7 +18,7 @@
 
 /// Whether an attempt has run, as far as its outcome tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum AttemptEffect {
     /// Surely not.
     NeverRan,
     /// It did, or nobody can tell.
@@ -27,7 +27,7 @@
 
 /// The end of a message that is not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Notice {
+pub enum FailureNotice {
     /// Failed: nothing is promised.
     GivenUp,
     /// Refused: handing it in again is harmless.
@@ -71,33 +71,35 @@
         zone: u32,
     },
     /// Of the attempt that was out: there is never more than one.
-    Ended(Fate),
+    Ended(AttemptEffect),
     /// Written before the notice is sent.
-    Noticed(Notice),
+    #[serde(rename = "Noticed")]
+    FailureNoticed(FailureNotice),
     /// Delivered, or its notice is answered.
-    Over,
+    #[serde(rename = "Over")]
+    Finished,
 }
 
-/// An attempt as the journal knows it; without a fate it was out when the process ended.
+/// An attempt as the journal knows it; without a effect it was out when the process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tried {
+pub struct AttemptRecord {
     /// When it began, Unix time in microseconds.
     pub at: u64,
     /// The target's zone.
     pub zone: u32,
     /// Whether it has run.
-    pub fate: Option<Fate>,
+    pub effect: Option<AttemptEffect>,
 }
 
 /// What a restart finds of a message.
 #[derive(Debug)]
-pub struct Restored {
+pub struct RecoveredMessage {
     /// As it was taken on.
     pub accepted: Accepted,
     /// Its attempts, in their order.
-    pub attempts: Vec<Tried>,
+    pub attempts: Vec<AttemptRecord>,
     /// Its end, if that has not been answered yet.
-    pub notice: Option<Notice>,
+    pub notice: Option<FailureNotice>,
 }
 
 /// The journal of one process.
@@ -117,7 +119,7 @@
     /// Opens the journal of a folder that may hold `room` bytes, and tells what is not over.
     pub fn open(
         folder: &Path, room: u64, max_attempts: u32,
-    ) -> io::Result<(Journal, BTreeMap<u64, Restored>)> {
+    ) -> io::Result<(Journal, BTreeMap<u64, RecoveredMessage>)> {
         let path = folder.join("journal");
         // A compaction that the process did not live to finish.
         let _ = fs::remove_file(path.with_extension("new"));
@@ -160,7 +162,7 @@
 
     /// Whether a message of about this size can be taken on, with all that may have to be written of it: the
     /// live frames must fit twice, once in the old file and once in the new one of a compaction.
-    pub fn has_room(&self, size: usize) -> bool {
+    pub fn has_capacity(&self, size: usize) -> bool {
         let messages = self.live.len() as u64 + 1;
         2 * (self.live_bytes + size as u64 + messages * self.reserve) + SLACK <= self.room
     }
@@ -188,7 +190,7 @@
 
     fn keep(&mut self, number: u64, record: &Record, frame: &[u8]) {
         match record {
-            Record::Over => {
+            Record::Finished => {
                 let gone = self.live.remove(&number).map_or(0, |f| f.len());
                 self.live_bytes -= gone as u64;
             }
@@ -218,22 +220,24 @@
     }
 }
 
-fn replay(restored: &mut BTreeMap<u64, Restored>, number: u64, record: &Record) {
+fn replay(restored: &mut BTreeMap<u64, RecoveredMessage>, number: u64, record: &Record) {
     if let Record::Accepted(accepted) = record {
-        let fresh = Restored { accepted: accepted.clone(), attempts: Vec::new(), notice: None };
+        let fresh = RecoveredMessage { accepted: accepted.clone(), attempts: Vec::new(), notice: None };
         restored.insert(number, fresh);
         return;
     }
     let Some(message) = restored.get_mut(&number) else { return };
     match record {
-        Record::Begun { at, zone } => message.attempts.push(Tried { at: *at, zone: *zone, fate: None }),
-        Record::Ended(fate) => {
+        Record::Begun { at, zone } => {
+            message.attempts.push(AttemptRecord { at: *at, zone: *zone, effect: None })
+        }
+        Record::Ended(effect) => {
             if let Some(tried) = message.attempts.last_mut() {
-                tried.fate = Some(*fate);
+                tried.effect = Some(*effect);
             }
         }
-        Record::Noticed(notice) => message.notice = Some(*notice),
-        Record::Over => drop(restored.remove(&number)),
+        Record::FailureNoticed(notice) => message.notice = Some(*notice),
+        Record::Finished => drop(restored.remove(&number)),
         Record::Accepted(_) => {}
     }
 }
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -105,7 +105,7 @@
 
 /// A state folder of the file system, with the journal's folder in it.
 #[derive(Debug)]
-pub struct Folder {
+pub struct JournalDir {
     state: PathBuf,
     path: PathBuf,
     files: BTreeMap<u64, File>,
@@ -117,13 +117,13 @@
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
 
-impl Folder {
+impl JournalDir {
     /// The journal of a state folder that is there. A file of version 1 makes room for the folder, by one rename.
     ///
     /// # Errors
     /// The folder can't be made.
-    pub fn new(state: &Path) -> io::Result<Folder> {
-        let folder = Folder::at_state(state, false);
+    pub fn new(state: &Path) -> io::Result<JournalDir> {
+        let folder = JournalDir::at_state(state, false);
         if folder.path.is_file() {
             fs::rename(&folder.path, state.join(OLD)).map_err(|e| named(&folder.path, &e))?;
         }
@@ -131,8 +131,8 @@
         Ok(folder)
     }
 
-    fn at_state(state: &Path, reads_only: bool) -> Folder {
-        Folder {
+    fn at_state(state: &Path, reads_only: bool) -> JournalDir {
+        JournalDir {
             state: state.to_path_buf(),
             path: state.join(NAME),
             files: BTreeMap::new(),
@@ -142,14 +142,14 @@
     }
 
     /// The same under a budget, as if the disk were no larger.
-    pub fn within(mut self, budget: Option<Budget>) -> Folder {
+    pub fn with_budget(mut self, budget: Option<Budget>) -> JournalDir {
         self.budget = budget;
         self
     }
 
     /// The same, in which nothing is changed: for tools beside the owner.
-    pub fn read_only(state: &Path) -> Folder {
-        Folder::at_state(state, true)
+    pub fn read_only(state: &Path) -> JournalDir {
+        JournalDir::at_state(state, true)
     }
 
     /// The file of a segment.
@@ -158,7 +158,7 @@
     }
 
     fn at(&self, segment: u64) -> PathBuf {
-        self.path.join(Folder::file_name(segment))
+        self.path.join(JournalDir::file_name(segment))
     }
 
     fn file(&mut self, segment: u64) -> io::Result<&mut File> {
@@ -187,7 +187,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Disk for JournalDir {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         let mut numbers = Vec::new();
         if !self.path.is_dir() {
--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -11,7 +11,7 @@
 
 /// Whether an attempt has run, as far as its outcome tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum AttemptEffect {
     /// Surely not.
     NeverRan,
     /// It did, or nobody can tell.
@@ -20,7 +20,7 @@
 
 /// The end of a message that is not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Notice {
+pub enum FailureNotice {
     /// Failed: nothing is promised.
     GivenUp,
     /// Refused: handing it in again is harmless.
@@ -65,11 +65,13 @@
         zone: u32,
     },
     /// Of the attempt that was out: there is never more than one; by version 1.
-    Ended(Fate),
+    Ended(AttemptEffect),
     /// Written before the notice is sent.
-    Noticed(Notice),
+    #[serde(rename = "Noticed")]
+    FailureNoticed(FailureNotice),
     /// Delivered, or its notice is answered.
-    Over,
+    #[serde(rename = "Over")]
+    Finished,
     /// Taken on, where it matters when.
     AcceptedAt {
         /// When, Unix time in microseconds.
@@ -90,7 +92,8 @@
     Delivered,
     /// Written before an attempt's first byte. Attempts have numbers, so that a record which is lost among others is
     /// missed.
-    Try {
+    #[serde(rename = "Try")]
+    AttemptStarted {
         /// From 0.
         attempt: u32,
         /// When, Unix time in microseconds.
@@ -101,19 +104,21 @@
         endpoint: String,
     },
     /// An attempt has ended.
-    TryEnded {
+    #[serde(rename = "TryEnded")]
+    AttemptEnded {
         /// From 0.
         attempt: u32,
         /// Whether it has run.
-        fate: Fate,
+        #[serde(rename = "fate")]
+        effect: AttemptEffect,
     },
     /// All that is known of a message, in the place of every record of it before: written where it is carried.
-    Carried(Box<Restored>),
+    Carried(Box<RecoveredMessage>),
 }
 
-/// An attempt as the journal knows it; without a fate it was out when the process ended.
+/// An attempt as the journal knows it; without a effect it was out when the process ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tried {
+pub struct AttemptRecord {
     /// When it began, Unix time in microseconds; 0 if its record is lost.
     pub at: u64,
     /// The target's zone.
@@ -121,12 +126,13 @@
     /// The endpoint's name, where it was written.
     pub endpoint: String,
     /// Whether it has run.
-    pub fate: Option<Fate>,
+    #[serde(rename = "fate")]
+    pub effect: Option<AttemptEffect>,
 }
 
 /// What a restart finds of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Restored {
+pub struct RecoveredMessage {
     /// As it was taken on.
     pub accepted: Accepted,
     /// When, Unix time in microseconds; 0 where it was not written.
@@ -134,21 +140,21 @@
     /// Delivered, and that is still to be told.
     pub delivered: bool,
     /// Its attempts, in their order.
-    pub attempts: Vec<Tried>,
+    pub attempts: Vec<AttemptRecord>,
     /// Its end, if that has not been answered yet.
-    pub notice: Option<Notice>,
+    pub notice: Option<FailureNotice>,
 }
 
-impl Restored {
-    fn new(accepted: Accepted, taken: u64) -> Restored {
-        Restored { accepted, taken, delivered: false, attempts: Vec::new(), notice: None }
+impl RecoveredMessage {
+    fn new(accepted: Accepted, taken: u64) -> RecoveredMessage {
+        RecoveredMessage { accepted, taken, delivered: false, attempts: Vec::new(), notice: None }
     }
 
     /// What the first record of a message makes; `None` if it is not one that a message can begin with.
-    pub fn begin(record: Record) -> Option<Restored> {
+    pub fn begin(record: Record) -> Option<RecoveredMessage> {
         match record {
-            Record::Accepted(accepted) => Some(Restored::new(accepted, 0)),
-            Record::AcceptedAt { at, accepted } => Some(Restored::new(accepted, at)),
+            Record::Accepted(accepted) => Some(RecoveredMessage::new(accepted, 0)),
+            Record::AcceptedAt { at, accepted } => Some(RecoveredMessage::new(accepted, at)),
             Record::Carried(restored) => Some(*restored),
             _ => None,
         }
@@ -158,47 +164,52 @@
     pub fn follow(&mut self, record: Record) {
         match record {
             Record::Begun { at, zone } => {
-                self.attempts.push(Tried { at, zone, endpoint: String::new(), fate: None });
+                self.attempts.push(AttemptRecord { at, zone, endpoint: String::new(), effect: None });
             }
             Record::BegunAt { at, zone, endpoint } => {
-                self.attempts.push(Tried { at, zone, endpoint, fate: None });
+                self.attempts.push(AttemptRecord { at, zone, endpoint, effect: None });
             }
-            Record::Ended(fate) => {
+            Record::Ended(effect) => {
                 if let Some(tried) = self.attempts.last_mut() {
-                    tried.fate = Some(fate);
+                    tried.effect = Some(effect);
                 }
             }
-            Record::Try { attempt, at, zone, endpoint } => {
+            Record::AttemptStarted { attempt, at, zone, endpoint } => {
                 if let Some(tried) = self.attempt(attempt) {
                     (tried.at, tried.zone, tried.endpoint) = (at, zone, endpoint);
                 }
             }
-            Record::TryEnded { attempt, fate } => {
+            Record::AttemptEnded { attempt, effect } => {
                 if let Some(tried) = self.attempt(attempt) {
-                    tried.fate = Some(fate);
+                    tried.effect = Some(effect);
                 }
             }
-            Record::Noticed(notice) => self.notice = Some(notice),
+            Record::FailureNoticed(notice) => self.notice = Some(notice),
             Record::Delivered => self.delivered = true,
             // It begins anew: what is before does not count.
             first @ (Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Carried(_)) => {
-                if let Some(restored) = Restored::begin(first) {
+                if let Some(restored) = RecoveredMessage::begin(first) {
                     *self = restored;
                 }
             }
-            Record::Over => {}
+            Record::Finished => {}
         }
     }
 
     /// An attempt by its number. Those before it whose records are lost count as perhaps run.
-    fn attempt(&mut self, number: u32) -> Option<&mut Tried> {
+    fn attempt(&mut self, number: u32) -> Option<&mut AttemptRecord> {
         /// No message has more: what names one is damage that a check sum did not see.
         const MOST: u32 = 1000;
         if number >= MOST {
             return None;
         }
         while self.attempts.len() <= number as usize {
-            self.attempts.push(Tried { at: 0, zone: u32::MAX, endpoint: String::new(), fate: None });
+            self.attempts.push(AttemptRecord {
+                at: 0,
+                zone: u32::MAX,
+                endpoint: String::new(),
+                effect: None,
+            });
         }
         self.attempts.get_mut(number as usize)
     }
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -6,8 +6,8 @@
 //! record in the place of all before it. The oldest segment is removed when no live record stands in it; what it says
 //! of messages that are over concerns only records in it, and in segments that went before it.
 
-use crate::disk::{Disk, Folder};
-use crate::format::{header, Record, Restored, HEADER};
+use crate::disk::{Disk, JournalDir};
+use crate::format::{header, Record, RecoveredMessage, HEADER};
 use crate::pacing::{Pacing, BLOCK, LONGEST_MESSAGE};
 use crate::recovery::{self, read_old, Place};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,7 +20,7 @@
 mod writing;
 
 pub use sync::SyncJob;
-pub use writing::{Ticket, Unwritten};
+pub use writing::{FailedWrite, Ticket};
 
 /// Bytes at most that the two records of an attempt, without its endpoint's name, and the one of a notice take.
 const ATTEMPT_BYTES: u64 = 64;
@@ -30,13 +30,13 @@
 
 /// What a journal needs to know.
 #[derive(Clone, Copy, Debug)]
-pub struct Options {
+pub struct JournalOptions {
     /// Bytes that its files may take.
-    pub room: u64,
+    pub capacity_bytes: u64,
     /// Attempts of a message at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Longest name of an endpoint, where attempts are written with theirs.
-    pub name: usize,
+    pub max_endpoint_name_len: usize,
     /// What is carried must be on stable storage before the place it was carried from is given up.
     pub durable: bool,
     /// Sets the identity of a new journal: unlike any other's, and not known to clients.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Health {
     /// All is well.
-    Sound,
+    Healthy,
     /// No segment can be begun: what is held goes on, in the room set aside for it, and nothing more is taken on.
     Full(String),
     /// Nothing can be written. What is held goes on as far as it needs no record.
@@ -81,9 +81,9 @@
 
 /// The journal.
 #[derive(Debug)]
-pub struct Journal<D: Disk = Folder> {
+pub struct Journal<D: Disk = JournalDir> {
     disk: D,
-    options: Options,
+    options: JournalOptions,
     pacing: Pacing,
     identity: u64,
     /// The oldest first; the last is appended to.
@@ -116,20 +116,22 @@
     /// When to try again after trouble, and how often records could not be read back since the last that could.
     retry_from: Option<Instant>,
     unreadable: u32,
-    highest: u64,
+    highest_number: u64,
     /// Bytes carried since the start, and bytes appended by the owner.
     carried: u64,
     appended: u64,
 }
 
-impl Journal<Folder> {
+impl Journal<JournalDir> {
     /// Opens the journal of a folder, or begins one, and tells what is not over. A journal of an earlier build is
     /// carried over.
     ///
     /// # Errors
     /// As of [`Journal::open_on`].
-    pub fn open(folder: &Path, options: Options) -> io::Result<(Self, BTreeMap<u64, Restored>)> {
-        Journal::open_on(Folder::new(folder)?, options)
+    pub fn open(
+        folder: &Path, options: JournalOptions,
+    ) -> io::Result<(Self, BTreeMap<u64, RecoveredMessage>)> {
+        Journal::open_on(JournalDir::new(folder)?, options)
     }
 }
 
@@ -138,7 +140,9 @@
     ///
     /// # Errors
     /// It can't be read, is of a later version, or the segment that follows can't be begun.
-    pub fn open_on(mut disk: D, options: Options) -> io::Result<(Self, BTreeMap<u64, Restored>)> {
+    pub fn open_on(
+        mut disk: D, options: JournalOptions,
+    ) -> io::Result<(Self, BTreeMap<u64, RecoveredMessage>)> {
         let old = disk.old()?;
         if old.is_some() {
             // It is there until all of it has been carried over: what has been so far counts for nothing.
@@ -148,14 +152,14 @@
         }
         let read = recovery::read(&mut disk)?;
         for damage in &read.damage {
-            let recovery::Damage { segment, at, bytes, problem, .. } = damage;
-            eprintln!("journal/{}: {bytes} bytes at {at}: {problem}", Folder::file_name(*segment));
+            let recovery::DamagedRange { segment, at, bytes, problem, .. } = damage;
+            eprintln!("journal/{}: {bytes} bytes at {at}: {problem}", JournalDir::file_name(*segment));
         }
         let mut journal = Journal {
             disk,
             options,
             // The identity's second place takes a block of it.
-            pacing: Pacing::new(options.room.saturating_sub(BLOCK)),
+            pacing: Pacing::new(options.capacity_bytes.saturating_sub(BLOCK)),
             identity: read.identity.unwrap_or(options.identity),
             segments: VecDeque::new(),
             sealed: 0,
@@ -163,7 +167,7 @@
             live_bytes: 0,
             waiting: Vec::new(),
             batch: writing::Batch::default(),
-            health: Health::Sound,
+            health: Health::Healthy,
             dirty: BTreeSet::new(),
             under_way: BTreeSet::new(),
             position: 0,
@@ -175,7 +179,7 @@
             announced: (0, 0),
             retry_from: None,
             unreadable: 0,
-            highest: read.highest,
+            highest_number: read.highest_number,
             carried: 0,
             appended: 0,
         };
@@ -278,21 +282,22 @@
     }
 
     /// Whether a message of about this size can be taken on, with all that may have to be written of it.
-    pub fn has_room(&self, size: usize) -> bool {
-        let reserve =
-            (ATTEMPT_BYTES + self.options.name as u64) * u64::from(self.options.attempts) + NOTICE_BYTES;
+    pub fn has_capacity(&self, size: usize) -> bool {
+        let reserve = (ATTEMPT_BYTES + self.options.max_endpoint_name_len as u64)
+            * u64::from(self.options.max_attempts)
+            + NOTICE_BYTES;
         let messages = self.live.len() as u64 + 1;
         let live = self.live_bytes + self.batch.len() + size as u64;
-        self.health == Health::Sound && self.pacing.fits(live + messages * reserve)
+        self.health == Health::Healthy && self.pacing.fits(live + messages * reserve)
     }
 
     /// The highest number of a message that a record names: a new message takes a higher one.
-    pub fn highest(&self) -> u64 {
-        self.highest
+    pub fn highest_number(&self) -> u64 {
+        self.highest_number
     }
 
     /// Bytes in the files.
-    pub fn length(&self) -> u64 {
+    pub fn disk_bytes(&self) -> u64 {
         self.sealed + self.segments.back().map_or(0, Segment::blocks)
     }
 
--- a/crates/journal/src/journal/compaction.rs
+++ b/crates/journal/src/journal/compaction.rs
@@ -1,8 +1,8 @@
 //! Compaction in steps: what is live in the oldest segment is carried to the end, and the segment removed.
 
 use super::{Health, Journal, Segment, RETRY};
-use crate::disk::{Disk, Folder};
-use crate::format::{Record, Restored};
+use crate::disk::{Disk, JournalDir};
+use crate::format::{Record, RecoveredMessage};
 use crate::frame;
 use crate::recovery::{seed, Place};
 use std::io;
@@ -19,8 +19,8 @@
 const READ_TRIES: u32 = 3;
 
 impl<D: Disk> Journal<D> {
-    /// Whether there is work for [`Journal::step`].
-    pub fn is_owing(&self) -> bool {
+    /// Whether there is work for [`Journal::compact_step`].
+    pub fn has_compaction_work(&self) -> bool {
         self.owed > 0
     }
 
@@ -29,8 +29,8 @@
     ///
     /// # Errors
     /// A live record can't be read back, or carried; both are tried again later.
-    pub fn step(&mut self, until: Instant) -> io::Result<()> {
-        if self.health != Health::Sound && self.retry_from.is_none_or(|from| Instant::now() >= from) {
+    pub fn compact_step(&mut self, until: Instant) -> io::Result<()> {
+        if self.health != Health::Healthy && self.retry_from.is_none_or(|from| Instant::now() >= from) {
             self.recover();
         }
         self.announce();
@@ -72,7 +72,7 @@
         // Dead segments at the front make some.
         while self.drop_front().unwrap_or(false) {}
         match self.begin_segment() {
-            Ok(()) => self.health = Health::Sound,
+            Ok(()) => self.health = Health::Healthy,
             Err(error) => {
                 self.health = Health::Full(error.to_string());
                 self.retry_from = Some(Instant::now() + RETRY);
@@ -81,8 +81,8 @@
     }
 
     pub(super) fn owe(&mut self, bytes: u64) {
-        let pass = self.pacing.pass(bytes, self.length(), self.live_bytes);
-        self.owed = (self.owed + pass).min(2 * self.length());
+        let pass = self.pacing.pass(bytes, self.disk_bytes(), self.live_bytes);
+        self.owed = (self.owed + pass).min(2 * self.disk_bytes());
     }
 
     /// Carries one message out of the oldest segment, or removes the segment if there is none; gives the bytes that
@@ -119,7 +119,7 @@
         // Staged records stand before what is carried: they count.
         self.write_staged();
         let places = self.live.get(&number).cloned().unwrap_or_default();
-        let mut restored: Option<Restored> = None;
+        let mut restored: Option<RecoveredMessage> = None;
         let mut passed = 0;
         for place in places {
             let mut bytes = vec![0; place.length as usize];
@@ -133,7 +133,7 @@
             let Some((_, (_, record))) = read.filter(|(_, (n, _))| *n == number) else {
                 // The bytes have changed under us. The owner has the message in memory: it is lost only if the process
                 // ends before the message does. Keeping the segment for it would block the room for all others.
-                let (at, name) = (place.at, Folder::file_name(place.segment));
+                let (at, name) = (place.at, JournalDir::file_name(place.segment));
                 eprintln!("journal/{name}: a record at {at} can't be read back: message {number} is in memory alone");
                 self.forget(number);
                 return Ok(passed);
@@ -141,7 +141,7 @@
             self.unreadable = 0;
             match &mut restored {
                 Some(restored) => restored.follow(record),
-                None => restored = Restored::begin(record),
+                None => restored = RecoveredMessage::begin(record),
             }
         }
         if let Some(restored) = restored {
--- a/crates/journal/src/journal/sync.rs
+++ b/crates/journal/src/journal/sync.rs
@@ -1,15 +1,15 @@
 //! Syncs: group commit for the owner, what a removal waits for, and what a failed one costs.
 
 use super::{Health, Journal, Segment};
-use crate::disk::{Disk, Folder};
+use crate::disk::{Disk, JournalDir};
 use crate::recovery::Place;
 use std::collections::BTreeSet;
 use std::fs::File;
 use std::io;
 
-impl Journal<Folder> {
+impl Journal<JournalDir> {
     /// What has to be synced for all that has been written so far to be on stable storage; to be run by whoever can
-    /// wait, and then given to [`Journal::synced`].
+    /// wait, and then given to [`Journal::sync_finished`].
     ///
     /// # Errors
     /// There is no descriptor left. Nothing has changed.
@@ -51,7 +51,7 @@
 }
 
 impl<D: Disk> Journal<D> {
-    /// Brings what has been written to stable storage. Blocks; see [`Folder::handle`] for a way that does not.
+    /// Brings what has been written to stable storage. Blocks; see [`JournalDir::handle`] for a way that does not.
     ///
     /// # Errors
     /// What of it is there is not known: the segment is not trusted again.
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// The sync's, or one of the carrying.
-    pub fn synced(&mut self, job: &SyncJob, result: io::Result<()>) -> io::Result<()> {
+    pub fn sync_finished(&mut self, job: &SyncJob, result: io::Result<()>) -> io::Result<()> {
         self.under_way.clear();
         match result {
             Ok(()) => {
@@ -101,7 +101,7 @@
     }
 
     /// Whether something waits for a sync: removals, beside what the owner wants to be sure of.
-    pub fn wants_sync(&self) -> bool {
+    pub fn awaits_sync(&self) -> bool {
         let held_up = |front: &Segment| front.live == 0 && !self.may_go(front);
         self.options.durable && self.segments.len() > 1 && self.segments.front().is_some_and(held_up)
     }
--- a/crates/journal/src/journal/writing.rs
+++ b/crates/journal/src/journal/writing.rs
@@ -24,7 +24,7 @@
 
 /// A staged record that is not in the file.
 #[derive(Debug)]
-pub struct Unwritten {
+pub struct FailedWrite {
     /// As [`Journal::stage`] gave it.
     pub ticket: Ticket,
     /// The message's number.
@@ -55,7 +55,7 @@
 pub(super) struct Batch {
     bytes: Vec<u8>,
     staged: Vec<Staged>,
-    unwritten: Vec<Unwritten>,
+    unwritten: Vec<FailedWrite>,
     tickets: u64,
 }
 
@@ -87,7 +87,10 @@
         let bytes = bound(record);
         let together = self.waiting_bytes() + self.batch.len() + bytes;
         let sealed = self.segments.back().is_none_or(|s| s.length + self.batch.len() >= self.pacing.segment);
-        if sealed || self.batch.bytes.len() >= GATHERED || !self.pacing.may_append(together, self.length()) {
+        if sealed
+            || self.batch.bytes.len() >= GATHERED
+            || !self.pacing.may_append(together, self.disk_bytes())
+        {
             // What is staged has the seed of this segment, and goes into it.
             self.write_staged();
             self.make_room(self.waiting_bytes() + bytes)?;
@@ -95,7 +98,7 @@
         let seed = self.tail_seed();
         let frame = frame::encode_onto(seed, &(number, record), &mut self.batch.bytes)?;
         let change = match record {
-            Record::Over => Change::Ends,
+            Record::Finished => Change::Ends,
             Record::Accepted(_) | Record::AcceptedAt { .. } | Record::Carried(_) => Change::Begins,
             _ => Change::Adds,
         };
@@ -106,7 +109,7 @@
     }
 
     /// Writes what is staged. Gives the records since the last commit that are not in the file: empty if all is well.
-    pub fn commit(&mut self) -> Vec<Unwritten> {
+    pub fn commit(&mut self) -> Vec<FailedWrite> {
         self.write_staged();
         std::mem::take(&mut self.batch.unwritten)
     }
@@ -133,7 +136,7 @@
             }
             Err(error) if staged.len() == 1 => {
                 let Staged { ticket, number, .. } = staged[0];
-                self.batch.unwritten.push(Unwritten { ticket, number, error });
+                self.batch.unwritten.push(FailedWrite { ticket, number, error });
             }
             Err(_) => {
                 // A disk that is nearly full takes the short ones: ends and attempts of what is held.
@@ -145,7 +148,7 @@
                         }
                         Err(error) => {
                             let (ticket, number) = (one.ticket, one.number);
-                            self.batch.unwritten.push(Unwritten { ticket, number, error });
+                            self.batch.unwritten.push(FailedWrite { ticket, number, error });
                         }
                     }
                 }
@@ -160,7 +163,7 @@
     /// A record stands in the file.
     fn apply(&mut self, one: &Staged, place: Place) {
         let number = one.number;
-        self.highest = self.highest.max(number);
+        self.highest_number = self.highest_number.max(number);
         match one.change {
             Change::Ends => self.forget(number),
             Change::Begins => {
@@ -177,7 +180,7 @@
     ///
     /// # Errors
     /// As of [`Journal::flush`], if too much waits; the message is gone from the live ones all the same.
-    pub fn over_soon(&mut self, number: u64) -> io::Result<()> {
+    pub fn finish_deferred(&mut self, number: u64) -> io::Result<()> {
         self.forget(number);
         self.waiting.push(number);
         if self.waiting.len() > WAITING {
@@ -202,20 +205,22 @@
     /// Sees to it that so many bytes fit: rotates, and removes from the front whatever it takes. Nothing is staged.
     pub(super) fn make_room(&mut self, bytes: u64) -> io::Result<()> {
         let mut left = self.segments.len();
-        while !self.pacing.may_append(bytes, self.length()) && left > 1 {
+        while !self.pacing.may_append(bytes, self.disk_bytes()) && left > 1 {
             // The steps between have not kept up: this record pays for a whole segment.
             left -= 1;
-            if self.wants_sync() {
+            if self.awaits_sync() {
                 self.sync()?;
             }
             let front = self.segments.front().map(|s| s.number);
             while self.segments.front().map(|s| s.number) == front {
-                if self.pass_some()? == u64::MAX && self.wants_sync() {
+                if self.pass_some()? == u64::MAX && self.awaits_sync() {
                     self.sync()?;
                 }
             }
         }
-        if !self.pacing.may_append(bytes, self.length()) && self.length() + bytes + BLOCK > self.pacing.room {
+        if !self.pacing.may_append(bytes, self.disk_bytes())
+            && self.disk_bytes() + bytes + BLOCK > self.pacing.room
+        {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "the journal's room is used up"));
         }
         self.rotate()
@@ -233,7 +238,7 @@
                 // Gives back what was set aside for it and not used. If that fails it is given back with the segment.
                 let _ = sealed.map(|(number, length)| self.disk.truncate(number, length));
                 if matches!(self.health, Health::Full(_)) {
-                    self.health = Health::Sound;
+                    self.health = Health::Healthy;
                 }
                 Ok(())
             }
@@ -267,7 +272,7 @@
             // Encoded here: the seed is that of the segment in which they will stand.
             let mut bytes = Vec::with_capacity(self.waiting.len() * OVER_BYTES + frames.len());
             for number in &self.waiting {
-                frame::encode_onto(self.tail_seed(), &(number, &Record::Over), &mut bytes)?;
+                frame::encode_onto(self.tail_seed(), &(number, &Record::Finished), &mut bytes)?;
             }
             bytes.extend_from_slice(frames);
             self.write_bytes(&bytes)?;
@@ -326,7 +331,9 @@
     match record {
         Record::Accepted(accepted) | Record::AcceptedAt { accepted, .. } => of(accepted),
         Record::Carried(restored) => of(&restored.accepted) + 160 * (restored.attempts.len() as u64 + 1),
-        Record::Try { endpoint, .. } | Record::BegunAt { endpoint, .. } => 64 + endpoint.len() as u64,
+        Record::AttemptStarted { endpoint, .. } | Record::BegunAt { endpoint, .. } => {
+            64 + endpoint.len() as u64
+        }
         _ => 64,
     }
 }
--- a/crates/journal/src/journal_tests.rs
+++ b/crates/journal/src/journal_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::format::{Accepted, Fate, Notice, Tried};
+use crate::format::{Accepted, AttemptEffect, AttemptRecord, FailureNotice};
 use crate::frame;
 use crate::model::{Fault, Model};
 use crate::recovery::read;
@@ -8,8 +8,14 @@
 
 const ROOM: u64 = 400_000;
 
-fn options(room: u64) -> Options {
-    Options { room, attempts: 8, name: 16, durable: false, identity: 0x1234_5678_9abc_def0 }
+fn options(room: u64) -> JournalOptions {
+    JournalOptions {
+        capacity_bytes: room,
+        max_attempts: 8,
+        max_endpoint_name_len: 16,
+        durable: false,
+        identity: 0x1234_5678_9abc_def0,
+    }
 }
 
 fn message(number: u64, body: usize) -> Accepted {
@@ -29,14 +35,14 @@
     Record::AcceptedAt { at: number, accepted: message(number, body) }
 }
 
-type Held = BTreeMap<u64, Restored>;
+type Held = BTreeMap<u64, RecoveredMessage>;
 
 /// What the records so far have made, by a fold that knows nothing of segments.
 fn follow(held: &mut Held, number: u64, record: Record) {
     match held.get_mut(&number) {
-        _ if record == Record::Over => drop(held.remove(&number)),
+        _ if record == Record::Finished => drop(held.remove(&number)),
         Some(restored) => restored.follow(record),
-        None => drop(Restored::begin(record).map(|restored| held.insert(number, restored))),
+        None => drop(RecoveredMessage::begin(record).map(|restored| held.insert(number, restored))),
     }
 }
 
@@ -64,7 +70,7 @@
 
     /// One action; the number and record that it has tried to write, if it failed.
     fn act(&mut self, bodies: usize) -> Result<(), Option<Box<(u64, Record)>>> {
-        let _ = self.journal.step(Instant::now() + Duration::from_secs(1));
+        let _ = self.journal.compact_step(Instant::now() + Duration::from_secs(1));
         // Some of the first ones never end: they have to be carried.
         let lasting = |n: &u64| *n < 200 && n.is_multiple_of(4);
         let count = self.held.keys().filter(|n| !lasting(n)).count();
@@ -74,28 +80,30 @@
         let (number, record) = match (self.draw(10), some) {
             (0..=2, _) | (_, None) => {
                 let body = self.draw(bodies as u64 + 1) as usize;
-                if !self.journal.has_room(body + 128) {
+                if !self.journal.has_capacity(body + 128) {
                     return Ok(());
                 }
                 self.next += 1;
                 (self.next, accepted(self.next, body))
             }
-            (3..=4, Some((number, ..))) => (number, Record::Over),
+            (3..=4, Some((number, ..))) => (number, Record::Finished),
             (5, Some((number, ..))) => {
                 let restored = self.held.remove(&number).unwrap();
                 self.soon.insert(number, restored);
-                let written = self.journal.over_soon(number);
+                let written = self.journal.finish_deferred(number);
                 if self.journal.waiting.is_empty() {
                     self.soon.clear();
                 }
                 return written.map_err(|_| None);
             }
-            (6, Some((number, ..))) => (number, Record::Noticed(Notice::HandedBack { retry_in_ms: number })),
-            (_, Some((number, attempt, Some(Tried { fate: None, .. })))) => {
-                (number, Record::TryEnded { attempt: attempt - 1, fate: Fate::NeverRan })
+            (6, Some((number, ..))) => {
+                (number, Record::FailureNoticed(FailureNotice::HandedBack { retry_in_ms: number }))
+            }
+            (_, Some((number, attempt, Some(AttemptRecord { effect: None, .. })))) => {
+                (number, Record::AttemptEnded { attempt: attempt - 1, effect: AttemptEffect::NeverRan })
             }
             (_, Some((number, attempt, _))) if attempt < 8 => {
-                (number, Record::Try { attempt, at: number, zone: 1, endpoint: "north".into() })
+                (number, Record::AttemptStarted { attempt, at: number, zone: 1, endpoint: "north".into() })
             }
             _ => return Ok(()),
         };
@@ -229,7 +237,7 @@
         model.plan(at, Fault::Full);
         for n in 0..600 {
             let _ = owner.act(6_000);
-            refused += u32::from(!owner.journal.has_room(1));
+            refused += u32::from(!owner.journal.has_capacity(1));
             if n == 400 {
                 model.give_room();
                 owner.journal.retry_from = None;
@@ -237,8 +245,8 @@
         }
         model.give_room();
         owner.journal.retry_from = None;
-        owner.journal.step(Instant::now()).unwrap();
-        assert_eq!(owner.journal.health(), &Health::Sound, "full at {at}");
+        owner.journal.compact_step(Instant::now()).unwrap();
+        assert_eq!(owner.journal.health(), &Health::Healthy, "full at {at}");
         owner.journal.flush().unwrap();
         owner.soon.clear();
         let held = owner.held.clone();
@@ -255,8 +263,8 @@
     journal.append(1, &accepted(1, 5_000)).unwrap();
     for number in 2..=count {
         journal.append(number, &accepted(number, 300)).unwrap();
-        journal.append(number, &Record::Over).unwrap();
-        journal.step(Instant::now()).unwrap();
+        journal.append(number, &Record::Finished).unwrap();
+        journal.compact_step(Instant::now()).unwrap();
     }
     assert!(model.most() <= room, "{} bytes", model.most());
     let (_, restored) = Journal::open_on(model.again(), options(room)).unwrap();
@@ -272,7 +280,7 @@
         let (room, model) = (3_000_000, Model::default());
         let (mut journal, _) = Journal::open_on(model.clone(), options(room)).unwrap();
         let (mut first, mut last, mut live) = (1, 0, 0);
-        while journal.has_room(body + 160) {
+        while journal.has_capacity(body + 160) {
             last += 1;
             journal.append(last, &accepted(last, body)).unwrap();
             live = journal.live_bytes();
@@ -284,17 +292,24 @@
             for attempt in 0..8 {
                 let endpoint = "sixteen-letters.".to_string();
                 journal
-                    .append(number, &Record::Try { attempt, at: 1 << 50, zone: u32::MAX, endpoint })
+                    .append(
+                        number,
+                        &Record::AttemptStarted { attempt, at: 1 << 50, zone: u32::MAX, endpoint },
+                    )
+                    .unwrap();
+                journal
+                    .append(number, &Record::AttemptEnded { attempt, effect: AttemptEffect::MayHaveRun })
                     .unwrap();
-                journal.append(number, &Record::TryEnded { attempt, fate: Fate::MayHaveRun }).unwrap();
             }
-            journal.append(number, &Record::Noticed(Notice::HandedBack { retry_in_ms: u64::MAX })).unwrap();
+            journal
+                .append(number, &Record::FailureNoticed(FailureNotice::HandedBack { retry_in_ms: u64::MAX }))
+                .unwrap();
         }
         for _ in 0..2 * last {
-            journal.append(first, &Record::Over).unwrap();
+            journal.append(first, &Record::Finished).unwrap();
             (first, last) = (first + 1, last + 1);
             journal.append(last, &accepted(last, body)).unwrap();
-            journal.step(Instant::now()).unwrap();
+            journal.compact_step(Instant::now()).unwrap();
         }
         assert!(model.most() <= room, "{} bytes with bodies of {body}", model.most());
         let (_, restored) = Journal::open_on(model.again(), options(room)).unwrap();
@@ -312,11 +327,11 @@
         write(number, Record::Accepted(message(number, 500)));
         write(number, Record::Begun { at: 5, zone: 2 });
         if number % 3 == 0 {
-            write(number, Record::Ended(Fate::NeverRan));
+            write(number, Record::Ended(AttemptEffect::NeverRan));
             write(number, Record::BegunAt { at: 6, zone: 0, endpoint: "a".into() });
         }
         if number % 4 == 0 {
-            write(number, Record::Over);
+            write(number, Record::Finished);
         }
     }
     (bytes, held)
@@ -334,7 +349,7 @@
         let whole = !model.is_dead();
         let (journal, found) = Journal::open_on(model.again(), options(ROOM)).unwrap();
         assert!(found == held, "killed at {cut}");
-        assert!(!journal.disk.has_old() && journal.highest() >= 59);
+        assert!(!journal.disk.has_old() && journal.highest_number() >= 59);
         if whole {
             assert!(cut > 40, "{cut} operations");
             break;
@@ -350,7 +365,7 @@
     std::fs::write(folder.path().join("journal"), bytes).unwrap();
     let (mut journal, found) = Journal::open(folder.path(), options(ROOM)).unwrap();
     assert!(found == held);
-    journal.append(1, &Record::Over).unwrap();
+    journal.append(1, &Record::Finished).unwrap();
     drop(journal);
     let (_, found) = Journal::open(folder.path(), options(ROOM)).unwrap();
     assert_eq!((found.len(), found.contains_key(&1)), (held.len() - 1, false));
@@ -380,7 +395,7 @@
     let model = Model::default();
     let (mut journal, _) = Journal::open_on(model.clone(), options(ROOM)).unwrap();
     journal.append(1, &accepted(1, 10)).unwrap();
-    let forged = frame::encode(&(1u64, Record::Over)).unwrap();
+    let forged = frame::encode(&(1u64, Record::Finished)).unwrap();
     let record = Record::Accepted(Accepted { body: forged, ..message(2, 0) });
     journal.append(2, &record).unwrap();
     let place = journal.live[&2][0];
@@ -411,7 +426,7 @@
     }
     model.change(1, |bytes| bytes[..32].fill(0));
     let (mut journal, restored) =
-        Journal::open_on(model.again(), Options { identity: 99, ..options(ROOM) }).unwrap();
+        Journal::open_on(model.again(), JournalOptions { identity: 99, ..options(ROOM) }).unwrap();
     assert_eq!(restored.len(), 5);
     // Nothing is written behind a header that can't be read: what follows stands in a segment of its own.
     journal.append(6, &accepted(6, 50)).unwrap();
@@ -429,9 +444,9 @@
         let base = 4 * round + 1;
         batch = (base..base + 4).map(|n| (n, accepted(n, 40 * n as usize % 1500))).collect();
         let older = held.keys().copied().filter(|n| !n.is_multiple_of(40)).take(6);
-        batch.extend(older.map(|n| (n, Record::Over)));
+        batch.extend(older.map(|n| (n, Record::Finished)));
         let endpoint = String::from("north");
-        let tried = Record::Try { attempt: 0, at: round, zone: 1, endpoint };
+        let tried = Record::AttemptStarted { attempt: 0, at: round, zone: 1, endpoint };
         batch.extend(held.keys().copied().filter(|n| n % 40 == round % 40).map(|n| (n, tried.clone())));
         let mut on_the_way = BTreeMap::new();
         for (number, record) in &batch {
@@ -445,7 +460,7 @@
         }
         unwritten.iter().for_each(|u| drop(on_the_way.remove(&u.ticket)));
         on_the_way.into_values().for_each(|(number, record)| follow(&mut held, number, record));
-        let _ = journal.step(Instant::now() + Duration::from_secs(1));
+        let _ = journal.compact_step(Instant::now() + Duration::from_secs(1));
         batch.clear();
         if model.is_dead() {
             break;
@@ -508,7 +523,7 @@
         let (mut journal, _) = Journal::open_on(model.clone(), options(ROOM)).unwrap();
         for number in 1..=150u64 {
             journal.append(number, &accepted(number, 400)).unwrap();
-            journal.append(number, &Record::Try { attempt: 0, at: 9, zone: 0, endpoint: "a".into() }).unwrap();
+            journal.append(number, &Record::AttemptStarted { attempt: 0, at: 9, zone: 0, endpoint: "a".into() }).unwrap();
         }
         let (whole, numbers) = (read(&mut model.again()).unwrap(), model.numbers());
         let mut hit: BTreeSet<(u64, usize)> = BTreeSet::new();
@@ -554,7 +569,7 @@
 /// may be there or not; and nothing that was over when it was confirmed comes back.
 #[test]
 fn what_a_sync_has_confirmed_outlives_a_power_cut() {
-    let durable = Options { durable: true, ..options(ROOM) };
+    let durable = JournalOptions { durable: true, ..options(ROOM) };
     let run = |model: &Model| {
         let (journal, _) = Journal::open_on(model.clone(), durable).unwrap();
         let mut owner = Owner::new(journal, 11);
@@ -614,7 +629,7 @@
 /// A sync that fails: what it was to confirm is carried to another segment, which the next one confirms.
 #[test]
 fn a_segment_whose_sync_has_failed_is_not_trusted_again() {
-    let durable = Options { durable: true, ..options(ROOM) };
+    let durable = JournalOptions { durable: true, ..options(ROOM) };
     let model = Model::default();
     let (mut journal, _) = Journal::open_on(model.clone(), durable).unwrap();
     (1..=5).for_each(|n| journal.append(n, &accepted(n, 200)).unwrap());
@@ -633,28 +648,28 @@
 #[test]
 fn a_sync_beside_a_job_under_way_does_not_rely_on_it() {
     let folder = tempfile::tempdir().unwrap();
-    let durable = Options { durable: true, ..options(ROOM) };
+    let durable = JournalOptions { durable: true, ..options(ROOM) };
     let (mut journal, _) = Journal::open(folder.path(), durable).unwrap();
     let mut number = 0;
     while journal.removals == journal.removals_synced {
         number += 1;
         journal.append(number, &accepted(number, 3_000)).unwrap();
-        journal.append(number, &Record::Over).unwrap();
-        journal.step(Instant::now()).unwrap();
+        journal.append(number, &Record::Finished).unwrap();
+        journal.compact_step(Instant::now()).unwrap();
     }
     let job = journal.sync_job().unwrap();
     assert!(journal.dirty.is_empty() && !journal.under_way.is_empty());
     journal.sync().unwrap();
     assert_eq!((journal.removals, journal.synced), (journal.removals_synced, journal.position));
     let done = job.run();
-    journal.synced(&job, done).unwrap();
+    journal.sync_finished(&job, done).unwrap();
     assert!(journal.under_way.is_empty());
     // The room turns over, with a job taken and not run.
     journal.append(number + 1, &accepted(number + 1, 10)).unwrap();
     let _job = journal.sync_job().unwrap();
     for n in number + 2..number + 500 {
         journal.append(n, &accepted(n, 3_000)).unwrap();
-        journal.append(n, &Record::Over).unwrap();
+        journal.append(n, &Record::Finished).unwrap();
     }
-    assert!(journal.length() <= ROOM);
+    assert!(journal.disk_bytes() <= ROOM);
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -18,6 +18,6 @@
 pub mod recovery;
 
 pub use budget::Budget;
-pub use disk::Folder;
-pub use format::{Accepted, Fate, Notice, Record, Restored, Tried};
-pub use journal::{Health, Journal, Options, Ticket, Unwritten};
+pub use disk::JournalDir;
+pub use format::{Accepted, AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
+pub use journal::{FailedWrite, Health, Journal, JournalOptions, Ticket};
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -2,7 +2,7 @@
 //! here, so that reading twice, or beside the owner, gives the same.
 
 use crate::disk::Disk;
-use crate::format::{read_header, Header, Record, Restored, HEADER, VERSION};
+use crate::format::{read_header, Header, Record, RecoveredMessage, HEADER, VERSION};
 use crate::frame;
 use std::collections::BTreeMap;
 use std::io;
@@ -20,7 +20,7 @@
 
 /// Bytes that are no records.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damage {
+pub struct DamagedRange {
     /// The segment.
     pub segment: u64,
     /// From this byte on.
@@ -48,19 +48,19 @@
 
 /// What a journal holds.
 #[derive(Debug, Default)]
-pub struct Read {
+pub struct RecoveredJournal {
     /// The journal's identity, if there is a segment that tells it.
     pub identity: Option<u64>,
     /// The segments, the oldest first.
     pub segments: Vec<Segment>,
     /// What is not over, by number in the order in which it was taken on.
-    pub messages: BTreeMap<u64, (Restored, Vec<Place>)>,
+    pub messages: BTreeMap<u64, (RecoveredMessage, Vec<Place>)>,
     /// The highest number of a message that a record names.
-    pub highest: u64,
+    pub highest_number: u64,
     /// Records read.
     pub records: u64,
     /// What could not be read.
-    pub damage: Vec<Damage>,
+    pub damage: Vec<DamagedRange>,
 }
 
 /// The seed of a segment's check sums.
@@ -73,8 +73,8 @@
 /// # Errors
 /// A segment can't be read from the disk, or is of a later version: it is left untouched, for the program that wrote
 /// it.
-pub fn read(disk: &mut impl Disk) -> io::Result<Read> {
-    let mut read = Read::default();
+pub fn read(disk: &mut impl Disk) -> io::Result<RecoveredJournal> {
+    let mut read = RecoveredJournal::default();
     let numbers = disk.segments()?;
     // A header that can't be read is made up for by another's: the seed of a segment's check sums needs no more.
     for number in &numbers {
@@ -101,7 +101,7 @@
         disk.read(number, 0, &mut bytes)?;
         if before.is_some_and(|b| b + 1 != number) {
             let problem = "segments before this one are missing".into();
-            read.damage.push(Damage { segment: number, at: 0, bytes: 0, is_tail: false, problem });
+            read.damage.push(DamagedRange { segment: number, at: 0, bytes: 0, is_tail: false, problem });
         }
         before = Some(number);
         read.segment(number, &bytes, n + 1 == numbers.len())?;
@@ -109,11 +109,11 @@
     Ok(read)
 }
 
-impl Read {
+impl RecoveredJournal {
     fn segment(&mut self, number: u64, bytes: &[u8], is_last: bool) -> io::Result<()> {
         let length = bytes.len() as u64;
         let mut segment = Segment { number, length, whole: 0, is_sound: false };
-        let damage = |at: u64, to: u64, is_tail: bool, problem: &str| Damage {
+        let damage = |at: u64, to: u64, is_tail: bool, problem: &str| DamagedRange {
             segment: number,
             at,
             bytes: to - at,
@@ -173,8 +173,8 @@
 
     fn record(&mut self, number: u64, record: Record, place: Place) {
         self.records += 1;
-        self.highest = self.highest.max(number);
-        if record == Record::Over {
+        self.highest_number = self.highest_number.max(number);
+        if record == Record::Finished {
             self.messages.remove(&number);
             return;
         }
@@ -189,7 +189,7 @@
             }
             // What follows a message whose beginning is lost, or that is over, is of no use.
             None => {
-                if let Some(restored) = Restored::begin(record) {
+                if let Some(restored) = RecoveredMessage::begin(record) {
                     self.messages.insert(number, (restored, vec![place]));
                 }
             }
@@ -198,8 +198,8 @@
 }
 
 /// Reads the one file of version 1: what it holds, and the bytes of it that are damaged.
-pub fn read_old(bytes: &[u8]) -> (BTreeMap<u64, Restored>, Vec<(usize, usize)>) {
-    let mut read = Read::default();
+pub fn read_old(bytes: &[u8]) -> (BTreeMap<u64, RecoveredMessage>, Vec<(usize, usize)>) {
+    let mut read = RecoveredJournal::default();
     let mut damage = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
--- a/crates/membership/src/log.rs
+++ b/crates/membership/src/log.rs
@@ -1,6 +1,6 @@
 //! The statements in a file of the state folder.
 
-use crate::state::{Change, Order, Refusal, SiteList, State};
+use crate::state::{Change, MembershipState, Order, Rejection, SiteFile};
 use foldtrack_journal::frame;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
@@ -17,7 +17,7 @@
     /// The first of a file: the state before the others.
     Head {
         format: u32,
-        state: State,
+        state: MembershipState,
     },
     Order {
         at: u64,
@@ -25,13 +25,13 @@
     },
     Site {
         at: u64,
-        site: SiteList,
+        site: SiteFile,
     },
 }
 
 /// The membership log of one process. Times are Unix time in microseconds, for people who look into it.
 #[derive(Debug)]
-pub struct Log {
+pub struct MembershipLog {
     path: PathBuf,
     file: File,
     length: u64,
@@ -40,10 +40,10 @@
     most: usize,
     /// Nothing more is written: the file may end in a part of a record that could not be cut off.
     torn: bool,
-    state: State,
+    state: MembershipState,
 }
 
-impl Log {
+impl MembershipLog {
     /// Opens the log of a state folder, or begins one; `most` partners and endpoints are let in by orders.
     ///
     /// A record that was not finished when a process ended is cut off: its order was not acknowledged.
@@ -51,7 +51,7 @@
     /// # Errors
     /// The file can't be read or written, was written by a later version, or is damaged before its end. A damaged
     /// one is left as it is: what it says no more may be a drain.
-    pub fn open(folder: &Path, most: usize) -> io::Result<Log> {
+    pub fn open(folder: &Path, most: usize) -> io::Result<MembershipLog> {
         let path = folder.join("membership");
         let _ = fs::remove_file(path.with_extension("new"));
         let bytes = match fs::read(&path) {
@@ -62,9 +62,9 @@
         let (state, read) = replay(&bytes).map_err(|problem| named(&path, io::Error::other(problem)))?;
         let Some(state) = state else {
             // Nothing whole: a first start, or one that was cut off while it wrote the head.
-            let state = State::default();
+            let state = MembershipState::default();
             let (file, length) = write_anew(&path, &state)?;
-            return Ok(Log { path, file, length, head: length, most, torn: false, state });
+            return Ok(MembershipLog { path, file, length, head: length, most, torn: false, state });
         };
         let file = OpenOptions::new().append(true).open(&path).map_err(|e| named(&path, e))?;
         if read < bytes.len() {
@@ -76,11 +76,11 @@
             file.set_len(read as u64).map_err(|e| named(&path, e))?;
         }
         let length = read as u64;
-        Ok(Log { path, file, length, head: 0, most, torn: false, state })
+        Ok(MembershipLog { path, file, length, head: 0, most, torn: false, state })
     }
 
     /// The state as the log has it.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &MembershipState {
         &self.state
     }
 
@@ -88,42 +88,42 @@
     ///
     /// # Errors
     /// It could not be written; nothing has changed.
-    pub fn site_says(&mut self, at: u64, site: &SiteList) -> io::Result<Vec<String>> {
+    pub fn apply_site_file(&mut self, at: u64, site: &SiteFile) -> io::Result<Vec<String>> {
         if self.state.site() == site && self.state.version() > 0 {
             // Told again, where orders stand against it.
-            return Ok(self.state.clone().site_says(site));
+            return Ok(self.state.clone().apply_site_file(site));
         }
         self.append(&Record::Site { at, site: site.clone() })?;
-        Ok(self.state.site_says(site))
+        Ok(self.state.apply_site_file(site))
     }
 
     /// What an order would do, without doing it.
     ///
     /// # Errors
     /// It is refused.
-    pub fn judge(&self, order: &Order) -> Result<Change, Refusal> {
-        self.state.judge(order, self.most)
+    pub fn validate(&self, order: &Order) -> Result<Change, Rejection> {
+        self.state.validate(order, self.most)
     }
 
     /// Carries out an order: in the file first, then in the state. It outlives the process from the return on, and
-    /// the machine's power from when [`Log::file`] has been synced.
+    /// the machine's power from when [`MembershipLog::sync_handle`] has been synced.
     ///
     /// # Errors
     /// It is refused, or could not be written; nothing has changed then.
-    pub fn order(&mut self, at: u64, order: &Order) -> Result<Change, Trouble> {
-        if self.state.judge(order, self.most)? == Change::Already {
-            return Ok(Change::Already);
+    pub fn apply_order(&mut self, at: u64, order: &Order) -> Result<Change, OrderError> {
+        if self.state.validate(order, self.most)? == Change::Unchanged {
+            return Ok(Change::Unchanged);
         }
         self.append(&Record::Order { at, order: order.clone() })?;
-        self.state.order(order);
-        Ok(Change::Done)
+        self.state.apply_order(order);
+        Ok(Change::Applied)
     }
 
     /// The file, to be synced by whoever can wait.
     ///
     /// # Errors
     /// There is no descriptor left.
-    pub fn file(&self) -> io::Result<File> {
+    pub fn sync_handle(&self) -> io::Result<File> {
         self.file.try_clone()
     }
 
@@ -149,30 +149,30 @@
 
 /// Why an order has no effect.
 #[derive(Debug)]
-pub enum Trouble {
+pub enum OrderError {
     /// It contradicts what there is.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// It could not be written.
-    Unwritten(io::Error),
+    NotWritten(io::Error),
 }
 
-impl From<Refusal> for Trouble {
-    fn from(refusal: Refusal) -> Self {
-        Trouble::Refused(refusal)
+impl From<Rejection> for OrderError {
+    fn from(rejection: Rejection) -> Self {
+        OrderError::Rejected(rejection)
     }
 }
 
-impl From<io::Error> for Trouble {
+impl From<io::Error> for OrderError {
     fn from(error: io::Error) -> Self {
-        Trouble::Unwritten(error)
+        OrderError::NotWritten(error)
     }
 }
 
-impl std::fmt::Display for Trouble {
+impl std::fmt::Display for OrderError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Trouble::Refused(refusal) => write!(f, "{refusal}"),
-            Trouble::Unwritten(error) => write!(f, "the order could not be kept: {error}"),
+            OrderError::Rejected(rejection) => write!(f, "{rejection}"),
+            OrderError::NotWritten(error) => write!(f, "the order could not be kept: {error}"),
         }
     }
 }
@@ -182,8 +182,8 @@
 }
 
 /// The state that these bytes make, if they begin with one, and how many of them are whole records.
-fn replay(bytes: &[u8]) -> Result<(Option<State>, usize), String> {
-    let mut state: Option<State> = None;
+fn replay(bytes: &[u8]) -> Result<(Option<MembershipState>, usize), String> {
+    let mut state: Option<MembershipState> = None;
     let mut at = 0;
     while let Some((frame, record)) = frame::decode::<Record>(&bytes[at..]) {
         match (record, &mut state) {
@@ -191,8 +191,8 @@
                 return Err(format!("format {format}; this version reads {FORMAT}"));
             }
             (Record::Head { state: head, .. }, None) => state = Some(head),
-            (Record::Order { order, .. }, Some(state)) => state.order(&order),
-            (Record::Site { site, .. }, Some(state)) => drop(state.site_says(&site)),
+            (Record::Order { order, .. }, Some(state)) => state.apply_order(&order),
+            (Record::Site { site, .. }, Some(state)) => drop(state.apply_site_file(&site)),
             _ => return Err(format!("a record out of place at byte {at}")),
         }
         at += frame.len();
@@ -205,7 +205,7 @@
     Ok((state, at))
 }
 
-fn write_anew(path: &Path, state: &State) -> io::Result<(File, u64)> {
+fn write_anew(path: &Path, state: &MembershipState) -> io::Result<(File, u64)> {
     let frame = frame::encode(&Record::Head { format: FORMAT, state: state.clone() })?;
     let new = path.with_extension("new");
     let written =
@@ -218,14 +218,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::state::{EndpointState, Listed};
+    use crate::state::{EndpointState, ListedEndpoint};
     use std::net::SocketAddr;
 
-    fn site() -> SiteList {
+    fn site() -> SiteFile {
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
-        SiteList {
+        SiteFile {
             partners: [("p".to_string(), 7)].into(),
-            endpoints: [("a".to_string(), Listed { partner: "p".into(), address })].into(),
+            endpoints: [("a".to_string(), ListedEndpoint { partner: "p".into(), address })].into(),
         }
     }
 
@@ -238,8 +238,8 @@
         }
     }
 
-    fn open(folder: &Path) -> Log {
-        Log::open(folder, 100).unwrap()
+    fn open(folder: &Path) -> MembershipLog {
+        MembershipLog::open(folder, 100).unwrap()
     }
 
     /// The last order is torn at each of its bytes: it is wholly there or wholly not, and the ones before it stand.
@@ -247,10 +247,10 @@
     fn an_order_torn_anywhere_is_wholly_there_or_wholly_not() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
-        log.order(2, &toggle(0)).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
+        log.apply_order(2, &toggle(0)).unwrap();
         let (before, whole) = (log.length as usize, log.state.clone());
-        log.order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
+        log.apply_order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
         let (after, last) = (log.length as usize, log.state.clone());
         let bytes = fs::read(&log.path).unwrap();
         for cut in before..=after {
@@ -258,7 +258,7 @@
             let mut again = open(folder.path());
             assert_eq!(again.state, if cut == after { last.clone() } else { whole.clone() }, "cut at {cut}");
             // What is ordered next stands behind what was whole.
-            again.order(4, &toggle(1)).unwrap();
+            again.apply_order(4, &toggle(1)).unwrap();
             let next = again.state.clone();
             assert_eq!(open(folder.path()).state, next, "cut at {cut}");
         }
@@ -268,12 +268,12 @@
     fn a_log_cut_anywhere_in_its_head_or_first_statement_begins_anew_from_the_file() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
         let bytes = fs::read(&log.path).unwrap();
         for cut in 0..bytes.len() {
             fs::write(&log.path, &bytes[..cut]).unwrap();
             let mut again = open(folder.path());
-            again.site_says(2, &site()).unwrap();
+            again.apply_site_file(2, &site()).unwrap();
             assert!(again.state.endpoints().contains_key("a"), "cut at {cut}");
         }
     }
@@ -282,14 +282,14 @@
     fn damage_before_the_end_is_refused_and_left_as_it_is() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
         let at = log.length as usize;
-        log.order(2, &toggle(0)).unwrap();
-        log.order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
+        log.apply_order(2, &toggle(0)).unwrap();
+        log.apply_order(3, &Order::PausePartner { partner: "p".into() }).unwrap();
         let mut bytes = fs::read(&log.path).unwrap();
         bytes[at + 12] ^= 1;
         fs::write(&log.path, &bytes).unwrap();
-        let error = Log::open(folder.path(), 100).unwrap_err().to_string();
+        let error = MembershipLog::open(folder.path(), 100).unwrap_err().to_string();
         assert!(error.contains("membership: damaged at byte"), "{error}");
         assert_eq!(fs::read(&log.path).unwrap(), bytes);
     }
@@ -297,19 +297,19 @@
     #[test]
     fn a_log_of_a_later_version_is_left_alone() {
         let folder = tempfile::tempdir().unwrap();
-        let head = Record::Head { format: FORMAT + 1, state: State::default() };
+        let head = Record::Head { format: FORMAT + 1, state: MembershipState::default() };
         fs::write(folder.path().join("membership"), frame::encode(&head).unwrap()).unwrap();
-        assert!(Log::open(folder.path(), 100).unwrap_err().to_string().contains("format 2"));
+        assert!(MembershipLog::open(folder.path(), 100).unwrap_err().to_string().contains("format 2"));
     }
 
     #[test]
     fn many_orders_keep_the_file_short_and_the_state_whole() {
         let folder = tempfile::tempdir().unwrap();
         let mut log = open(folder.path());
-        log.site_says(1, &site()).unwrap();
+        log.apply_site_file(1, &site()).unwrap();
         let mut longest = 0;
         for n in 0..60_000 {
-            log.order(n as u64, &toggle(n)).unwrap();
+            log.apply_order(n as u64, &toggle(n)).unwrap();
             longest = longest.max(log.length);
         }
         assert!(longest < LONG + 1024, "{longest} bytes");
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -76,7 +76,7 @@
 
 /// A line of the site file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// The partner it belongs to.
     pub partner: String,
     /// Where it listens.
@@ -85,25 +85,25 @@
 
 /// What the site file says.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SiteList {
+pub struct SiteFile {
     /// Numbers of the partners, by name.
     pub partners: BTreeMap<String, u32>,
     /// Endpoints by name.
-    pub endpoints: BTreeMap<String, Listed>,
+    pub endpoints: BTreeMap<String, ListedEndpoint>,
 }
 
 /// What an order has done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Things are now as it says.
-    Done,
+    Applied,
     /// They were so already.
-    Already,
+    Unchanged,
 }
 
 /// Why an order is refused. Nothing has changed then.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// No partner of that name; with the nearest thing to a hint, the names that there are.
     NoSuchPartner(String),
     /// No endpoint of that name.
@@ -116,16 +116,18 @@
     TooMany(usize),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::NoSuchPartner(name) => write!(f, "there is no partner {name:?}"),
-            Refusal::NoSuchEndpoint(name) => write!(f, "there is no endpoint {name:?}"),
-            Refusal::NameTaken(name, partner, address) => {
+            Rejection::NoSuchPartner(name) => write!(f, "there is no partner {name:?}"),
+            Rejection::NoSuchEndpoint(name) => write!(f, "there is no endpoint {name:?}"),
+            Rejection::NameTaken(name, partner, address) => {
                 write!(f, "{name:?} is an endpoint of {partner:?} at {address} already; remove it first")
             }
-            Refusal::AddressTaken(address, name) => write!(f, "{address} is the address of {name:?} already"),
-            Refusal::TooMany(most) => {
+            Rejection::AddressTaken(address, name) => {
+                write!(f, "{address} is the address of {name:?} already")
+            }
+            Rejection::TooMany(most) => {
                 write!(f, "there are {most} partners and endpoints, as many as a site can have")
             }
         }
@@ -134,15 +136,15 @@
 
 /// Partners and endpoints as all statements so far have made them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct MembershipState {
     version: u64,
     partners: BTreeMap<String, Partner>,
     endpoints: BTreeMap<String, Endpoint>,
     /// What the site file said last: only where it says something else now has it spoken anew.
-    site: SiteList,
+    site: SiteFile,
 }
 
-impl State {
+impl MembershipState {
     /// Statements so far.
     pub fn version(&self) -> u64 {
         self.version
@@ -159,12 +161,12 @@
     }
 
     /// What the site file said last.
-    pub fn site(&self) -> &SiteList {
+    pub fn site(&self) -> &SiteFile {
         &self.site
     }
 
     /// Whether an endpoint may be called, its partner's pause included.
-    pub fn is_open(&self, endpoint: &Endpoint) -> bool {
+    pub fn accepts_calls(&self, endpoint: &Endpoint) -> bool {
         let paused = self.partners.get(&endpoint.partner).is_none_or(|p| p.paused);
         endpoint.state == EndpointState::Active && !paused
     }
@@ -173,27 +175,27 @@
     ///
     /// # Errors
     /// It contradicts what there is.
-    pub fn judge(&self, order: &Order, most: usize) -> Result<Change, Refusal> {
+    pub fn validate(&self, order: &Order, most: usize) -> Result<Change, Rejection> {
         let endpoint =
-            |name: &String| self.endpoints.get(name).ok_or_else(|| Refusal::NoSuchEndpoint(name.clone()));
+            |name: &String| self.endpoints.get(name).ok_or_else(|| Rejection::NoSuchEndpoint(name.clone()));
         let partner =
-            |name: &String| self.partners.get(name).ok_or_else(|| Refusal::NoSuchPartner(name.clone()));
+            |name: &String| self.partners.get(name).ok_or_else(|| Rejection::NoSuchPartner(name.clone()));
         let already = match order {
             Order::Add { partner: of, endpoint: name, address } => {
                 partner(of)?;
                 if let Some(other) = self.endpoints.get(name) {
                     if (&other.partner, other.address) != (of, *address) {
                         let (of, at) = (other.partner.clone(), other.address);
-                        return Err(Refusal::NameTaken(name.clone(), of, at));
+                        return Err(Rejection::NameTaken(name.clone(), of, at));
                     }
-                    return Ok(Change::Already);
+                    return Ok(Change::Unchanged);
                 }
                 if let Some((other, _)) = self.endpoints.iter().find(|(_, e)| e.address == *address) {
-                    return Err(Refusal::AddressTaken(*address, other.clone()));
+                    return Err(Rejection::AddressTaken(*address, other.clone()));
                 }
                 let count = self.endpoints.len() + self.partners.len();
                 if count >= most {
-                    return Err(Refusal::TooMany(count));
+                    return Err(Rejection::TooMany(count));
                 }
                 false
             }
@@ -203,15 +205,15 @@
             Order::PausePartner { partner: name } => partner(name)?.paused,
             Order::ResumePartner { partner: name } => !partner(name)?.paused,
         };
-        Ok(if already { Change::Already } else { Change::Done })
+        Ok(if already { Change::Unchanged } else { Change::Applied })
     }
 
-    /// Carries out an order that [`State::judge`] lets pass; any other changes nothing.
-    pub fn order(&mut self, order: &Order) {
+    /// Carries out an order that [`MembershipState::validate`] lets pass; any other changes nothing.
+    pub fn apply_order(&mut self, order: &Order) {
         self.version += 1;
         match order {
             Order::Add { partner, endpoint, address } => {
-                let listed = Listed { partner: partner.clone(), address: *address };
+                let listed = ListedEndpoint { partner: partner.clone(), address: *address };
                 self.put(endpoint, &listed);
             }
             Order::Drain { endpoint } => self.set(endpoint, EndpointState::Draining),
@@ -234,8 +236,8 @@
         }
     }
 
-    fn put(&mut self, name: &str, listed: &Listed) {
-        let Listed { partner, address } = listed.clone();
+    fn put(&mut self, name: &str, listed: &ListedEndpoint) {
+        let ListedEndpoint { partner, address } = listed.clone();
         let state = EndpointState::Active;
         self.endpoints.insert(name.to_string(), Endpoint { partner, address, state });
     }
@@ -243,7 +245,7 @@
     /// Takes in what the site file says. Lines that it said before change nothing; one that is new or altered puts
     /// its endpoint, and one that it has dropped takes the endpoint away. So does an address that a line claims from
     /// an endpoint that an order has added. What has come of it is told line by line, for the operator.
-    pub fn site_says(&mut self, site: &SiteList) -> Vec<String> {
+    pub fn apply_site_file(&mut self, site: &SiteFile) -> Vec<String> {
         let mut told = Vec::new();
         self.version += 1;
         for (name, number) in &site.partners {
@@ -313,10 +315,11 @@
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 
-    fn list(lines: &[(&str, &str, u16)]) -> SiteList {
-        let endpoint =
-            |l: &(&str, &str, u16)| (l.1.to_string(), Listed { partner: l.0.into(), address: at(l.2) });
-        SiteList {
+    fn list(lines: &[(&str, &str, u16)]) -> SiteFile {
+        let endpoint = |l: &(&str, &str, u16)| {
+            (l.1.to_string(), ListedEndpoint { partner: l.0.into(), address: at(l.2) })
+        };
+        SiteFile {
             partners: lines.iter().map(|l| (l.0.to_string(), u32::from(l.0.as_bytes()[0]))).collect(),
             endpoints: lines.iter().filter(|l| l.2 > 0).map(endpoint).collect(),
         }
@@ -332,49 +335,49 @@
 
     #[test]
     fn orders_outlive_a_file_that_says_nothing_new_and_yield_to_one_that_does() {
-        let mut state = State::default();
+        let mut state = MembershipState::default();
         let file = list(&[("p", "a", 1), ("p", "b", 2), ("q", "c", 3)]);
-        assert!(state.site_says(&file).is_empty());
-        state.order(&drain("a"));
-        state.order(&Order::Remove { endpoint: "b".into() });
-        state.order(&add("q", "d", 4));
-        let told = state.site_says(&file);
+        assert!(state.apply_site_file(&file).is_empty());
+        state.apply_order(&drain("a"));
+        state.apply_order(&Order::Remove { endpoint: "b".into() });
+        state.apply_order(&add("q", "d", 4));
+        let told = state.apply_site_file(&file);
         assert!(told.len() == 1 && told[0].starts_with("b is not"), "{told:?}");
         assert_eq!(state.endpoints["a"].state, EndpointState::Draining);
         assert!(!state.endpoints.contains_key("b") && state.endpoints.contains_key("d"));
         // The file's line of a changes: that is a later statement than the drain.
-        state.site_says(&list(&[("p", "a", 9), ("p", "b", 2), ("q", "c", 3)]));
+        state.apply_site_file(&list(&[("p", "a", 9), ("p", "b", 2), ("q", "c", 3)]));
         let a = &state.endpoints["a"];
         assert!(a.state == EndpointState::Active && a.address == at(9));
         // It drops c, and with q all that is q's, also what an order has added.
-        let told = state.site_says(&list(&[("p", "a", 9), ("p", "b", 2)]));
+        let told = state.apply_site_file(&list(&[("p", "a", 9), ("p", "b", 2)]));
         assert!(told.iter().any(|t| t.starts_with("d goes")), "{told:?}");
         assert_eq!(state.endpoints.keys().collect::<Vec<_>>(), ["a"]);
     }
 
     #[test]
     fn what_an_order_contradicts_it_is_refused_for() {
-        let mut state = State::default();
-        state.site_says(&list(&[("p", "a", 1)]));
-        let judge = |order: Order| state.judge(&order, MOST);
-        assert_eq!(judge(add("p", "a", 1)), Ok(Change::Already));
-        assert!(matches!(judge(add("p", "a", 2)), Err(Refusal::NameTaken(..))));
-        assert!(matches!(judge(add("p", "b", 1)), Err(Refusal::AddressTaken(..))));
-        assert!(matches!(judge(add("x", "b", 2)), Err(Refusal::NoSuchPartner(_))));
-        assert!(matches!(judge(drain("x")), Err(Refusal::NoSuchEndpoint(_))));
-        assert_eq!(judge(Order::Resume { endpoint: "a".into() }), Ok(Change::Already));
-        assert_eq!(state.judge(&add("p", "b", 2), 2), Err(Refusal::TooMany(2)));
+        let mut state = MembershipState::default();
+        state.apply_site_file(&list(&[("p", "a", 1)]));
+        let validate = |order: Order| state.validate(&order, MOST);
+        assert_eq!(validate(add("p", "a", 1)), Ok(Change::Unchanged));
+        assert!(matches!(validate(add("p", "a", 2)), Err(Rejection::NameTaken(..))));
+        assert!(matches!(validate(add("p", "b", 1)), Err(Rejection::AddressTaken(..))));
+        assert!(matches!(validate(add("x", "b", 2)), Err(Rejection::NoSuchPartner(_))));
+        assert!(matches!(validate(drain("x")), Err(Rejection::NoSuchEndpoint(_))));
+        assert_eq!(validate(Order::Resume { endpoint: "a".into() }), Ok(Change::Unchanged));
+        assert_eq!(state.validate(&add("p", "b", 2), 2), Err(Rejection::TooMany(2)));
     }
 
     #[test]
     fn a_pause_closes_every_endpoint_of_its_partner_and_leaves_their_drains() {
-        let mut state = State::default();
-        state.site_says(&list(&[("p", "a", 1), ("p", "b", 2)]));
-        state.order(&drain("a"));
-        state.order(&Order::PausePartner { partner: "p".into() });
-        assert!(state.endpoints.values().all(|e| !state.is_open(e)));
-        state.order(&Order::ResumePartner { partner: "p".into() });
-        assert!(!state.is_open(&state.endpoints["a"]) && state.is_open(&state.endpoints["b"]));
+        let mut state = MembershipState::default();
+        state.apply_site_file(&list(&[("p", "a", 1), ("p", "b", 2)]));
+        state.apply_order(&drain("a"));
+        state.apply_order(&Order::PausePartner { partner: "p".into() });
+        assert!(state.endpoints.values().all(|e| !state.accepts_calls(e)));
+        state.apply_order(&Order::ResumePartner { partner: "p".into() });
+        assert!(!state.accepts_calls(&state.endpoints["a"]) && state.accepts_calls(&state.endpoints["b"]));
     }
 
     fn any_order() -> impl Strategy<Value = Order> {
@@ -398,18 +401,18 @@
         /// share an address.
         #[test]
         fn an_order_given_twice_is_given_once(orders in prop::collection::vec(any_order(), 0..40)) {
-            let mut state = State::default();
-            state.site_says(&list(&[("p", "a", 1), ("q", "b", 2)]));
+            let mut state = MembershipState::default();
+            state.apply_site_file(&list(&[("p", "a", 1), ("q", "b", 2)]));
             for order in orders {
                 let before = state.clone();
-                match state.judge(&order, MOST) {
-                    Ok(Change::Done) => state.order(&order),
-                    Ok(Change::Already) | Err(_) => continue,
+                match state.validate(&order, MOST) {
+                    Ok(Change::Applied) => state.apply_order(&order),
+                    Ok(Change::Unchanged) | Err(_) => continue,
                 }
                 prop_assert!(before != state);
-                let again = state.judge(&order, MOST);
-                let removed = matches!(order, Order::Remove { .. }) && matches!(again, Err(Refusal::NoSuchEndpoint(_)));
-                prop_assert!(removed || again == Ok(Change::Already));
+                let again = state.validate(&order, MOST);
+                let removed = matches!(order, Order::Remove { .. }) && matches!(again, Err(Rejection::NoSuchEndpoint(_)));
+                prop_assert!(removed || again == Ok(Change::Unchanged));
                 let addresses: BTreeSet<_> = state.endpoints.values().map(|e| e.address).collect();
                 prop_assert!(addresses.len() == state.endpoints.len());
                 prop_assert!(state.endpoints.values().all(|e| state.partners.contains_key(&e.partner)));
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -19,7 +19,7 @@
 
 /// How it is proven.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum AuthScheme {
     /// `Authorization: Bearer TOKEN` (RFC 6750, section 2.1).
     Bearer,
     /// `Authorization: Basic` with this user and the secret as the password (RFC 7617).
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// What is wrong and on which line, without any of the text.
-    pub fn read(kind: &Kind, text: &[u8]) -> Result<Secrets, String> {
+    pub fn parse(kind: &AuthScheme, text: &[u8]) -> Result<Secrets, String> {
         if text.len() > LONGEST_FILE {
             return Err(format!("has more than {LONGEST_FILE} bytes"));
         }
@@ -61,15 +61,19 @@
                 continue;
             }
             let read = match kind {
-                Kind::Bearer if !line.iter().all(|b| is_token(*b)) => Err("has characters that no token has"),
-                Kind::Basic { .. } if line.iter().any(u8::is_ascii_control) => Err("has control characters"),
-                Kind::Bearer | Kind::Basic { .. } => Ok(line.to_vec()),
-                Kind::Webhook => webhook_secret(line),
+                AuthScheme::Bearer if !line.iter().all(|b| is_token(*b)) => {
+                    Err("has characters that no token has")
+                }
+                AuthScheme::Basic { .. } if line.iter().any(u8::is_ascii_control) => {
+                    Err("has control characters")
+                }
+                AuthScheme::Bearer | AuthScheme::Basic { .. } => Ok(line.to_vec()),
+                AuthScheme::Webhook => webhook_secret(line),
             };
             let read = read.map_err(|problem| format!("line {}: {problem}", number + 1))?;
             secrets.push(SecretBox::new(Box::new(read)));
         }
-        let most = if *kind == Kind::Webhook { MOST_SECRETS } else { 1 };
+        let most = if *kind == AuthScheme::Webhook { MOST_SECRETS } else { 1 };
         match secrets.len() {
             0 => Err("is empty: a secret stands on a line".into()),
             n if n > most => Err(format!("has {n} secrets, where {most} are the most")),
@@ -91,18 +95,20 @@
 
 /// What is proven about a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Subject<'a> {
+pub struct SignedCall<'a> {
     /// The message's id; every attempt has the same, so that the partner can drop repeats.
     pub id: &'a str,
     /// Now, Unix time in seconds: when this attempt is made.
-    pub unix: u64,
+    pub timestamp: u64,
     /// The body as it is sent.
     pub body: &'a [u8],
 }
 
 /// The headers that prove a call, marked as sensitive; none if a value of the message can't stand in a header, or in what
 /// is signed without being taken for another part of it.
-pub fn headers(kind: &Kind, secrets: &Secrets, of: Subject<'_>) -> Option<Vec<(HeaderName, HeaderValue)>> {
+pub fn headers(
+    kind: &AuthScheme, secrets: &Secrets, of: SignedCall<'_>,
+) -> Option<Vec<(HeaderName, HeaderValue)>> {
     let sensitive = |text: &[u8]| {
         let mut value = HeaderValue::from_bytes(text).ok()?;
         value.set_sensitive(true);
@@ -110,15 +116,15 @@
     };
     let first = secrets.0.first()?.expose_secret();
     match kind {
-        Kind::Bearer => {
+        AuthScheme::Bearer => {
             let value = sensitive(&[b"Bearer ", first.as_slice()].concat())?;
             Some(vec![(AUTHORIZATION, value)])
         }
-        Kind::Basic { user } => {
+        AuthScheme::Basic { user } => {
             let pair = STANDARD.encode([user.as_bytes(), b":", first].concat());
             Some(vec![(AUTHORIZATION, sensitive(format!("Basic {pair}").as_bytes())?)])
         }
-        Kind::Webhook => {
+        AuthScheme::Webhook => {
             // A full stop would let one id and time stand for another.
             let sound = !of.id.is_empty() && !of.id.contains('.');
             let id = HeaderValue::from_str(of.id).ok().filter(|_| sound)?;
@@ -127,7 +133,7 @@
             let named = HeaderName::from_static;
             Some(vec![
                 (named("webhook-id"), id),
-                (named("webhook-timestamp"), HeaderValue::from(of.unix)),
+                (named("webhook-timestamp"), HeaderValue::from(of.timestamp)),
                 (named("webhook-signature"), sensitive(signatures?.join(" ").as_bytes())?),
             ])
         }
@@ -135,9 +141,9 @@
 }
 
 /// One signature: `v1,` and the base64 of HMAC-SHA256 over `id.timestamp.body`.
-fn sign(secret: &[u8], of: Subject<'_>) -> Option<String> {
+fn sign(secret: &[u8], of: SignedCall<'_>) -> Option<String> {
     let mut mac = Hmac::<Sha256>::new_from_slice(secret).ok()?;
-    mac.update(format!("{}.{}.", of.id, of.unix).as_bytes());
+    mac.update(format!("{}.{}.", of.id, of.timestamp).as_bytes());
     mac.update(of.body);
     Some(format!("v1,{}", STANDARD.encode(mac.finalize().into_bytes())))
 }
@@ -151,19 +157,20 @@
     /// The example of the Standard Webhooks libraries.
     const EXAMPLE: &str = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw";
 
-    fn made(kind: &Kind, text: &str, id: &str, unix: u64) -> Option<Vec<(HeaderName, String)>> {
-        let secrets = Secrets::read(kind, text.as_bytes()).unwrap();
-        let made = headers(kind, &secrets, Subject { id, unix, body: BODY })?;
+    fn made(kind: &AuthScheme, text: &str, id: &str, unix: u64) -> Option<Vec<(HeaderName, String)>> {
+        let secrets = Secrets::parse(kind, text.as_bytes()).unwrap();
+        let made = headers(kind, &secrets, SignedCall { id, timestamp: unix, body: BODY })?;
         Some(made.into_iter().map(|(n, v)| (n, v.to_str().unwrap().to_string())).collect())
     }
 
     #[test]
     fn calls_are_proven_as_the_specifications_say() {
-        let bearer = made(&Kind::Bearer, "mF_9.B5f-4.1JqM\n", "m1", 0).unwrap();
+        let bearer = made(&AuthScheme::Bearer, "mF_9.B5f-4.1JqM\n", "m1", 0).unwrap();
         assert_eq!(bearer, [(AUTHORIZATION, "Bearer mF_9.B5f-4.1JqM".to_string())]);
-        let basic = made(&Kind::Basic { user: "Aladdin".into() }, "open sesame", "m1", 0).unwrap();
+        let basic = made(&AuthScheme::Basic { user: "Aladdin".into() }, "open sesame", "m1", 0).unwrap();
         assert_eq!(basic[0].1, "Basic QWxhZGRpbjpvcGVuIHNlc2FtZQ==", "the example of RFC 7617");
-        let signed = made(&Kind::Webhook, EXAMPLE, "msg_p5jXN8AQM9LWM0D4loKWxJek", 1_614_265_330).unwrap();
+        let signed =
+            made(&AuthScheme::Webhook, EXAMPLE, "msg_p5jXN8AQM9LWM0D4loKWxJek", 1_614_265_330).unwrap();
         assert_eq!(signed[0].1, "msg_p5jXN8AQM9LWM0D4loKWxJek");
         assert_eq!(signed[1].1, "1614265330");
         assert_eq!(signed[2].1, "v1,g0hM9SsE+OTPJTGt/tmIKtSyZlE3uFJELVlNIOLJ1OE=");
@@ -172,24 +179,29 @@
     #[test]
     fn two_secrets_sign_during_a_change_and_one_proves_otherwise() {
         let other = format!("whsec_{}", STANDARD.encode([7; 32]));
-        let both = made(&Kind::Webhook, &format!("{other}\n\n{EXAMPLE}\n"), "m", 5).unwrap();
-        let alone = [&other, EXAMPLE].map(|text| made(&Kind::Webhook, text, "m", 5).unwrap().remove(2).1);
+        let both = made(&AuthScheme::Webhook, &format!("{other}\n\n{EXAMPLE}\n"), "m", 5).unwrap();
+        let alone =
+            [&other, EXAMPLE].map(|text| made(&AuthScheme::Webhook, text, "m", 5).unwrap().remove(2).1);
         assert_eq!(both[2].1, alone.join(" "));
-        let wrong = |kind: &Kind, text: &str| Secrets::read(kind, text.as_bytes()).unwrap_err();
-        assert!(wrong(&Kind::Bearer, "one\ntwo").contains("has 2 secrets"));
-        assert!(wrong(&Kind::Bearer, "\n \n").contains("is empty"));
-        assert!(wrong(&Kind::Webhook, "\nwhsec_c2hvcnQ=").contains("line 2"));
+        let wrong = |kind: &AuthScheme, text: &str| Secrets::parse(kind, text.as_bytes()).unwrap_err();
+        assert!(wrong(&AuthScheme::Bearer, "one\ntwo").contains("has 2 secrets"));
+        assert!(wrong(&AuthScheme::Bearer, "\n \n").contains("is empty"));
+        assert!(wrong(&AuthScheme::Webhook, "\nwhsec_c2hvcnQ=").contains("line 2"));
         for text in ["to ken", "tok\u{e9}n", "a\u{0}b"] {
-            let told = wrong(&Kind::Bearer, text);
+            let told = wrong(&AuthScheme::Bearer, text);
             assert!(told.contains("line 1") && !told.contains(text), "{told}");
         }
-        assert!(made(&Kind::Webhook, EXAMPLE, "a.b", 5).is_none(), "it could be read as another id and time");
+        assert!(
+            made(&AuthScheme::Webhook, EXAMPLE, "a.b", 5).is_none(),
+            "it could be read as another id and time"
+        );
     }
 
     #[test]
     fn nothing_shows_a_secret() {
-        let secrets = Secrets::read(&Kind::Bearer, b"hidden-token").unwrap();
-        let made = headers(&Kind::Bearer, &secrets, Subject { id: "m", unix: 1, body: BODY }).unwrap();
+        let secrets = Secrets::parse(&AuthScheme::Bearer, b"hidden-token").unwrap();
+        let made =
+            headers(&AuthScheme::Bearer, &secrets, SignedCall { id: "m", timestamp: 1, body: BODY }).unwrap();
         let shown = format!("{secrets:?} {made:?}");
         assert!(!shown.contains("hidden"), "{shown}");
     }
@@ -198,9 +210,9 @@
         /// Whatever the file and the id hold, no byte gets into the head that a header can't have.
         #[test]
         fn any_file_and_any_id_are_read_or_refused(text in prop::collection::vec(any::<u8>(), 0..80), id in ".{0,30}") {
-            for kind in [Kind::Bearer, Kind::Basic { user: "u".into() }, Kind::Webhook] {
-                let Ok(secrets) = Secrets::read(&kind, &text) else { continue };
-                for (_, value) in headers(&kind, &secrets, Subject { id: &id, unix: 9, body: &text }).into_iter().flatten() {
+            for kind in [AuthScheme::Bearer, AuthScheme::Basic { user: "u".into() }, AuthScheme::Webhook] {
+                let Ok(secrets) = Secrets::parse(&kind, &text) else { continue };
+                for (_, value) in headers(&kind, &secrets, SignedCall { id: &id, timestamp: 9, body: &text }).into_iter().flatten() {
                     prop_assert!(value.as_bytes().iter().all(|b| *b >= 32 && *b != 127));
                 }
             }
--- a/crates/site/src/model.rs
+++ b/crates/site/src/model.rs
@@ -1,8 +1,8 @@
 //! What a site is. All spans are microseconds, all sizes bytes, all rates messages a second.
 
 use foldtrack_dialect::Dialect;
-use foldtrack_proof::Kind as ProofKind;
-use foldtrack_tls::Plan;
+use foldtrack_proof::AuthScheme;
+use foldtrack_tls::TlsSettings;
 use ipnet::IpNet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tls {
     /// Name, pins and versions.
-    pub plan: Plan,
+    pub plan: TlsSettings,
     /// Whom to trust; none for those whom the system trusts.
     pub roots: Option<PathBuf>,
     /// The certificate that is shown, and its key.
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proof {
     /// How.
-    pub kind: ProofKind,
+    pub kind: AuthScheme,
     /// The file of its secret.
     pub file: PathBuf,
 }
--- a/crates/site/src/speech.rs
+++ b/crates/site/src/speech.rs
@@ -3,9 +3,9 @@
 use crate::fields::{by, each, number, text, within, Fields};
 use crate::finding::Findings;
 use crate::model::{Class, Effect, Proof, Tls};
-use foldtrack_dialect::{header_name, Dialect, Table, Template};
-use foldtrack_proof::Kind;
-use foldtrack_tls::{Pin, Plan, MOST_PINS};
+use foldtrack_dialect::{header_name, Dialect, StatusTable, Template};
+use foldtrack_proof::AuthScheme;
+use foldtrack_tls::{Pin, TlsSettings, MAX_PINS};
 use std::path::PathBuf;
 
 /// Longest host name (RFC 1035, section 2.3.4), with a port.
@@ -122,14 +122,14 @@
     for (statuses, place, word) in own.texts(found) {
         lines.push((statuses, word));
         let all = lines.iter().map(|(s, w)| (s.as_str(), w.as_str()));
-        let read: Result<Table, String> = dialect.answers.clone().with(all);
+        let read: Result<StatusTable, String> = dialect.answers.clone().with_overrides(all);
         if let Err(problem) = read {
             let shown = lines.pop().map_or(String::new(), |(statuses, _)| own.name(&statuses));
             found.add(&place, &shown, problem);
         }
     }
     let all = lines.iter().map(|(s, w)| (s.as_str(), w.as_str()));
-    if let Ok(read) = dialect.answers.clone().with(all) {
+    if let Ok(read) = dialect.answers.clone().with_overrides(all) {
         dialect.answers = read;
     }
 }
@@ -204,9 +204,9 @@
     });
     own.done(found);
     let kind = match (kind, user) {
-        ("basic", user) => Kind::Basic { user: user.unwrap_or_default() },
-        ("webhook", _) => Kind::Webhook,
-        _ => Kind::Bearer,
+        ("basic", user) => AuthScheme::Basic { user: user.unwrap_or_default() },
+        ("webhook", _) => AuthScheme::Webhook,
+        _ => AuthScheme::Bearer,
     };
     Some(Proof { kind, file })
 }
@@ -228,18 +228,18 @@
         Some(rest) => rest.split(']').next().unwrap_or(rest),
         None => host.split(':').next().unwrap_or(host),
     });
-    let name = own.read("server-name", found, by(Plan::name)).flatten();
-    let name = name.or_else(|| host.and_then(|host| Plan::name(host).ok()));
+    let name = own.read("server-name", found, by(TlsSettings::parse_server_name)).flatten();
+    let name = name.or_else(|| host.and_then(|host| TlsSettings::parse_server_name(host).ok()));
     if name.is_none() && own.place("server-name") == own.span {
         let problem =
             "is missing, and the partner has no host: for example: server-name = \"api.example.cz\"";
         found.add(&own.span, &own.name("server-name"), problem);
     }
-    let pins = own.or("pins", Vec::new(), found, each(Pin::read));
-    if pins.len() > MOST_PINS {
-        found.add(&own.place("pins"), &own.name("pins"), format!("are more than {MOST_PINS}"));
+    let pins = own.or("pins", Vec::new(), found, each(Pin::parse));
+    if pins.len() > MAX_PINS {
+        found.add(&own.place("pins"), &own.name("pins"), format!("are more than {MAX_PINS}"));
     }
-    let only_13 = own.or(
+    let require_tls13 = own.or(
         "least-version",
         false,
         found,
@@ -261,7 +261,7 @@
         found.add(&own.span, &own.name(lacks), "is missing: a certificate and its key stand together");
     }
     own.done(found);
-    let plan = Plan { name: name?, pins, only_13 };
+    let plan = TlsSettings { server_name: name?, pins, require_tls13 };
     Some(Tls { plan, roots, client: chain.zip(key) })
 }
 
--- a/crates/site/tests/files.rs
+++ b/crates/site/tests/files.rs
@@ -63,7 +63,10 @@
     assert_eq!(school.dialect, foldtrack_dialect::Dialect::foldtrack(), "as it always was");
     assert_eq!(pay.dialect.answers.meaning(409), foldtrack_dialect::Meaning::Delivered);
     assert_eq!(pay.dialect.headers.len(), 1);
-    assert_eq!(pay.proof.as_ref().unwrap().kind, foldtrack_proof::Kind::Basic { user: "hradec".into() });
+    assert_eq!(
+        pay.proof.as_ref().unwrap().kind,
+        foldtrack_proof::AuthScheme::Basic { user: "hradec".into() }
+    );
     for (lines, proof, told) in [
         ("speaks = \"soap\"", "", "no way to speak"),
         ("speaks = \"http\"", "", "path: is missing"),
--- a/crates/tls/src/facts.rs
+++ b/crates/tls/src/certificate.rs
@@ -5,7 +5,7 @@
 
 /// A certificate as people see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct CertificateInfo {
     /// Whom it is for, as the certificate writes it.
     pub subject: String,
     /// Who vouches.
@@ -22,17 +22,17 @@
 ///
 /// # Errors
 /// There is none, or one can't be read.
-pub fn of(text: &[u8]) -> Result<Vec<Facts>, String> {
-    super::certificates(text)?.iter().map(of_der).collect()
+pub fn parse_pem(text: &[u8]) -> Result<Vec<CertificateInfo>, String> {
+    super::certificates(text)?.iter().map(parse_der).collect()
 }
 
 /// Of one certificate.
 ///
 /// # Errors
 /// It can't be read.
-pub fn of_der(certificate: &CertificateDer<'_>) -> Result<Facts, String> {
+pub fn parse_der(certificate: &CertificateDer<'_>) -> Result<CertificateInfo, String> {
     let (_, read) = x509_parser::parse_x509_certificate(certificate).map_err(|e| e.to_string())?;
-    Ok(Facts {
+    Ok(CertificateInfo {
         subject: read.subject().to_string(),
         issuer: read.issuer().to_string(),
         not_before: read.validity().not_before.timestamp(),
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -4,8 +4,8 @@
 //! The certificate's chain and name are always checked. A pin is asked for on top of that, not instead. Early data is never
 //! sent: it can be replayed by whoever has recorded it.
 
+pub mod certificate;
 pub mod expiry;
-pub mod facts;
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -23,7 +23,7 @@
 /// Sessions that are remembered for each partner, to be resumed: as many as it has endpoints, and then some.
 const SESSIONS: usize = 32;
 /// Pins of a partner at most: the one that counts and the one that will.
-pub const MOST_PINS: usize = 4;
+pub const MAX_PINS: usize = 4;
 const TLS13: &[&SupportedProtocolVersion] = &[&rustls::version::TLS13];
 
 /// The SHA-256 of a certificate's public key, as in RFC 7469, section 2.4.
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// What would be right.
-    pub fn read(text: &str) -> Result<Pin, String> {
+    pub fn parse(text: &str) -> Result<Pin, String> {
         let bytes = text.strip_prefix("sha256/").and_then(|rest| STANDARD.decode(rest).ok());
         let pin = bytes.and_then(|bytes| bytes.try_into().ok()).map(Pin);
         pin.ok_or_else(|| {
@@ -61,21 +61,21 @@
 
 /// What a site says of TLS to a partner.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct TlsSettings {
     /// The name that its certificate must be for, and that it is told (SNI).
-    pub name: ServerName<'static>,
+    pub server_name: ServerName<'static>,
     /// One of these keys it must have; none for any.
     pub pins: Vec<Pin>,
     /// TLS 1.2 is not enough.
-    pub only_13: bool,
+    pub require_tls13: bool,
 }
 
-impl Plan {
+impl TlsSettings {
     /// Reads a server's name: a DNS name, or an address that the certificate is for.
     ///
     /// # Errors
     /// It is none.
-    pub fn name(text: &str) -> Result<ServerName<'static>, String> {
+    pub fn parse_server_name(text: &str) -> Result<ServerName<'static>, String> {
         let read = ServerName::try_from(text.to_string());
         read.map_err(|_| {
             format!("{text:?} is no name that a certificate could be for; one is \"api.example.cz\"")
@@ -85,7 +85,7 @@
 
 /// Texts in PEM that a configuration is made from.
 #[derive(Default)]
-pub struct Texts {
+pub struct PemFiles {
     /// Whom to trust; none for those whom the system trusts.
     pub roots: Option<Vec<u8>>,
     /// The certificate chain that is shown to the partner, and its private key.
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// What of the texts can't be used, without any of them.
-pub fn configuration(plan: &Plan, texts: &Texts) -> Result<Arc<ClientConfig>, String> {
+pub fn configuration(plan: &TlsSettings, texts: &PemFiles) -> Result<Arc<ClientConfig>, String> {
     let provider = Arc::new(default_provider());
     let roots = Arc::new(match &texts.roots {
         Some(text) => roots_of(text)?,
@@ -106,7 +106,7 @@
         .build()
         .map_err(|e| format!("roots: {e}"))?;
     let verifier = Arc::new(Pinned { usual, pins: plan.pins.clone() });
-    let versions = if plan.only_13 { TLS13 } else { DEFAULT_VERSIONS };
+    let versions = if plan.require_tls13 { TLS13 } else { DEFAULT_VERSIONS };
     let builder = ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(versions)
         .map_err(|e| e.to_string())?
@@ -196,7 +196,7 @@
 }
 
 /// Why there was no TLS, in words for people: what to look at first.
-pub fn cause(error: &Error) -> String {
+pub fn describe_error(error: &Error) -> String {
     let words = match error {
         Error::InvalidCertificate(wrong) => match wrong {
             CertificateError::Expired | CertificateError::ExpiredContext { .. } => {
@@ -223,7 +223,7 @@
 
 /// Whether an error is the peer's refusal of this side's part of the handshake (RFC 8446, section 6.2): alerts that come
 /// at no other time.
-pub fn refuses(error: &Error) -> bool {
+pub fn is_peer_rejection(error: &Error) -> bool {
     use rustls::AlertDescription as Alert;
     matches!(
         error,
--- a/crates/tls/src/tests.rs
+++ b/crates/tls/src/tests.rs
@@ -42,13 +42,13 @@
         .unwrap()
 }
 
-fn plan(pins: Vec<Pin>, only_13: bool) -> Plan {
-    Plan { name: Plan::name("pay.example").unwrap(), pins, only_13 }
+fn plan(pins: Vec<Pin>, require_tls13: bool) -> TlsSettings {
+    TlsSettings { server_name: TlsSettings::parse_server_name("pay.example").unwrap(), pins, require_tls13 }
 }
 
 /// A handshake without a socket. The bytes that either side wrote, or why the client broke it off.
 fn shake(config: &Arc<ClientConfig>, server: &Arc<ServerConfig>) -> Result<ClientConnection, String> {
-    let name = Plan::name("pay.example").unwrap();
+    let name = TlsSettings::parse_server_name("pay.example").unwrap();
     let mut client = ClientConnection::new(config.clone(), name).unwrap();
     let mut server = ServerConnection::new(server.clone()).unwrap();
     for _ in 0..20 {
@@ -66,7 +66,7 @@
         let mut rest = bytes.as_slice();
         while !rest.is_empty() {
             client.read_tls(&mut rest).unwrap();
-            client.process_new_packets().map_err(|e| cause(&e))?;
+            client.process_new_packets().map_err(|e| describe_error(&e))?;
         }
         told.map_err(|e| e.to_string())?;
     }
@@ -77,7 +77,7 @@
 }
 
 fn outcome(issued: &(rcgen::Certificate, KeyPair), pins: Vec<Pin>, authority: &Authority) -> String {
-    let texts = Texts { roots: Some(authority.pem.clone().into_bytes()), client: None };
+    let texts = PemFiles { roots: Some(authority.pem.clone().into_bytes()), client: None };
     let config = configuration(&plan(pins, false), &texts).unwrap();
     match shake(&config, &Arc::new(server(issued, DEFAULT_VERSIONS))) {
         Ok(_) => "ok".into(),
@@ -95,7 +95,7 @@
     assert!(outcome(&own.issue("school.example", 2020, 2090), vec![], &own).contains("another name"));
     assert!(outcome(&other.issue("pay.example", 2020, 2090), vec![], &own).contains("not trusted here"));
     let pin = Pin::of(sound.0.der()).unwrap();
-    assert_eq!(Pin::read(&pin.to_string()), Ok(pin));
+    assert_eq!(Pin::parse(&pin.to_string()), Ok(pin));
     assert_eq!(outcome(&sound, vec![pin], &own), "ok");
     // Another key for the same name, by the same issuer: only the pin tells.
     let again = own.issue("pay.example", 2020, 2090);
@@ -114,7 +114,7 @@
 fn versions_are_held_to_and_sessions_are_resumed_without_early_data() {
     let own = Authority::new("own");
     let issued = own.issue("pay.example", 2020, 2090);
-    let texts = Texts { roots: Some(own.pem.clone().into_bytes()), client: None };
+    let texts = PemFiles { roots: Some(own.pem.clone().into_bytes()), client: None };
     let (any, strict) = (
         configuration(&plan(vec![], false), &texts).unwrap(),
         configuration(&plan(vec![], true), &texts).unwrap(),
@@ -135,8 +135,8 @@
     let (certificate, key) = own.issue("client", 2020, 2090);
     let (_, other) = own.issue("client", 2020, 2090);
     let roots = || Some(own.pem.clone().into_bytes());
-    let made = |texts: Texts| configuration(&plan(vec![], false), &texts).err().unwrap_or_default();
-    let client = |key: String| Texts {
+    let made = |texts: PemFiles| configuration(&plan(vec![], false), &texts).err().unwrap_or_default();
+    let client = |key: String| PemFiles {
         roots: roots(),
         client: Some((certificate.pem().into_bytes(), key.into_bytes())),
     };
@@ -144,20 +144,20 @@
     assert!(made(client(other.serialize_pem())).contains("don't go together"));
     let told = made(client("hidden".into()));
     assert!(told.contains("client-key") && !told.contains("hidden"), "{told}");
-    assert!(made(Texts { roots: Some(b"hidden".to_vec()), client: None }).contains("holds no certificate"));
-    let facts = facts::of(certificate.pem().as_bytes()).unwrap();
+    assert!(made(PemFiles { roots: Some(b"hidden".to_vec()), client: None }).contains("holds no certificate"));
+    let facts = certificate::parse_pem(certificate.pem().as_bytes()).unwrap();
     assert!(facts.len() == 1 && facts[0].not_after > 3_700_000_000 && facts[0].subject.contains("rcgen"));
     for wrong in ["", "sha256/", "sha256/AAAA", "md5/AAAA"] {
-        assert!(Pin::read(wrong).is_err(), "{wrong}");
+        assert!(Pin::parse(wrong).is_err(), "{wrong}");
     }
 }
 
 proptest! {
     #[test]
     fn any_text_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200), text in ".{0,60}") {
-        let _ = (facts::of(&bytes), Pin::read(&text), Plan::name(&text));
+        let _ = (certificate::parse_pem(&bytes), Pin::parse(&text), TlsSettings::parse_server_name(&text));
         let wrapped = format!("-----BEGIN CERTIFICATE-----\n{}\n-----END CERTIFICATE-----\n", STANDARD.encode(&bytes));
-        let _ = facts::of(wrapped.as_bytes());
-        let _ = configuration(&plan(vec![], false), &Texts { roots: Some(wrapped.into_bytes()), client: None });
+        let _ = certificate::parse_pem(wrapped.as_bytes());
+        let _ = configuration(&plan(vec![], false), &PemFiles { roots: Some(wrapped.into_bytes()), client: None });
     }
 }
--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -1,8 +1,8 @@
 //! Blocks of clients by order, kept over restarts in a file of their own, and what the control line is told of clients. All
 //! of it runs on the control line's thread: the loop is not asked.
 
+use crate::client_connections::ClientConnections;
 use crate::lock::lock_ignoring_poison;
-use crate::places::Places;
 use foldtrack_admission::Event;
 use foldtrack_control::{self as control, ClientLine, Clients, Holding, KernelSockets};
 use ipnet::IpNet;
@@ -22,7 +22,7 @@
 /// How long what the kernel tells of sockets is shown: with many thousands of them it takes milliseconds to read.
 const KERNEL_FRESH: Duration = Duration::from_secs(2);
 /// A block lasts so long at most, in milliseconds: 30 days.
-pub(crate) const LONGEST_MS: u64 = 30 * 86_400_000;
+pub(crate) const MAX_BLOCK_MS: u64 = 30 * 86_400_000;
 
 /// One block as it is kept.
 #[derive(Debug, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 /// The blocks of a site.
 pub(crate) struct Blocks {
     path: PathBuf,
-    places: Arc<Places>,
+    places: Arc<ClientConnections>,
     /// Floods, the latest first, as lines.
     floods: Mutex<Vec<String>>,
     /// What happens, for those who have subscribed.
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The file can't be read, or holds something else. It is left as it is.
-    pub fn open(state: &Path, places: Arc<Places>, port: u16) -> Result<Arc<Blocks>, String> {
+    pub fn open(state: &Path, places: Arc<ClientConnections>, port: u16) -> Result<Arc<Blocks>, String> {
         let path = state.join(FILE);
         let told = |e: &dyn std::fmt::Display| {
             format!("{}: {e}; move it away to start without blocks", path.display())
@@ -103,34 +103,34 @@
     /// # Errors
     /// There are too many, or it could not be kept: then it holds, but may not outlive the process.
     pub fn block(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
-        self.hold(network, for_ms)?;
+        self.apply(network, for_ms)?;
         self.keep().map_err(|e| {
             format!("the block holds, but may not outlive the process: {}: {e}", self.path.display())
         })
     }
 
-    /// What another forwarder was told: it holds at once, and is kept by [`Blocks::keep_later`].
+    /// What another forwarder was told: it holds at once, and is kept by [`Blocks::save_in_background`].
     ///
     /// # Errors
     /// There are too many.
-    pub fn hold(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
-        self.places.block(network, self.places.clock().now() + for_ms.min(LONGEST_MS) * 1000)
+    pub fn apply(&self, network: IpNet, for_ms: u64) -> Result<(), String> {
+        self.places.block(network, self.places.clock().now() + for_ms.min(MAX_BLOCK_MS) * 1000)
     }
 
     /// Lets a network in again that another forwarder was told to; false if it was not blocked.
-    pub fn lift(&self, network: &IpNet) -> bool {
+    pub fn remove(&self, network: &IpNet) -> bool {
         self.places.unblock(network)
     }
 
     /// What stands, and for how many milliseconds yet.
-    pub fn standing(&self) -> Vec<(IpNet, u64)> {
+    pub fn active(&self) -> Vec<(IpNet, u64)> {
         let now = self.places.clock().now();
         let standing = self.places.blocks().into_iter().filter(|(_, until)| *until > now);
         standing.map(|(network, until)| (network, (until - now) / 1000)).collect()
     }
 
     /// Writes all that stands, off the loop.
-    pub fn keep_later(self: &Arc<Blocks>) {
+    pub fn save_in_background(self: &Arc<Blocks>) {
         let blocks = self.clone();
         tokio::task::spawn_blocking(move || {
             if let Err(e) = blocks.keep() {
@@ -147,7 +147,7 @@
     /// # Errors
     /// It could not be kept.
     pub fn unblock(&self, network: &IpNet) -> Result<bool, String> {
-        let was = self.lift(network);
+        let was = self.remove(network);
         let kept = self.keep();
         kept.map(|()| was).map_err(|e| {
             format!("it holds no more, but may come back with a restart: {}: {e}", self.path.display())
@@ -172,7 +172,7 @@
     }
 
     /// Takes in what the gate has noticed; each is told once, in one line.
-    pub fn notice(&self) {
+    pub fn report_floods(&self) {
         for event in self.places.events() {
             let name = |a: Option<IpAddr>| a.map_or("many addresses".to_string(), |a| a.to_string());
             let (kind, address, line) = match event {
@@ -203,7 +203,7 @@
     }
 
     /// Something that has happened elsewhere in the process, for those who have subscribed.
-    pub fn tell(&self, kind: &str, text: &str) {
+    pub fn publish(&self, kind: &str, text: &str) {
         let clock = self.places.clock();
         // Nobody may be listening.
         let _ = self.events.send(control::Event {
@@ -233,7 +233,7 @@
     }
 
     /// Takes in how many descriptors there are now, and how many places by them.
-    pub fn review(&self, (limit, most): (usize, Result<usize, String>)) {
+    pub fn update_limits(&self, (limit, most): (usize, Result<usize, String>)) {
         let (places, told) = match most {
             Ok(places) => (places, format!("clients: {places} connections at once from now on")),
             Err(error) => (0, format!("clients: nobody is let in: {error}")),
@@ -271,7 +271,7 @@
                 most: most as u32,
             })
             .collect();
-        let blocks = self.standing().into_iter();
+        let blocks = self.active().into_iter();
         Clients {
             clients: self.places.seen(most).into_iter().map(client).collect(),
             blocks: blocks.map(|(network, left)| (network.to_string(), left)).collect(),
--- a/src/bin/foldtrack/cli/journal.rs
+++ b/src/bin/foldtrack/cli/journal.rs
@@ -3,8 +3,8 @@
 use super::{load, say, show, Ended, Failure, FAILED, REFUSED};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use clap::{Args, Subcommand};
-use foldtrack_journal::recovery::{read, Damage, Read};
-use foldtrack_journal::{Fate, Folder, Notice, Restored};
+use foldtrack_journal::recovery::{read, DamagedRange, RecoveredJournal};
+use foldtrack_journal::{AttemptEffect, FailureNotice, JournalDir, RecoveredMessage};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
 use std::path::PathBuf;
@@ -56,7 +56,7 @@
     let mut looks = 0;
     let found = loop {
         looks += 1;
-        match read(&mut Folder::read_only(&state)) {
+        match read(&mut JournalDir::read_only(&state)) {
             Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::UnexpectedEof) && looks < LOOKS => {
             }
             other => break other.map_err(failed)?,
@@ -74,7 +74,7 @@
     }
 }
 
-fn stat(found: &Read, as_json: bool) -> Ended {
+fn stat(found: &RecoveredJournal, as_json: bool) -> Ended {
     let bytes: u64 = found.segments.iter().map(|s| s.length).sum();
     let places = found.messages.values().flat_map(|(_, places)| places);
     let live: u64 = places.map(|p| u64::from(p.length)).sum();
@@ -85,7 +85,7 @@
             "{}\n",
             json!({"version": 2, "segments": found.segments.len(), "bytes": bytes, "live_bytes": live,
                 "messages": found.messages.len(), "body_bytes": bodies, "records": found.records,
-                "highest_number": found.highest, "damaged_places": found.damage.len()})
+                "highest_number": found.highest_number, "damaged_places": found.damage.len()})
         ));
     }
     let range = first.zip(last).map_or("none".into(), |(f, l)| format!("{} to {}", f.number, l.number));
@@ -96,23 +96,23 @@
         (live * 100).checked_div(bytes).unwrap_or(0),
         found.messages.len(),
         found.records,
-        found.highest,
+        found.highest_number,
         found.damage.len()
     ))
 }
 
-fn state_of(message: &Restored) -> &'static str {
+fn state_of(message: &RecoveredMessage) -> &'static str {
     match (message.delivered, message.notice, message.attempts.last()) {
         (true, ..) => "delivered, to be told",
-        (_, Some(Notice::GivenUp), _) => "given up, to be told",
-        (_, Some(Notice::HandedBack { .. }), _) => "handed back, to be told",
-        (.., Some(tried)) if tried.fate.is_none() => "an attempt is out",
+        (_, Some(FailureNotice::GivenUp), _) => "given up, to be told",
+        (_, Some(FailureNotice::HandedBack { .. }), _) => "handed back, to be told",
+        (.., Some(tried)) if tried.effect.is_none() => "an attempt is out",
         (.., Some(_)) => "tried",
         (.., None) => "not tried yet",
     }
 }
 
-fn list(found: &Read, as_json: bool) -> Ended {
+fn list(found: &RecoveredJournal, as_json: bool) -> Ended {
     if as_json {
         let lines = found.messages.iter().map(|(number, (m, _))| {
             json!({"number": number, "id": m.accepted.id, "class": m.accepted.class, "key": m.accepted.key,
@@ -121,7 +121,7 @@
         });
         return say(&lines.map(|line| format!("{line}\n")).collect::<String>());
     }
-    let row = |(number, (m, _)): (&u64, &(Restored, Vec<_>))| {
+    let row = |(number, (m, _)): (&u64, &(RecoveredMessage, Vec<_>))| {
         vec![
             number.to_string(),
             m.accepted.id.clone(),
@@ -139,17 +139,17 @@
     say(&show::table(&head, &rows, "every message is over"))
 }
 
-fn detail(number: u64, message: &Restored) -> Value {
+fn detail(number: u64, message: &RecoveredMessage) -> Value {
     let attempts: Vec<Value> = message
         .attempts
         .iter()
         .map(|t| {
-            let fate = match t.fate {
+            let effect = match t.effect {
                 None => "no outcome: counts as perhaps run",
-                Some(Fate::NeverRan) => "did not run",
-                Some(Fate::MayHaveRun) => "may have run",
+                Some(AttemptEffect::NeverRan) => "did not run",
+                Some(AttemptEffect::MayHaveRun) => "may have run",
             };
-            json!({"at": t.at, "endpoint": t.endpoint, "fate": fate})
+            json!({"at": t.at, "endpoint": t.endpoint, "fate": effect})
         })
         .collect();
     let a = &message.accepted;
@@ -158,7 +158,7 @@
         "attempts": attempts, "body": BASE64_STANDARD.encode(&a.body)})
 }
 
-fn show_one(found: &Read, id: &str, as_json: bool) -> Ended {
+fn show_one(found: &RecoveredJournal, id: &str, as_json: bool) -> Ended {
     let mut shown = 0;
     for (number, (message, places)) in found.messages.iter().filter(|(_, (m, _))| m.accepted.id == id) {
         shown += 1;
@@ -181,7 +181,7 @@
     }
 }
 
-fn export(found: &Read) -> Ended {
+fn export(found: &RecoveredJournal) -> Ended {
     for (number, (message, _)) in &found.messages {
         say(&format!("{}\n", detail(*number, message)))?;
     }
@@ -189,7 +189,7 @@
 }
 
 /// What a restart makes of damage.
-fn consequence(damage: &Damage) -> &'static str {
+fn consequence(damage: &DamagedRange) -> &'static str {
     match (damage.is_tail, damage.bytes) {
         (true, _) => "a restart cuts it off; it was never acknowledged (a running forwarder may be writing it now)",
         (false, 0) => "what stood there is lost; a restart goes on with the rest",
@@ -200,10 +200,10 @@
     }
 }
 
-fn verify(found: &Read, as_json: bool) -> Ended {
+fn verify(found: &RecoveredJournal, as_json: bool) -> Ended {
     let real = found.damage.iter().filter(|d| !d.is_tail).count();
     for d in &found.damage {
-        let name = Folder::file_name(d.segment);
+        let name = JournalDir::file_name(d.segment);
         if as_json {
             let line = json!({"segment": d.segment, "at": d.at, "bytes": d.bytes, "tail": d.is_tail, "problem": d.problem,
                 "restart": consequence(d)});
--- a/src/bin/foldtrack/cli/keys.rs
+++ b/src/bin/foldtrack/cli/keys.rs
@@ -2,8 +2,8 @@
 //! no secret is shown, and none is read but to see that it can be.
 
 use super::{load, say, show, Ended, Failure, FAILED};
-use foldtrack_proof::{Kind, Secrets};
-use foldtrack_tls::facts;
+use foldtrack_proof::{AuthScheme, Secrets};
+use foldtrack_tls::certificate;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -21,12 +21,12 @@
         };
         if let Some(proof) = &partner.proof {
             let kind = match &proof.kind {
-                Kind::Bearer => "bearer token".to_string(),
-                Kind::Basic { user } => format!("password of {user}"),
-                Kind::Webhook => "signing secret".to_string(),
+                AuthScheme::Bearer => "bearer token".to_string(),
+                AuthScheme::Basic { user } => format!("password of {user}"),
+                AuthScheme::Webhook => "signing secret".to_string(),
             };
-            let read =
-                crate::speech::read_one(&proof.file).and_then(|(text, _)| Secrets::read(&proof.kind, &text));
+            let read = crate::partner_protocol::read_protected_file(&proof.file)
+                .and_then(|(text, _)| Secrets::parse(&proof.kind, &text));
             row(&kind, proof.file.display().to_string(), read.map(|secrets| format!("{secrets:?}")));
         }
         let Some(tls) = &partner.tls else { continue };
@@ -39,7 +39,7 @@
         }
         if let Some((chain, key)) = &tls.client {
             row("certificate shown", chain.display().to_string(), certificates(chain, unix));
-            let read = crate::speech::read_one(key);
+            let read = crate::partner_protocol::read_protected_file(key);
             row("its key", key.display().to_string(), read.map(|_| "can be read".into()));
         }
     }
@@ -53,8 +53,8 @@
 
 /// The certificates of a file: of the one that ends first its subject, end, and pin.
 fn certificates(file: &Path, unix: i64) -> Result<String, String> {
-    let (text, _) = crate::speech::read_one(file)?;
-    let all = facts::of(&text)?;
+    let (text, _) = crate::partner_protocol::read_protected_file(file)?;
+    let all = certificate::parse_pem(&text)?;
     let first = all.iter().min_by_key(|f| f.not_after).ok_or("holds none")?;
     let left = (first.not_after - unix).div_euclid(DAY);
     let ends = show::time(first.not_after.max(0) as u64 * 1_000_000);
--- a/src/bin/foldtrack/cli/partner.rs
+++ b/src/bin/foldtrack/cli/partner.rs
@@ -3,11 +3,11 @@
 
 use super::{load, say, Ended, Failure, FAILED, WRONG};
 use crate::connections::Connection;
-use crate::speech::{self, Speech};
+use crate::partner_protocol::{self, PartnerProtocol};
 use bytes::Bytes;
 use clap::{Args, Subcommand};
-use foldtrack_dialect::{Meaning, Outgoing, Values};
-use foldtrack_tls::facts;
+use foldtrack_dialect::{CallContext, Meaning, Values};
+use foldtrack_tls::certificate;
 use http_body_util::Full;
 use hyper::Request;
 use std::net::SocketAddr;
@@ -76,18 +76,18 @@
         None => site.classes.first(),
     };
     let class = class.ok_or_else(|| wrong("no such class in the site file".into()))?;
-    let (speeches, _keeper) = speech::of_site(&site).map_err(|e| Failure(FAILED, e))?;
-    let speech = speeches.of(partner.number());
+    let (partner_protocols, _file_watcher) = partner_protocol::load(&site).map_err(|e| Failure(FAILED, e))?;
+    let protocol = partner_protocols.for_destination(partner.number());
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     let id = words.id.clone().unwrap_or_else(|| format!("try-{unix}"));
     let address = endpoint.address;
-    let outgoing = Outgoing {
+    let outgoing = CallContext {
         values: Values { id: &id, class: &class.name, key: if class.ordered { &words.key } else { "" } },
         idempotency_key: Some(&id),
         authority: &address.to_string(),
-        left: ANSWER.as_micros() as u64,
+        timeout_us: ANSWER.as_micros() as u64,
     };
-    let head = speech.head(&outgoing, words.body.as_bytes());
+    let head = protocol.head(&outgoing, words.body.as_bytes());
     let head =
         head.map_err(|e| Failure(FAILED, format!("this message can't be sent to {}: {e:?}", partner.name)))?;
     let mut text = format!("would send  {} {} to {address}\n", head.method, head.uri);
@@ -99,37 +99,37 @@
     say(&text)?;
     let dial = Duration::from_micros(site.calls.connect_timeout);
     crate::runtime().map_err(|e| Failure(FAILED, e))?.block_on(async {
-        reach(&speech, address, dial, unix).await?;
+        reach(&protocol, address, dial, unix).await?;
         if !words.send {
             return say("nothing was sent: --send does\n");
         }
         let request = Request::from_parts(head, Full::new(Bytes::from(words.body.clone())));
-        send(&speech, address, dial, request, unix).await
+        send(&protocol, address, dial, request, unix).await
     })
 }
 
 /// Connects, and tells what TLS shows.
-async fn reach(speech: &Speech, address: SocketAddr, dial: Duration, unix: u64) -> Ended {
+async fn reach(protocol: &PartnerProtocol, address: SocketAddr, dial: Duration, unix: u64) -> Ended {
     let failed = |what: &str, why: String| Failure(FAILED, format!("{what:<12}{why}"));
     let begun = Instant::now();
     let stream = timeout(dial, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| failed("connection", format!("none within {dial:?}")))?;
     let stream = stream.map_err(|e| failed("connection", e.to_string()))?;
     say(&format!("connection  {:.1} ms\n", begun.elapsed().as_secs_f64() * 1e3))?;
-    let Some(tls) = &speech.encryption else { return say("TLS         none: plain text\n") };
+    let Some(tls) = &protocol.encryption else { return say("TLS         none: plain text\n") };
     let config = tls.config.borrow().clone();
     let begun = Instant::now();
     let shaken = timeout(dial, TlsConnector::from(config).connect(tls.name.clone(), stream)).await;
     let shaken = shaken.map_err(|_| failed("TLS", format!("stands still for {dial:?}")))?;
     let shaken = shaken.map_err(|e| {
         let told = e.get_ref().and_then(|inner| inner.downcast_ref::<rustls::Error>());
-        failed("TLS", told.map_or_else(|| e.to_string(), foldtrack_tls::cause))
+        failed("TLS", told.map_or_else(|| e.to_string(), foldtrack_tls::describe_error))
     })?;
     let session = shaken.get_ref().1;
     let version = session.protocol_version().map_or_else(String::new, |v| format!("{v:?}"));
     say(&format!("TLS         {version}, {:.1} ms\n", begun.elapsed().as_secs_f64() * 1e3))?;
     for certificate in session.peer_certificates().unwrap_or_default() {
-        let told = match facts::of_der(certificate) {
+        let told = match certificate::parse_der(certificate) {
             Ok(f) => {
                 format!("{}, by {}, {} days yet, {}", f.subject, f.issuer, days(f.not_after, unix), f.pin)
             }
@@ -146,30 +146,30 @@
 
 /// Sends it once, and tells what the answer means.
 async fn send(
-    speech: &Speech, address: SocketAddr, dial: Duration, request: Request<Full<Bytes>>, unix: u64,
+    protocol: &PartnerProtocol, address: SocketAddr, dial: Duration, request: Request<Full<Bytes>>, unix: u64,
 ) -> Ended {
     let failed = |why: &str| Failure(FAILED, format!("sent        {why}"));
-    let opened = timeout(dial, Connection::open(address, speech.encryption.as_ref(), None)).await;
+    let opened = timeout(dial, Connection::open(address, protocol.encryption.as_ref(), None)).await;
     let mut connection = opened.ok().and_then(Result::ok).ok_or_else(|| failed("no connection"))?;
     let begun = Instant::now();
     let answer = timeout(ANSWER, connection.send(request)).await;
     let answer = answer.map_err(|_| failed("no answer in time: it may have run"))?;
     let answer = answer.map_err(|_| failed("the connection ended without an answer: it may have run"))?;
     let (status, headers) = (answer.status(), answer.headers());
-    let meaning = speech.dialect.meaning(status.as_u16(), headers);
+    let meaning = protocol.dialect.meaning(status.as_u16(), headers);
     let mut text = format!(
         "answered    {status} after {:.1} ms: {}\n",
         begun.elapsed().as_secs_f64() * 1e3,
         words(meaning)
     );
-    if let Some(wait) = speech.dialect.wait(headers, unix) {
+    if let Some(wait) = protocol.dialect.wait(headers, unix) {
         text += &format!("wait        {:.3} s\n", wait as f64 / 1e6);
     }
-    if let Some(limit) = speech.dialect.limit(headers) {
+    if let Some(limit) = protocol.dialect.limit(headers) {
         text += &format!(
             "limit       {:.2} calls a second, {:.0}% of them left\n",
             limit.rate,
-            100.0 * limit.left
+            100.0 * limit.remaining
         );
     }
     say(&text)
--- a/src/bin/foldtrack/places.rs
+++ b/src/bin/foldtrack/client_connections.rs
@@ -2,9 +2,9 @@
 //! request is open on its connection; until then it counts as lingering, and few of these are borne at once.
 
 use crate::clock::Clock;
-use crate::descriptors::{Descriptors, Drawn};
+use crate::descriptors::{DescriptorBudget, DescriptorPermit};
 use crate::lock::lock_ignoring_poison;
-use foldtrack_admission::{Admit, Ask, Event, Gate, Party, Seen, Settings};
+use foldtrack_admission::{Admit, Ask, DescriptorUser, Event, Gate, Seen, Settings};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -48,9 +48,9 @@
 
 /// The places.
 #[derive(Debug)]
-pub(crate) struct Places {
+pub(crate) struct ClientConnections {
     hall: Mutex<Hall>,
-    descriptors: Arc<Descriptors>,
+    descriptors: Arc<DescriptorBudget>,
     clock: Clock,
     /// As the limits have it, and as the ledger leaves it at the moment.
     most: AtomicUsize,
@@ -59,12 +59,14 @@
     pub freed: Notify,
 }
 
-impl Places {
-    pub fn new(settings: Settings, clock: Clock, descriptors: Arc<Descriptors>) -> Arc<Places> {
-        let most = settings.places;
+impl ClientConnections {
+    pub fn new(
+        settings: Settings, clock: Clock, descriptors: Arc<DescriptorBudget>,
+    ) -> Arc<ClientConnections> {
+        let most = settings.max_connections;
         let hall = Mutex::new(Hall { gate: Gate::new(settings), seated: HashMap::new() });
         let (most, now) = (AtomicUsize::new(most), AtomicUsize::new(most));
-        Arc::new(Places { hall, descriptors, clock, most, now, freed: Notify::new() })
+        Arc::new(ClientConnections { hall, descriptors, clock, most, now, freed: Notify::new() })
     }
 
     fn hall(&self) -> MutexGuard<'_, Hall> {
@@ -99,13 +101,13 @@
         hall.seated.insert(number, Seated { leave: leave.clone(), busy: false, going: false });
         hall.tell(let_go.as_slice());
         // The gate has decided by what the ledger leaves; it is open already.
-        let descriptor = self.descriptors.note(Party::Clients);
+        let descriptor = self.descriptors.acquire_unchecked(DescriptorUser::Clients);
         Ok(Seat { places: self.clone(), number, leave, _descriptor: descriptor })
     }
 
     /// Keeps to what the ledger leaves to clients just now.
     fn fit(&self) {
-        let room = self.descriptors.room(Party::Clients);
+        let room = self.descriptors.room(DescriptorUser::Clients);
         if self.now.swap(room, Ordering::Relaxed) != room {
             let mut hall = self.hall();
             let gone = hall.gate.set_places(self.clock.now(), room);
@@ -158,7 +160,7 @@
     }
 
     /// Who holds how many descriptors.
-    pub fn descriptors(&self) -> &Descriptors {
+    pub fn descriptors(&self) -> &DescriptorBudget {
         &self.descriptors
     }
 
@@ -171,11 +173,11 @@
 
 /// A connection's own place, free again when this is dropped.
 pub(crate) struct Seat {
-    places: Arc<Places>,
+    places: Arc<ClientConnections>,
     number: u64,
     /// Tells the connection to leave; see [`Seat::may_leave`].
     pub leave: Arc<Notify>,
-    _descriptor: Drawn,
+    _descriptor: DescriptorPermit,
 }
 
 impl Seat {
--- a/src/bin/foldtrack/clients.rs
+++ b/src/bin/foldtrack/client_server.rs
@@ -1,15 +1,15 @@
 //! The HTTP server that clients hand their messages in to.
 
+use crate::client_connections::{ClientConnections, Seat};
 use crate::clock::Clock;
-use crate::ends_api::{self, Fronts};
+use crate::ends_api::{self, EndsApi};
 use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::message::Message;
-use crate::places::{Places, Seat};
 use crate::streams::{HeadScan, Scanned};
 use bytes::Bytes;
 use foldtrack_admission::{Admit, Ask, Why};
-use hatchline::settings::Parsed;
-use hatchline::{Effect, Micros};
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{Effect, Micros};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
@@ -49,17 +49,17 @@
 const SPARE_FROM: u32 = 10;
 
 /// What the connections share.
-pub(crate) struct Desk {
-    pub settings: Arc<Parsed>,
+pub(crate) struct ServerContext {
+    pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
     pub events: EventSender,
     pub stage: watch::Receiver<Stage>,
     /// Bytes of bodies that may still be read before their messages are handed on.
     pub bodies: Semaphore,
     /// The same for those who are not known: what they leave of it is kept for known clients.
-    pub bodies_of_others: Semaphore,
+    pub unknown_client_bodies: Semaphore,
     /// At a site of its own: what else may be asked.
-    pub fronts: Option<Fronts>,
+    pub ends_api: Option<EndsApi>,
     /// Where the site has other forwarders: whether this one has caught up with them.
     pub ready: Option<Arc<AtomicBool>>,
 }
@@ -81,8 +81,10 @@
 }
 
 /// Serves connections until the stage is [`Stage::Closing`]. Who gets a place is the gate's to say.
-pub(crate) async fn serve(listener: TcpListener, desk: Arc<Desk>, places: Arc<Places>) {
-    let mut stage = desk.stage.clone();
+pub(crate) async fn serve(
+    listener: TcpListener, context: Arc<ServerContext>, places: Arc<ClientConnections>,
+) {
+    let mut stage = context.stage.clone();
     let mut spare = Spare::new();
     let mut in_a_row = 0;
     for number in 0.. {
@@ -122,7 +124,7 @@
         };
         let turned_away = seat.is_none();
         if let Some(seat) = seat {
-            tokio::spawn(connection(stream, desk.clone(), seat));
+            tokio::spawn(connection(stream, context.clone(), seat));
         }
         // A crowd that connects at once leaves the others their turn. Turning somebody away is soon done: known clients
         // wait in the queue behind those, and should not wait for a round of the loop for each.
@@ -189,22 +191,22 @@
     }
 }
 
-async fn connection(stream: TcpStream, desk: Arc<Desk>, seat: Seat) {
+async fn connection(stream: TcpStream, context: Arc<ServerContext>, seat: Seat) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let mut stage = desk.stage.clone();
+    let mut stage = context.stage.clone();
     let (sound, heads) = (Arc::new(AtomicUsize::new(0)), AtomicUsize::new(0));
     let scan = HeadScan::new(sound.clone());
     let seat = Arc::new(seat);
     let own = seat.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let sound = heads.fetch_add(1, Ordering::Relaxed) < sound.load(Ordering::Relaxed);
-        let (desk, seat) = (desk.clone(), own.clone());
+        let (context, seat) = (context.clone(), own.clone());
         let ask = seat.asks();
         async move {
             let response = match ask {
-                Ask::Go => answer(request, sound, seat.is_known(), &desk).await,
+                Ask::Go => answer(request, sound, seat.is_known(), &context).await,
                 Ask::Away { retry, .. } => refused(retry.div_ceil(1000)),
             };
             if matches!(response.status(), StatusCode::BAD_REQUEST | StatusCode::REQUEST_TIMEOUT) {
@@ -252,29 +254,33 @@
     response
 }
 
-async fn answer(request: Request<Incoming>, sound: bool, known: bool, desk: &Desk) -> Response<Full<Bytes>> {
+async fn answer(
+    request: Request<Incoming>, sound: bool, known: bool, context: &ServerContext,
+) -> Response<Full<Bytes>> {
     // What follows on the connection can't be told apart behind a chunked body; see `streams`.
     let last = request.headers().contains_key(TRANSFER_ENCODING);
     let response = match (request.method(), request.uri().path()) {
         _ if !sound => plain(StatusCode::BAD_REQUEST),
-        (&Method::GET, "/healthz") => match desk.ready.as_ref().is_none_or(|r| r.load(Ordering::Relaxed)) {
-            true => plain(StatusCode::OK),
-            false => plain(StatusCode::SERVICE_UNAVAILABLE),
-        },
+        (&Method::GET, "/healthz") => {
+            match context.ready.as_ref().is_none_or(|r| r.load(Ordering::Relaxed)) {
+                true => plain(StatusCode::OK),
+                false => plain(StatusCode::SERVICE_UNAVAILABLE),
+            }
+        }
         (&Method::GET, path) if path.starts_with("/v1/") => {
-            let Some(fronts) = &desk.fronts else { return closing(plain(StatusCode::NOT_FOUND)) };
+            let Some(ends_api) = &context.ends_api else { return closing(plain(StatusCode::NOT_FOUND)) };
             match path.strip_prefix("/v1/messages/") {
-                Some(id) => ends_api::message(id, &desk.events).await,
+                Some(id) => ends_api::message(id, &context.events).await,
                 None if path == "/v1/ends" => {
-                    ends_api::ends(request.uri().query().unwrap_or(""), fronts, &desk.events).await
+                    ends_api::ends(request.uri().query().unwrap_or(""), ends_api, &context.events).await
                 }
                 None => plain(StatusCode::NOT_FOUND),
             }
         }
-        _ => hand_in(request, known, desk).await.unwrap_or_else(plain),
+        _ => hand_in(request, known, context).await.unwrap_or_else(plain),
     };
     // A client that sends what is wrong does not get to go on at once.
-    if last || response.status().is_client_error() || *desk.stage.borrow() != Stage::Serving {
+    if last || response.status().is_client_error() || *context.stage.borrow() != Stage::Serving {
         return closing(response);
     }
     response
@@ -297,11 +303,11 @@
 
 /// Hands a message to the node and waits for what becomes of it.
 async fn hand_in(
-    request: Request<Incoming>, known: bool, desk: &Desk,
+    request: Request<Incoming>, known: bool, context: &ServerContext,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
-    let message = read(request, known, desk).await?;
+    let message = read(request, known, context).await?;
     let (reply, answer) = oneshot::channel();
-    desk.events.send(LoopEvent::Submit { message: Arc::new(message), from_known_client: known, reply });
+    context.events.send(LoopEvent::Submit { message: Arc::new(message), from_known_client: known, reply });
     match answer.await {
         Ok(SubmitReply::Accepted(mut receipt)) => {
             // When the client has closed, the connection drops this future before it comes here.
@@ -315,18 +321,20 @@
     }
 }
 
-async fn read(request: Request<Incoming>, known: bool, desk: &Desk) -> Result<Message, StatusCode> {
+async fn read(
+    request: Request<Incoming>, known: bool, context: &ServerContext,
+) -> Result<Message, StatusCode> {
     const BAD: StatusCode = StatusCode::BAD_REQUEST;
     // The client's time runs since it sent: what the body takes to come counts.
-    let now = desk.clock.now();
+    let now = context.clock.now();
     let path = request.uri().path().trim_start_matches('/');
     let (class_name, key) = path.split_once('/').unwrap_or((path, ""));
-    let place = desk.settings.class_names.iter().position(|n| n == class_name);
+    let place = context.settings.class_names.iter().position(|n| n == class_name);
     let class = place.ok_or(StatusCode::NOT_FOUND)?;
     if request.method() != Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
-    let rules = &desk.settings.settings.classes[class];
+    let rules = &context.settings.settings.classes[class];
     let key = if rules.in_order { key.rsplit('/').next().unwrap_or("").to_string() } else { String::new() };
     let header = |name: &str| -> Result<Option<String>, StatusCode> {
         let mut values = request.headers().get_all(name).iter();
@@ -337,15 +345,15 @@
     };
     let id = header("X-Request-Id")?.filter(|id| !id.is_empty()).ok_or(BAD)?;
     let told = header("X-Deadline")?;
-    let (left, destination) = match &desk.fronts {
+    let (left, destination) = match &context.ends_api {
         None => {
             let destination = header("X-Consignee")?.and_then(|t| destination(&t)).ok_or(BAD)?;
             (told.and_then(|t| span(&t)), destination)
         }
         // A site's clients name partners, and need not know what the class says.
-        Some(fronts) => {
+        Some(ends_api) => {
             let partner = header("X-Partner")?.ok_or(BAD)?;
-            let number = fronts.partners.get(&partner).ok_or(StatusCode::NOT_FOUND)?;
+            let number = ends_api.partners.get(&partner).ok_or(StatusCode::NOT_FOUND)?;
             (told.map_or(Some(rules.deadline), |t| span(&t)), *number)
         }
     };
@@ -365,8 +373,8 @@
     let length = request.body().size_hint().upper().map_or(LONGEST_BODY, |n| n as usize) as u32;
     let body = async {
         let others = if known { 0 } else { length };
-        let _of_others = desk.bodies_of_others.acquire_many(others).await;
-        let _room = desk.bodies.acquire_many(length).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
+        let _unknown_permit = context.unknown_client_bodies.acquire_many(others).await;
+        let _room = context.bodies.acquire_many(length).await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
         match Limited::new(request.into_body(), LONGEST_BODY).collect().await {
             Ok(body) => Ok(body.to_bytes()),
             Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
--- a/src/bin/foldtrack/clock.rs
+++ b/src/bin/foldtrack/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of the process, shared by all tasks.
 
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
