--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -1,19 +1,19 @@
 //! Configuration at startup: environment variables and the configuration file.
 
-use crate::asking::Source;
+use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
-use crate::descriptors::{half, Descriptors};
+use crate::descriptors::{client_share, DescriptorBudget};
+use crate::discovery_schedule::Source;
 use crate::list::ServerList;
 use crate::membership::Membership;
-use crate::peers::Setup;
-use crate::places::Places;
+use crate::partner_protocol::PartnerProtocols;
+use crate::peers::PeerSetup;
 use crate::platform::Agent;
-use crate::speech::Speeches;
 use foldtrack_admission::Settings as Admission;
-use foldtrack_ends::Store;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
 use foldtrack_site::Site;
-use hatchline::settings::Parsed;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use serde::Deserialize;
 use std::env;
@@ -33,17 +33,17 @@
     /// Limit of file descriptors.
     pub sockets: usize,
     /// Connection slots of the listener.
-    pub places: Arc<Places>,
-    pub descriptors: Arc<Descriptors>,
+    pub client_connections: Arc<ClientConnections>,
+    pub descriptors: Arc<DescriptorBudget>,
     /// Memory limit in bytes.
     pub memory_bytes: usize,
     /// Size limit of the journal in bytes.
     pub disk_bytes: u64,
     /// Simulated limit on the disk space in use.
     pub disk_budget: Option<Budget>,
-    pub settings: Parsed,
+    pub settings: DeploymentSettings,
     /// The wire protocol settings of each destination.
-    pub speeches: Speeches,
+    pub partner_protocols: PartnerProtocols,
     pub membership: Box<dyn Membership>,
     /// Address of discovery, which receives notices; none for a site file.
     pub discovery: Option<watch::Sender<SocketAddr>>,
@@ -56,9 +56,9 @@
 /// What a deployment with a site file has in addition to one under a platform.
 pub(crate) struct SiteConfig {
     pub site: Site,
-    pub ends: Store,
+    pub ends: OutcomeStore,
     /// The peers of the site, if it has any.
-    pub peers: Option<Setup>,
+    pub peers: Option<PeerSetup>,
 }
 
 #[derive(Deserialize)]
@@ -70,7 +70,7 @@
     limits: Limits,
     #[serde(default)]
     known: ServerList,
-    settings: Parsed,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
@@ -90,7 +90,7 @@
 /// address counts as known, and the proxy's connections take turns with each other.
 fn platform_admission(places: usize) -> Admission {
     let all = [IpNet::V4(Ipv4Net::default()), IpNet::V6(Ipv6Net::default())];
-    Admission::behind_a_front(places, all.to_vec())
+    Admission::behind_proxy(places, all.to_vec())
 }
 
 fn env_var(name: &str) -> Result<String, String> {
@@ -130,8 +130,8 @@
             return Err(format!("{path}: settings need at least one class and one slot"));
         }
         let (sockets, slots) = (file.limits.sockets, file.settings.settings.slots as usize);
-        let places = half(sockets).max(1);
-        let descriptors = Descriptors::new(sockets, places, slots);
+        let places = client_share(sockets).max(1);
+        let descriptors = DescriptorBudget::new(sockets, places, slots);
         let seed =
             u64::from_str_radix(&file.seed, 16).map_err(|e| format!("{path}: seed {:?}: {e}", file.seed))?;
         let forwarder_count = file.settings.settings.senders;
@@ -140,7 +140,7 @@
         }
         let source = match file.settings.settings.subscribe {
             true => Source::Shared,
-            false => Source::OwnAgent,
+            false => Source::LocalAgent,
         };
         let drain_grace = file.settings.settings.rules.drain_grace;
         let discovery = watch::Sender::new(address_from_env("BALANCER_DISCOVERY", file.discovery)?);
@@ -149,13 +149,17 @@
             state: PathBuf::from(env_var("BALANCER_STATE")?),
             seed,
             sockets,
-            places: Places::new(platform_admission(places), Clock::new(), descriptors.clone()),
+            client_connections: ClientConnections::new(
+                platform_admission(places),
+                Clock::new(),
+                descriptors.clone(),
+            ),
             descriptors,
             memory_bytes: (file.limits.memory_mb * 1e6) as usize,
             disk_bytes: disk_bytes as u64,
             disk_budget: None,
             settings: file.settings,
-            speeches: Speeches::platform(),
+            partner_protocols: PartnerProtocols::platform(),
             membership: Box::new(Agent {
                 discovery: discovery.clone(),
                 cached_list: file.known,
--- a/src/bin/foldtrack/connections.rs
+++ b/src/bin/foldtrack/connections.rs
@@ -1,11 +1,11 @@
 //! Connections to targets: one call at a time on each, and those that stand idle between calls.
 
 use crate::clock::Clock;
-use crate::descriptors::Drawn;
+use crate::descriptors::DescriptorPermit;
 use crate::streams::{Tap, Tapped};
 use bytes::Bytes;
+use foldtrack_delivery::{Outcome, TargetId};
 use foldtrack_pool::{Ahead, Counts, Idle};
-use hatchline::{Outcome, TargetId};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -64,7 +64,7 @@
     retires: Option<Instant>,
     /// When it ended, if it has.
     ended: Arc<OnceLock<Instant>>,
-    _descriptor: Option<Drawn>,
+    _descriptor: Option<DescriptorPermit>,
     pub tap: Arc<Tap>,
 }
 
@@ -75,22 +75,22 @@
 }
 
 /// Why there is no answer.
-pub(crate) enum Failure {
+pub(crate) enum SendError {
     /// It was handed back before a byte of it was written.
     Unsent,
-    Broken,
+    ConnectionLost,
     /// The partner has broken the handshake off by an alert that came behind it, before anything else: nothing that was
     /// written has been read as a request.
     Refused(String),
     /// What has come of it can't be read.
-    Spoilt,
+    UnreadableResponse,
 }
 
 impl Connection {
     /// Opens one, encrypted if `tls` says how. `descriptor` is what was drawn for it; none for the house's own, which are
     /// counted by their number.
     pub async fn open(
-        address: SocketAddr, tls: Option<&Encryption>, descriptor: Option<Drawn>,
+        address: SocketAddr, tls: Option<&Encryption>, descriptor: Option<DescriptorPermit>,
     ) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -104,7 +104,7 @@
     }
 
     async fn on<S: AsyncRead + AsyncWrite + Unpin + Send + 'static>(
-        stream: Tapped<S>, tap: Arc<Tap>, descriptor: Option<Drawn>,
+        stream: Tapped<S>, tap: Arc<Tap>, descriptor: Option<DescriptorPermit>,
     ) -> io::Result<Connection> {
         let handshake = http1::Builder::new().max_buf_size(HEAD_BYTES).handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
@@ -121,7 +121,7 @@
     }
 
     /// Hands a request to the connection and waits for the head of the answer.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failure> {
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendError> {
         self.tap.begin();
         let unread = async {
             self.tap.begun().await;
@@ -131,13 +131,13 @@
             biased;
             answer = self.sender.try_send_request(request) => {
                 answer.map_err(|mut error| match error.take_message() {
-                    Some(_) => Failure::Unsent,
-                    None if self.tap.has_begun() => Failure::Spoilt,
-                    None => refusal(&error.into_error()).map_or(Failure::Broken, Failure::Refused),
+                    Some(_) => SendError::Unsent,
+                    None if self.tap.has_begun() => SendError::UnreadableResponse,
+                    None => refusal(&error.into_error()).map_or(SendError::ConnectionLost, SendError::Refused),
                 })
             }
             // Guards against a head without an end, which would hold the call until its time is up.
-            () = unread => Err(Failure::Spoilt),
+            () = unread => Err(SendError::UnreadableResponse),
         }
     }
 
@@ -166,7 +166,7 @@
 fn refusal(error: &hyper::Error) -> Option<String> {
     let io = std::error::Error::source(error)?.downcast_ref::<io::Error>()?;
     let tls = io.get_ref()?.downcast_ref::<rustls::Error>()?;
-    foldtrack_tls::refuses(tls).then(|| foldtrack_tls::cause(tls))
+    foldtrack_tls::is_peer_rejection(tls).then(|| foldtrack_tls::describe_error(tls))
 }
 
 /// How calls ended by how long their connection had stood idle before. Guards against targets, or what stands
@@ -229,47 +229,47 @@
 
 /// What there is to see of one target's connections.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SeenConnections {
+pub(crate) struct ConnectionStats {
     pub idle: usize,
     pub dialling: usize,
     /// Share of the calls that waited for no handshake, 0 to 1.
-    pub ready: f64,
+    pub without_handshake: f64,
     pub handshake: Duration,
     /// How long one may stand idle and be used again, as learned.
-    pub longest_idle: Duration,
+    pub max_idle: Duration,
 }
 
 /// How connections are kept at a site of its own.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Keeping {
+pub(crate) struct PoolSettings {
     /// Opened ahead of demand.
-    pub ahead: bool,
+    pub preconnect: bool,
     /// Of one target at most.
-    pub most: usize,
+    pub max_per_target: usize,
     /// Retired after this.
-    pub age: Duration,
+    pub max_age: Duration,
 }
 
 /// The connections to targets: those that stand idle, and what is known of each target's.
 #[derive(Debug)]
-pub(crate) struct IdleConnections {
+pub(crate) struct ConnectionPool {
     /// Under the platform: one for all targets.
     trust: Trust,
     by_target: BTreeMap<TargetId, Endpoint>,
     longest: Duration,
     most: usize,
     /// At a site: what is learned is learned for each target.
-    keeping: Option<Keeping>,
+    pool_settings: Option<PoolSettings>,
     clock: Clock,
 }
 
-impl IdleConnections {
+impl ConnectionPool {
     /// Targets close a connection that has been idle for `conn_idle`. A call that meets such a close may have
     /// run, which ends an unsafe message: connections are not used for the last second of it.
-    pub fn new(conn_idle: Duration, most: usize, keeping: Option<Keeping>, clock: Clock) -> Self {
+    pub fn new(conn_idle: Duration, most: usize, pool_settings: Option<PoolSettings>, clock: Clock) -> Self {
         let margin = Duration::from_secs(1).min(conn_idle / 4);
         let (trust, by_target) = (Trust::default(), BTreeMap::new());
-        IdleConnections { trust, by_target, longest: conn_idle - margin, most, keeping, clock }
+        ConnectionPool { trust, by_target, longest: conn_idle - margin, most, pool_settings, clock }
     }
 
     fn endpoint(&mut self, target: TargetId) -> &mut Endpoint {
@@ -289,7 +289,7 @@
     pub fn take(&mut self, target: TargetId) -> Option<(Connection, Duration)> {
         self.drop_old();
         let now = self.clock.now();
-        let learns = self.keeping.is_some();
+        let learns = self.pool_settings.is_some();
         self.endpoint(target);
         let (trust, endpoint) = (&self.trust, self.by_target.get_mut(&target)?);
         endpoint.out += 1;
@@ -322,7 +322,7 @@
     }
 
     /// A call has ended on a connection that had been idle for so long, or was new and took so long to be made.
-    pub fn ended(
+    pub fn call_ended(
         &mut self, target: TargetId, idle: Option<Duration>, dialled: Option<Duration>, outcome: Outcome,
     ) {
         self.trust.ended(idle, outcome == Outcome::Reset);
@@ -332,7 +332,7 @@
         let idle = idle.map(|idle| idle.as_micros() as u64);
         match (outcome, idle) {
             (Outcome::Reset, Some(idle)) => endpoint.learned.reset_after(now, idle),
-            (Outcome::Ok | Outcome::Error | Outcome::Full, Some(idle)) => {
+            (Outcome::Ok | Outcome::Error | Outcome::Rejected, Some(idle)) => {
                 endpoint.learned.answered_after(now, idle)
             }
             _ => {}
@@ -344,8 +344,10 @@
     }
 
     /// How many dials to begin for a target, ahead of demand.
-    pub fn dials(&self, target: TargetId) -> usize {
-        let (Some(keeping), Some(e)) = (self.keeping.filter(|k| k.ahead), self.by_target.get(&target)) else {
+    pub fn preconnects_due(&self, target: TargetId) -> usize {
+        let (Some(pool_settings), Some(e)) =
+            (self.pool_settings.filter(|k| k.preconnect), self.by_target.get(&target))
+        else {
             return 0;
         };
         let longest = Duration::from_micros(e.learned.longest(self.clock.now()));
@@ -353,17 +355,20 @@
         let now = Instant::now();
         let fits = |c: &&Connection| now.saturating_duration_since(c.rested) <= longest;
         let fit = e.idle.iter().filter(fits).filter(|c| !c.sender.is_closed()).count();
-        let counts = Counts { out: e.out, idle: fit, dialling: e.dials.len(), most: keeping.most };
+        let counts =
+            Counts { out: e.out, idle: fit, dialling: e.dials.len(), most: pool_settings.max_per_target };
         e.demand.dials(self.clock.now(), counts)
     }
 
     /// A dial ahead has begun.
-    pub fn dials_ahead(&mut self, target: TargetId, number: u64, dial: AbortHandle) {
+    pub fn preconnect_started(&mut self, target: TargetId, number: u64, dial: AbortHandle) {
         self.endpoint(target).dials.insert(number, dial);
     }
 
     /// A dial ahead has ended; its connection is kept if there is still a use for it.
-    pub fn opened(&mut self, target: TargetId, number: u64, opened: Option<(Connection, Duration)>) {
+    pub fn preconnect_finished(
+        &mut self, target: TargetId, number: u64, opened: Option<(Connection, Duration)>,
+    ) {
         let Some(endpoint) = self.by_target.get_mut(&target) else { return };
         if endpoint.dials.remove(&number).is_none() {
             return;
@@ -378,10 +383,10 @@
     }
 
     pub fn put(&mut self, target: TargetId, mut connection: Connection) {
-        if let (Some(keeping), None) = (self.keeping, connection.retires) {
+        if let (Some(pool_settings), None) = (self.pool_settings, connection.retires) {
             // Not all at once that were opened at once.
             let part = 0.75 + 0.25 * fastrand::f64();
-            connection.retires = Some(connection.opened + keeping.age.mul_f64(part));
+            connection.retires = Some(connection.opened + pool_settings.max_age.mul_f64(part));
         }
         let idle = &mut self.endpoint(target).idle;
         let place = idle.partition_point(|c| c.rested <= connection.rested);
@@ -403,14 +408,14 @@
     }
 
     /// What there is to see of a target's connections.
-    pub fn seen(&self, target: TargetId) -> SeenConnections {
-        let Some(e) = self.by_target.get(&target) else { return SeenConnections::default() };
-        SeenConnections {
+    pub fn stats(&self, target: TargetId) -> ConnectionStats {
+        let Some(e) = self.by_target.get(&target) else { return ConnectionStats::default() };
+        ConnectionStats {
             idle: e.idle.len(),
             dialling: e.dials.len(),
-            ready: if e.calls > 0 { e.ready as f64 / e.calls as f64 } else { 0.0 },
+            without_handshake: if e.calls > 0 { e.ready as f64 / e.calls as f64 } else { 0.0 },
             handshake: Duration::from_micros(e.demand.handshake()),
-            longest_idle: Duration::from_micros(e.learned.longest(self.clock.now())),
+            max_idle: Duration::from_micros(e.learned.longest(self.clock.now())),
         }
     }
 
@@ -424,7 +429,7 @@
     /// Drops those that have shown their end, have been idle for too long or are too old. At a site what is seen of them is
     /// learned from.
     fn drop_old(&mut self) {
-        let (now, longest, learns) = (Instant::now(), self.longest, self.keeping.is_some());
+        let (now, longest, learns) = (Instant::now(), self.longest, self.pool_settings.is_some());
         for endpoint in self.by_target.values_mut() {
             let learned = &mut endpoint.learned;
             endpoint.idle.retain(|c| {
--- a/src/bin/foldtrack/control.rs
+++ b/src/bin/foldtrack/control.rs
@@ -1,11 +1,11 @@
 //! The serving side of the control line. Readers have a thread and a runtime of their own: what they do, and how
 //! slowly, is nothing to the loop. The loop is asked for a picture a few times a second at most, whoever wants to see it.
 
-use crate::blocks::{Blocks, LONGEST_MS};
-use crate::descriptors::{Descriptors, Drawn};
+use crate::blocks::{Blocks, MAX_BLOCK_MS};
+use crate::descriptors::{DescriptorBudget, DescriptorPermit};
 use crate::events::{EventSender, LoopEvent, SiteRequest, Snapshot};
 use crate::lock::lock_ignoring_poison;
-use foldtrack_admission::Party;
+use foldtrack_admission::DescriptorUser;
 use foldtrack_control::lines::{Lines, Unreadable, LONGEST};
 use foldtrack_control::protocol::read;
 use foldtrack_control::{Ask, Error, Event, Reply, Request, Told, MOST_LINES, VERSION};
@@ -63,7 +63,7 @@
 /// Serves the control line from now on, on this runtime; readers get a thread of their own. `most` tells how many
 /// connections clients may have now, and by which limit.
 pub(crate) fn start(
-    listener: UnixListener, events: EventSender, blocks: Arc<Blocks>, descriptors: Arc<Descriptors>,
+    listener: UnixListener, events: EventSender, blocks: Arc<Blocks>, descriptors: Arc<DescriptorBudget>,
     most: impl Fn() -> (usize, Result<usize, String>) + Send + 'static,
 ) -> Result<(), String> {
     let listener = Listener::from_std(listener).map_err(|e| format!("control line: {e}"))?;
@@ -80,8 +80,8 @@
     tokio::spawn(async move {
         loop {
             sleep(NOTICE).await;
-            blocks.notice();
-            blocks.review(most());
+            blocks.report_floods();
+            blocks.update_limits(most());
         }
     });
     Ok(())
@@ -91,7 +91,7 @@
 struct Line {
     events: EventSender,
     blocks: Arc<Blocks>,
-    descriptors: Arc<Descriptors>,
+    descriptors: Arc<DescriptorBudget>,
     /// The last picture.
     picture: Mutex<Option<Arc<Snapshot>>>,
     /// When the last order was carried out: no picture that is older is shown.
@@ -174,9 +174,9 @@
 
 impl Line {
     /// Lets a reader in. Where there is no descriptor for one more, the one goes that has said nothing for longest.
-    fn enter(&self, number: u64, leave: &Arc<Notify>) -> Drawn {
+    fn enter(&self, number: u64, leave: &Arc<Notify>) -> DescriptorPermit {
         let mut readers = lock_ignoring_poison(&self.readers);
-        let drawn = self.descriptors.draw(Party::Control).filter(|_| readers.len() < READERS);
+        let drawn = self.descriptors.acquire(DescriptorUser::Control).filter(|_| readers.len() < READERS);
         if drawn.is_none() {
             let quietest = readers.iter().min_by_key(|(_, (heard, _))| *heard).map(|(number, _)| *number);
             if let Some((_, leave)) = quietest.and_then(|n| readers.remove(&n)) {
@@ -185,7 +185,7 @@
         }
         readers.insert(number, (Instant::now(), leave.clone()));
         // Its place is the other one's, which closes within the moment.
-        drawn.unwrap_or_else(|| self.descriptors.note(Party::Control))
+        drawn.unwrap_or_else(|| self.descriptors.acquire_unchecked(DescriptorUser::Control))
     }
 
     fn heard(&self, number: u64) {
@@ -409,7 +409,7 @@
         Ok(network) => network,
         Err(problem) => return error("refused", &problem),
     };
-    if for_ms.is_some_and(|for_ms| for_ms == 0 || for_ms > LONGEST_MS) {
+    if for_ms.is_some_and(|for_ms| for_ms == 0 || for_ms > MAX_BLOCK_MS) {
         return error("refused", "a block lasts for 1 ms to 30 days");
     }
     let kept = for_ms.map(|for_ms| line.blocks.block(network, for_ms));
--- a/src/bin/foldtrack/asking.rs
+++ b/src/bin/foldtrack/discovery_schedule.rs
@@ -5,7 +5,7 @@
 //! hundreds too. A fleet that fails together spreads its calls over all that the rule allows: a discovery that is asked by
 //! all at once turns most of them away, and answers the others too late.
 
-use hatchline::{Micros, FLEET};
+use foldtrack_delivery::{Micros, LARGE_FLEET};
 use std::time::Duration;
 
 /// A change counts as told so long after discovery has it and can be reached.
@@ -35,23 +35,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     /// An agent on this machine, to which changes are pushed: it answers at once, or is silent.
-    OwnAgent,
+    LocalAgent,
     /// A discovery that all forwarders ask, and that can have too much to do.
     Shared,
 }
 
 /// How a call for the list failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Failure {
+pub(crate) enum PollFailure {
     /// Nobody was there, nothing came in time, or what came could not be read.
-    NoAnswer,
+    NoResponse,
     /// It was turned away, or dropped after it had been taken in: whoever answers has too much to do.
-    TurnedAway,
+    Rejected,
 }
 
 /// How one of so many senders asks.
 #[derive(Debug)]
-pub(crate) struct Asking {
+pub(crate) struct DiscoverySchedule {
     senders: u32,
     /// As the settings tell, and as it has shown itself.
     stated: Source,
@@ -62,28 +62,28 @@
     random: fastrand::Rng,
 }
 
-impl Asking {
+impl DiscoverySchedule {
     /// `senders` as the settings have it: 0 counts as one. `grace` is the time for which a drain that was told may still be
     /// sent to.
     pub fn new(senders: u32, source: Source, grace: Micros, seed: u64) -> Self {
         let random = fastrand::Rng::with_seed(seed);
         let (senders, grace) = (senders.max(1), Duration::from_micros(grace));
-        Asking { senders, stated: source, source, grace, failures: 0, random }
+        DiscoverySchedule { senders, stated: source, source, grace, failures: 0, random }
     }
 
     /// The list is told elsewhere from now on: nothing is known of that place.
-    pub fn moved(&mut self) {
+    pub fn reset(&mut self) {
         (self.source, self.failures) = (self.stated, 0);
     }
 
     fn is_fleet(&self) -> bool {
-        self.senders >= FLEET
+        self.senders >= LARGE_FLEET
     }
 
     /// How long the next watch may stay without news.
-    pub fn watch(&mut self) -> Duration {
+    pub fn poll_timeout(&mut self) -> Duration {
         match self.source {
-            Source::OwnAgent => OWN_WATCH,
+            Source::LocalAgent => OWN_WATCH,
             Source::Shared if self.is_fleet() => {
                 let longest = (SHARED_WATCH_EACH * self.senders).clamp(SHARED_WATCH, LONGEST_WATCH);
                 longest.mul_f64(1.0 - WATCH_JITTER * self.random.f64())
@@ -102,13 +102,13 @@
     }
 
     /// A call has failed after it `took` so long: the pause before the next.
-    pub fn failed(&mut self, failure: Failure, took: Duration) -> Duration {
-        if failure == Failure::TurnedAway {
+    pub fn failed(&mut self, failure: PollFailure, took: Duration) -> Duration {
+        if failure == PollFailure::Rejected {
             // An agent of one's own has no reason to.
             self.source = Source::Shared;
         }
         let longest = match self.source {
-            Source::OwnAgent => LONGEST_OWN_PAUSE,
+            Source::LocalAgent => LONGEST_OWN_PAUSE,
             Source::Shared => LONGEST_PAUSE,
         };
         let doubled = FIRST_PAUSE.saturating_mul(1 << self.failures.min(16)).min(longest);
@@ -119,7 +119,7 @@
         // Those that failed together would go on together.
         let part = 0.5 + 0.5 * self.random.f64();
         match self.source {
-            Source::OwnAgent => doubled.mul_f64(part),
+            Source::LocalAgent => doubled.mul_f64(part),
             Source::Shared => self.left_of_the_rule(took).mul_f64(part),
         }
     }
@@ -132,5 +132,5 @@
 }
 
 #[cfg(test)]
-#[path = "asking_tests.rs"]
+#[path = "discovery_schedule_tests.rs"]
 mod tests;
--- a/src/bin/foldtrack/asking_tests.rs
+++ b/src/bin/foldtrack/discovery_schedule_tests.rs
@@ -37,12 +37,12 @@
 
 const GRACE: Micros = 2_000_000;
 
-fn shared(senders: u32, seed: u64) -> Asking {
-    Asking::new(senders, Source::Shared, GRACE, seed)
+fn shared(senders: u32, seed: u64) -> DiscoverySchedule {
+    DiscoverySchedule::new(senders, Source::Shared, GRACE, seed)
 }
 
-fn of_an_agent(senders: u32, seed: u64) -> Asking {
-    Asking::new(senders, Source::OwnAgent, GRACE, seed)
+fn of_an_agent(senders: u32, seed: u64) -> DiscoverySchedule {
+    DiscoverySchedule::new(senders, Source::LocalAgent, GRACE, seed)
 }
 
 /// A fleet that has been cut off, or has started, asks a discovery that can take one call from each in so many seconds.
@@ -57,8 +57,9 @@
         (100, 25.0, 50.0, 100.0),
     ];
     for (senders, all_in, half_within, within) in fleets {
-        let mut askers: Vec<Asking> = (0..senders).map(|n| shared(senders, u64::from(n))).collect();
-        let turned_away = |n: usize, took: Duration| askers[n].failed(Failure::TurnedAway, took);
+        let mut askers: Vec<DiscoverySchedule> =
+            (0..senders).map(|n| shared(senders, u64::from(n))).collect();
+        let turned_away = |n: usize, took: Duration| askers[n].failed(PollFailure::Rejected, took);
         let answered = first_answers(senders, f64::from(senders) / all_in, turned_away);
         let last = answered.iter().map(|a| a.unwrap_or(f64::INFINITY)).fold(0.0, f64::max);
         assert!(
@@ -74,18 +75,18 @@
 #[test]
 fn what_discovery_gets_is_heard_within_the_rules_time_whatever_failed_before() {
     let ends = [
-        (Failure::NoAnswer, Duration::ZERO),
-        (Failure::NoAnswer, Duration::from_millis(2500)),
-        (Failure::NoAnswer, OWN_WATCH + Duration::from_millis(500)),
-        (Failure::TurnedAway, Duration::from_millis(11)),
-        (Failure::TurnedAway, Duration::from_secs(2)),
+        (PollFailure::NoResponse, Duration::ZERO),
+        (PollFailure::NoResponse, Duration::from_millis(2500)),
+        (PollFailure::NoResponse, OWN_WATCH + Duration::from_millis(500)),
+        (PollFailure::Rejected, Duration::from_millis(11)),
+        (PollFailure::Rejected, Duration::from_secs(2)),
     ];
     for senders in [0, 1, 3, 10, 30, 300, 1024, 100_000] {
         for grace in [0, 500_000, GRACE] {
             for (n, (failure, took)) in (0..40).flat_map(|n| ends.map(|end| (n, end))) {
-                for source in [Source::OwnAgent, Source::Shared] {
-                    let mut asking = Asking::new(senders, source, grace, n);
-                    let pauses = (0..12).map(|_| asking.failed(failure, took));
+                for source in [Source::LocalAgent, Source::Shared] {
+                    let mut schedule = DiscoverySchedule::new(senders, source, grace, n);
+                    let pauses = (0..12).map(|_| schedule.failed(failure, took));
                     let longest = pauses.max().unwrap_or_default();
                     let heard = took + longest + LONGEST_ANSWER;
                     let rule = TOLD_WITHIN + Duration::from_micros(grace);
@@ -106,13 +107,13 @@
         for seed in 0..40 {
             let late = Duration::from_millis(500);
             let mut own = of_an_agent(senders, seed);
-            let (watch, pause) = (own.watch(), own.failed(Failure::NoAnswer, OWN_WATCH + late));
+            let (watch, pause) = (own.poll_timeout(), own.failed(PollFailure::NoResponse, OWN_WATCH + late));
             assert!(watch + late + pause + LONGEST_ANSWER <= TOLD_WITHIN + Duration::from_millis(500));
             let mut asked = shared(senders, seed);
-            let watch = asked.watch();
+            let watch = asked.poll_timeout();
             assert!(watch <= LONGEST_WATCH);
             if asked.is_fleet() {
-                let pause = asked.failed(Failure::NoAnswer, LONGEST_WATCH);
+                let pause = asked.failed(PollFailure::NoResponse, LONGEST_WATCH);
                 assert!(late + pause < Duration::from_secs(1), "{senders} senders pause for {pause:?}");
             }
         }
@@ -123,7 +124,7 @@
 fn a_fleet_that_fails_together_spreads_its_calls_over_what_the_rule_allows() {
     for senders in [10, 100, 300, 1024] {
         let pauses: Vec<f64> = (0..senders)
-            .map(|n| shared(senders, n.into()).failed(Failure::TurnedAway, Duration::ZERO).as_secs_f64())
+            .map(|n| shared(senders, n.into()).failed(PollFailure::Rejected, Duration::ZERO).as_secs_f64())
             .collect();
         // One call in three seconds for each at the most, and no tenth of a second with twice its part of them.
         let together: f64 = pauses.iter().map(|pause| 1.0 / pause).sum();
@@ -152,27 +153,28 @@
 #[test]
 fn one_of_a_few_asks_soon_and_an_agent_of_ones_own_is_asked_sooner_still() {
     for senders in [0, 1, 3] {
-        let mut asking = shared(senders, 1);
-        let failed = |asking: &mut Asking| asking.failed(Failure::NoAnswer, Duration::ZERO);
-        let pauses: Vec<u128> = (0..7).map(|_| failed(&mut asking).as_millis()).collect();
+        let mut schedule = shared(senders, 1);
+        let failed =
+            |schedule: &mut DiscoverySchedule| schedule.failed(PollFailure::NoResponse, Duration::ZERO);
+        let pauses: Vec<u128> = (0..7).map(|_| failed(&mut schedule).as_millis()).collect();
         assert_eq!(pauses, [50, 100, 200, 400, 800, 1000, 1000]);
-        assert_eq!(asking.answered(true), Duration::ZERO);
-        assert_eq!(failed(&mut asking), FIRST_PAUSE);
-        assert_eq!(asking.watch(), SHARED_WATCH);
-        let mut asking = of_an_agent(senders, 1);
-        let pauses: Vec<u128> = (0..5).map(|_| failed(&mut asking).as_millis()).collect();
+        assert_eq!(schedule.answered(true), Duration::ZERO);
+        assert_eq!(failed(&mut schedule), FIRST_PAUSE);
+        assert_eq!(schedule.poll_timeout(), SHARED_WATCH);
+        let mut schedule = of_an_agent(senders, 1);
+        let pauses: Vec<u128> = (0..5).map(|_| failed(&mut schedule).as_millis()).collect();
         assert_eq!(pauses, [50, 100, 200, 250, 250]);
-        assert_eq!(asking.watch(), OWN_WATCH);
+        assert_eq!(schedule.poll_timeout(), OWN_WATCH);
     }
 }
 
 #[test]
 fn an_agent_that_turns_a_call_away_is_asked_as_one_that_all_share_until_discovery_moves() {
-    let mut asking = of_an_agent(300, 1);
-    assert!(asking.failed(Failure::NoAnswer, Duration::ZERO) <= LONGEST_OWN_PAUSE);
-    assert!(asking.failed(Failure::TurnedAway, Duration::ZERO) > LONGEST_PAUSE);
-    assert!(asking.watch() > SHARED_WATCH);
-    asking.moved();
-    assert!(asking.failed(Failure::NoAnswer, Duration::ZERO) <= FIRST_PAUSE);
-    assert_eq!(asking.watch(), OWN_WATCH);
+    let mut schedule = of_an_agent(300, 1);
+    assert!(schedule.failed(PollFailure::NoResponse, Duration::ZERO) <= LONGEST_OWN_PAUSE);
+    assert!(schedule.failed(PollFailure::Rejected, Duration::ZERO) > LONGEST_PAUSE);
+    assert!(schedule.poll_timeout() > SHARED_WATCH);
+    schedule.reset();
+    assert!(schedule.failed(PollFailure::NoResponse, Duration::ZERO) <= FIRST_PAUSE);
+    assert_eq!(schedule.poll_timeout(), OWN_WATCH);
 }
--- a/src/bin/foldtrack/ends_api.rs
+++ b/src/bin/foldtrack/ends_api.rs
@@ -25,7 +25,7 @@
 const MOST: usize = 500;
 
 /// What the connections of a site's clients share beside the desk.
-pub(crate) struct Fronts {
+pub(crate) struct EndsApi {
     /// Numbers of partners by name.
     pub partners: HashMap<String, u32>,
     /// Sequence number of the last end.
@@ -33,9 +33,9 @@
     polls: Semaphore,
 }
 
-impl Fronts {
+impl EndsApi {
     pub fn new(partners: HashMap<String, u32>, seen: watch::Receiver<u64>) -> Self {
-        Fronts { partners, seen, polls: Semaphore::new(POLLS) }
+        EndsApi { partners, seen, polls: Semaphore::new(POLLS) }
     }
 }
 
@@ -87,18 +87,18 @@
 }
 
 /// Answers `GET /v1/ends`.
-pub(crate) async fn ends(query: &str, fronts: &Fronts, events: &EventSender) -> Response<Full<Bytes>> {
+pub(crate) async fn ends(query: &str, ends_api: &EndsApi, events: &EventSender) -> Response<Full<Bytes>> {
     let Poll { mut after, peek, most, wait } = match poll(query) {
         Ok(poll) => poll,
         Err(problem) => return wrong(StatusCode::BAD_REQUEST, &problem),
     };
-    let Ok(_place) = fronts.polls.try_acquire() else {
+    let Ok(_place) = ends_api.polls.try_acquire() else {
         let mut response = wrong(StatusCode::SERVICE_UNAVAILABLE, "too many polls wait already");
         response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
         return response;
     };
     let until = Instant::now() + wait;
-    let mut seen = fronts.seen.clone();
+    let mut seen = ends_api.seen.clone();
     loop {
         seen.mark_unchanged();
         let (reply, answer) = oneshot::channel();
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -1,16 +1,18 @@
-//! A forwarder of outbound messages: connects the decisions of `hatchline` with clients, targets
+//! A forwarder of outbound messages: connects the decisions of `foldtrack_delivery` with clients, targets
 //! and the platform over real sockets.
 #![warn(missing_docs)]
 
-mod asking;
 mod blocks;
+mod call;
 mod cli;
-mod clients;
+mod client_connections;
+mod client_server;
 mod clock;
 mod config;
 mod connections;
 mod control;
 mod descriptors;
+mod discovery_schedule;
 mod ends_api;
 mod events;
 mod list;
@@ -20,15 +22,13 @@
 mod message;
 mod message_view;
 mod node;
-mod notices;
+mod notice_queue;
+mod partner_protocol;
 mod peers;
-mod places;
 mod platform;
 mod registry;
 mod serve;
-mod speech;
 mod streams;
-mod targets;
 
 use config::Config;
 use events::{EventSender, LoopEvent};
--- a/src/bin/foldtrack/membership.rs
+++ b/src/bin/foldtrack/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::events::EventSender;
 use crate::list::{ServerEntry, ServerList, ServerState};
-use foldtrack_membership::{Change, Log, Order, State, Trouble};
+use foldtrack_membership::{Change, MembershipLog, MembershipState, Order, OrderError};
 use foldtrack_site::Site;
 use std::fs::File;
 use std::io;
@@ -21,30 +21,30 @@
     ///
     /// # Errors
     /// The order is refused, or could not be written.
-    fn order(&mut self, at: u64, order: &Order) -> Result<Change, Trouble>;
+    fn apply_order(&mut self, at: u64, order: &Order) -> Result<Change, OrderError>;
 
     /// Validates an order without carrying it out.
     ///
     /// # Errors
     /// The order would be refused.
-    fn judge(&self, order: &Order) -> Result<Change, Trouble>;
+    fn validate(&self, order: &Order) -> Result<Change, OrderError>;
 
     /// The state that all orders have led to, if the source takes orders.
-    fn state(&self) -> Option<&State>;
+    fn state(&self) -> Option<&MembershipState>;
 
     /// The log of orders, which is synced before an order is acknowledged.
-    fn file(&self) -> io::Result<File>;
+    fn sync_handle(&self) -> io::Result<File>;
 }
 
 /// The list of a site: its site file, changed by orders.
 #[derive(Debug)]
 pub(crate) struct SiteMembership {
-    log: Log,
+    log: MembershipLog,
     site: Site,
 }
 
 impl SiteMembership {
-    pub fn new(log: Log, site: Site) -> Self {
+    pub fn new(log: MembershipLog, site: Site) -> Self {
         SiteMembership { log, site }
     }
 }
@@ -60,7 +60,7 @@
                 zone: String::new(),
                 kind: self.site.kinds[partner.kind].name.clone(),
                 cell: partner.number(),
-                state: if state.is_open(endpoint) { ServerState::Active } else { ServerState::Leaving },
+                state: if state.accepts_calls(endpoint) { ServerState::Active } else { ServerState::Leaving },
                 weight: partner.rate.unwrap_or(0.0),
                 slots: partner.slots,
                 hold_until: 0,
@@ -74,19 +74,19 @@
         false
     }
 
-    fn order(&mut self, at: u64, order: &Order) -> Result<Change, Trouble> {
-        self.log.order(at, order)
+    fn apply_order(&mut self, at: u64, order: &Order) -> Result<Change, OrderError> {
+        self.log.apply_order(at, order)
     }
 
-    fn judge(&self, order: &Order) -> Result<Change, Trouble> {
-        Ok(self.log.judge(order)?)
+    fn validate(&self, order: &Order) -> Result<Change, OrderError> {
+        Ok(self.log.validate(order)?)
     }
 
-    fn state(&self) -> Option<&State> {
+    fn state(&self) -> Option<&MembershipState> {
         Some(self.log.state())
     }
 
-    fn file(&self) -> io::Result<File> {
-        self.log.file()
+    fn sync_handle(&self) -> io::Result<File> {
+        self.log.sync_handle()
     }
 }
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -1,7 +1,7 @@
 //! A message between its client and its target.
 
 use bytes::Bytes;
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
--- a/src/bin/foldtrack/message_view.rs
+++ b/src/bin/foldtrack/message_view.rs
@@ -2,23 +2,23 @@
 //! well.
 
 use foldtrack_control::{Attempt, Message};
-use foldtrack_ends::{End, Result as EndResult};
+use foldtrack_ends::{FinalStatus, MessageOutcome};
 
 /// Converts an attempt.
 pub(crate) fn attempt_view(attempt: &foldtrack_ends::Attempt) -> Attempt {
-    let (endpoint, outcome) = (attempt.endpoint.clone(), attempt.outcome.word().into());
+    let (endpoint, outcome) = (attempt.endpoint.clone(), attempt.outcome.as_str().into());
     let may_have_run = !attempt.outcome.never_ran();
     Attempt { at: attempt.at, until: attempt.until, endpoint, outcome, may_have_run }
 }
 
 /// Converts the outcome of a message.
-pub(crate) fn message_view(end: &End) -> Message {
+pub(crate) fn message_view(end: &MessageOutcome) -> Message {
     let (state, retry_in_ms, harmless_until) = match end.result {
-        EndResult::Delivered => ("delivered", 0, 0),
-        EndResult::GivenUp => ("given_up", 0, 0),
-        EndResult::InDoubt => ("in_doubt", 0, 0),
-        EndResult::HandedBack { retry_in_ms } => ("handed_back", retry_in_ms, 0),
-        EndResult::HandedBackUntil { retry_in_ms, until } => ("handed_back", retry_in_ms, until),
+        FinalStatus::Delivered => ("delivered", 0, 0),
+        FinalStatus::GivenUp => ("given_up", 0, 0),
+        FinalStatus::InDoubt => ("in_doubt", 0, 0),
+        FinalStatus::HandedBack { retry_in_ms } => ("handed_back", retry_in_ms, 0),
+        FinalStatus::HandedBackUntil { retry_in_ms, until } => ("handed_back", retry_in_ms, until),
     };
     Message {
         id: end.id.clone(),
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -5,9 +5,9 @@
 use crate::config::SiteConfig;
 use crate::events::SubmitReply;
 use foldtrack_control::Failure;
-use foldtrack_ends::{self as ends, End, Store};
-use foldtrack_journal::Notice;
-use hatchline::Outcome;
+use foldtrack_delivery::Outcome;
+use foldtrack_ends::{self as ends, MessageOutcome, OutcomeStore};
+use foldtrack_journal::FailureNotice;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::path::PathBuf;
@@ -56,7 +56,7 @@
     pub name: String,
     /// Path of the state folder.
     pub state: PathBuf,
-    pub ends: Store,
+    pub ends: OutcomeStore,
     /// Publishes the sequence number of the latest outcome.
     pub ends_seen: watch::Sender<u64>,
     pub partners: HashMap<u32, PartnerInfo>,
@@ -69,9 +69,9 @@
     longest_wait_ms: u64,
     /// Messages that ended while the reply that accepts them was being written: whether the client
     /// received it is not known yet.
-    pub pending: BTreeMap<u64, (HeldMessage, Notice)>,
+    pub pending: BTreeMap<u64, (HeldMessage, FailureNotice)>,
     /// Messages whose outcomes are staged and not yet written.
-    pub staged: Vec<(u64, ends::Result)>,
+    pub staged: Vec<(u64, ends::FinalStatus)>,
     /// How many of `staged` were recorded in the journal because the store could not write their
     /// outcomes.
     pub journaled_results: usize,
@@ -91,7 +91,7 @@
 impl SiteRuntime {
     pub fn new(parts: SiteConfig, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
         let SiteConfig { site, ends, .. } = parts;
-        ends_seen.send_replace(ends.last());
+        ends_seen.send_replace(ends.last_published());
         let info = |p: &foldtrack_site::Partner| PartnerInfo {
             name: p.name.clone(),
             kind: site.kinds[p.kind].name.clone(),
@@ -132,7 +132,11 @@
     /// Maximum size in bytes of a message's outcome.
     fn outcome_size(&self, message: &crate::message::Message) -> u64 {
         // Names of classes and partners have at most 64 bytes.
-        End::room(message.id.len() + message.key.len() + 2 * MAX_NAME_BYTES, self.attempts, MAX_NAME_BYTES)
+        MessageOutcome::max_encoded_len(
+            message.id.len() + message.key.len() + 2 * MAX_NAME_BYTES,
+            self.attempts,
+            MAX_NAME_BYTES,
+        )
     }
 
     /// Refuses a message that exceeds the memory limit or the capacity for outcomes, with a retry
@@ -142,7 +146,7 @@
     ) -> Option<SubmitReply> {
         let bytes = self.held_bytes + message.journal_size() as u64 > self.max_held_bytes;
         let coming = held as u64 + self.pending.len() as u64 + 1;
-        let ends = !self.ends.has_room(coming, self.reserved + self.outcome_size(message));
+        let ends = !self.ends.has_capacity(coming, self.reserved + self.outcome_size(message));
         // Outcomes staged in this iteration count as written. Outcomes that an earlier iteration
         // could not write mean that the store has failed.
         if !bytes && !ends && self.journaled_results == 0 {
@@ -196,16 +200,16 @@
 }
 
 /// Converts an outcome to the form kept with a message's attempts.
-pub(super) fn attempt_outcome(outcome: Outcome) -> ends::Outcome {
+pub(super) fn attempt_outcome(outcome: Outcome) -> ends::AttemptOutcome {
     match outcome {
-        Outcome::Ok => ends::Outcome::Ok,
-        Outcome::Error => ends::Outcome::Error,
-        Outcome::Full => ends::Outcome::Full,
-        Outcome::TimedOut => ends::Outcome::TimedOut,
-        Outcome::ConnectFailed => ends::Outcome::NotConnected,
-        Outcome::Reset => ends::Outcome::Reset,
-        Outcome::Cancelled => ends::Outcome::Cancelled,
-        Outcome::Spoilt => ends::Outcome::Spoilt,
-        Outcome::NotSent | Outcome::HeldBack => ends::Outcome::NotSent,
+        Outcome::Ok => ends::AttemptOutcome::Ok,
+        Outcome::Error => ends::AttemptOutcome::Error,
+        Outcome::Rejected => ends::AttemptOutcome::Rejected,
+        Outcome::TimedOut => ends::AttemptOutcome::TimedOut,
+        Outcome::ConnectFailed => ends::AttemptOutcome::NotConnected,
+        Outcome::Reset => ends::AttemptOutcome::Reset,
+        Outcome::Cancelled => ends::AttemptOutcome::Cancelled,
+        Outcome::UnreadableResponse => ends::AttemptOutcome::UnreadableResponse,
+        Outcome::NotSent | Outcome::Withheld => ends::AttemptOutcome::NotSent,
     }
 }
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -2,15 +2,15 @@
 
 use super::appliance::attempt_outcome;
 use super::{Acceptance, Node, PendingSend};
-use crate::descriptors::Drawn;
+use crate::call::{self, Call};
+use crate::descriptors::DescriptorPermit;
 use crate::events::CallEnd;
-use crate::targets::{self, Call};
-use foldtrack_admission::Party;
+use foldtrack_admission::DescriptorUser;
 use foldtrack_control::Failure;
+use foldtrack_delivery::{Action, Event, Micros, Outcome, TargetId};
 use foldtrack_ends::{self as ends, Attempt};
-use foldtrack_journal::{Fate, Notice, Record};
+use foldtrack_journal::{AttemptEffect, FailureNotice, Record};
 use foldtrack_preflight::PreflightError;
-use hatchline::{Action, Event, Micros, Outcome, TargetId};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
@@ -41,17 +41,20 @@
                 }
             }
             Action::Refuse { id, retry_after } => {
-                self.end_message(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
+                self.end_message(id, FailureNotice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
             }
-            Action::Fail { id } => self.end_message(id, Notice::GivenUp),
+            Action::Fail { id } => self.end_message(id, FailureNotice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all earlier decisions, and no later than the next one.
-            Action::FoundOut { target } => self.targets.record_outage(target, self.clock.now()),
-            Action::CloseIdle { target } => self.idle.close(target),
+            Action::OutageDetected { target } => self.targets.record_outage(target, self.clock.now()),
+            Action::CloseIdle { target } => self.pool.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is always watched. Probes and messages between forwarders are not used in
             // these deployments.
-            Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::Subscribe { .. }
+            | Action::FetchList
+            | Action::Probe { .. }
+            | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -64,7 +67,7 @@
         else {
             return;
         };
-        if self.notices.hold(held.message.order_key()) {
+        if self.notices.holds_key(held.message.order_key()) {
             return;
         }
         self.pending_sends.remove(&number);
@@ -111,7 +114,7 @@
         let at = self.clock.unix_time(self.clock.now());
         let endpoint =
             if self.site.is_some() { self.targets.name(target).to_string() } else { String::new() };
-        let begun = Record::Try { attempt: journaled_attempts, at, zone, endpoint };
+        let begun = Record::AttemptStarted { attempt: journaled_attempts, at, zone, endpoint };
         let ticket = match self.journal.stage(number, &begun) {
             Ok(ticket) => ticket,
             Err(error) => {
@@ -126,9 +129,9 @@
         self.record_attempt_start(number, at, target);
         let (cancel, cancelled) = oneshot::channel();
         self.calls.insert((number, attempt), cancel);
-        let connection = self.idle.take(target);
+        let connection = self.pool.take(target);
         let descriptor = if connection.is_none() { self.acquire_call_descriptor() } else { None };
-        let speech = self.speeches.of(message.destination);
+        let protocol = self.partner_protocols.for_destination(message.destination);
         let call = Call {
             number,
             attempt,
@@ -136,14 +139,14 @@
             address,
             message,
             dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
-            until: self.clock.instant(until),
+            deadline: self.clock.instant(until),
             connection,
             descriptor,
             preflight,
             clock: self.clock,
-            speech,
+            protocol,
             settings: self.settings.clone(),
-            reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
+            limit_reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
         };
         self.group_commit.collecting.calls.push((ticket, call, cancelled));
         self.preconnect(target);
@@ -152,10 +155,10 @@
     /// Acquires a descriptor for a new connection. If calls have used up their share, the
     /// connection that has been idle longest is closed to free one, because idle connections count
     /// against the same share.
-    fn acquire_call_descriptor(&mut self) -> Option<Drawn> {
+    fn acquire_call_descriptor(&mut self) -> Option<DescriptorPermit> {
         loop {
-            let drawn = self.descriptors.draw(Party::Calls);
-            if drawn.is_some() || !self.idle.drop_oldest() {
+            let drawn = self.descriptors.acquire(DescriptorUser::Calls);
+            if drawn.is_some() || !self.pool.drop_oldest() {
                 return drawn;
             }
         }
@@ -163,7 +166,7 @@
 
     /// Opens connections to a target ahead of demand, if the site is configured to do so.
     pub(super) fn preconnect(&mut self, target: TargetId) {
-        let dials = self.idle.dials(target);
+        let dials = self.pool.preconnects_due(target);
         if dials == 0 {
             return;
         }
@@ -171,14 +174,15 @@
         for _ in 0..dials {
             // Calls come first: no idle connection is closed to make room for one opened ahead of
             // demand.
-            let Some(descriptor) = self.descriptors.draw(Party::Calls) else { return };
+            let Some(descriptor) = self.descriptors.acquire(DescriptorUser::Calls) else { return };
             self.next_preconnect += 1;
-            let (number, speech) = (self.next_preconnect, self.speeches.of(destination));
+            let (number, protocol) =
+                (self.next_preconnect, self.partner_protocols.for_destination(destination));
             let timeout = Duration::from_micros(self.settings.settings.connect_timeout);
             let dial =
-                targets::dial(target, number, address, speech, descriptor, timeout, self.events.clone());
+                call::dial(target, number, address, protocol, descriptor, timeout, self.events.clone());
             let dial = tokio::spawn(dial).abort_handle();
-            self.idle.dials_ahead(target, number, dial);
+            self.pool.preconnect_started(target, number, dial);
         }
     }
 
@@ -205,7 +209,7 @@
             PreflightError::RetryAfter { until } => until.saturating_sub(self.clock.now()),
             PreflightError::OutageDetected | PreflightError::Closed => 0,
         };
-        let outcome = self.count_withheld(id, Outcome::HeldBack);
+        let outcome = self.count_withheld(id, Outcome::Withheld);
         self.notify_scheduler(Event::Outcome {
             id,
             attempt,
@@ -224,12 +228,12 @@
     fn count_withheld(&mut self, number: u64, outcome: Outcome) -> Outcome {
         let most = self.settings.settings.max_attempts;
         match self.messages.get_mut(&number) {
-            Some(held) if outcome == Outcome::HeldBack && held.withheld_calls < most => {
+            Some(held) if outcome == Outcome::Withheld && held.withheld_calls < most => {
                 held.withheld_calls += 1;
                 held.attempts -= 1;
                 outcome
             }
-            _ if outcome == Outcome::HeldBack => Outcome::NotSent,
+            _ if outcome == Outcome::Withheld => Outcome::NotSent,
             _ => outcome,
         }
     }
@@ -238,11 +242,11 @@
     /// outcome to the scheduler.
     pub(super) fn call_ended(&mut self, end: CallEnd) {
         self.calls.remove(&(end.number, end.attempt));
-        self.idle.ended(end.target, end.idle_for, end.connect_time, end.outcome);
+        self.pool.call_ended(end.target, end.idle_for, end.connect_time, end.outcome);
         self.record_attempt_end(&end);
         let listed = self.targets.end_call(end.target);
         if let Some(connection) = end.reusable_connection.filter(|_| listed) {
-            self.idle.put(end.target, connection);
+            self.pool.put(end.target, connection);
         }
         self.preconnect(end.target);
         // The wait is passed to the peers whatever has become of the message.
@@ -261,15 +265,18 @@
             None => end.past_deadline,
         };
         if end.settled && given_up {
-            self.end_message(end.number, Notice::GivenUp);
+            self.end_message(end.number, FailureNotice::GivenUp);
         } else if end.settled {
             self.end_delivered(end.number);
         } else if held {
             // At most one attempt is in flight.
             let attempt = journaled_attempts.unwrap_or(0).saturating_sub(1);
-            let fate =
-                if attempt_outcome(end.outcome).never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            self.stage_record(end.number, &Record::TryEnded { attempt, fate });
+            let effect = if attempt_outcome(end.outcome).never_ran() {
+                AttemptEffect::NeverRan
+            } else {
+                AttemptEffect::MayHaveRun
+            };
+            self.stage_record(end.number, &Record::AttemptEnded { attempt, effect });
         }
         let now = self.clock.now();
         self.notify_scheduler(Event::Outcome {
@@ -292,13 +299,13 @@
             site.set_followup(number, "sent again");
         }
         let endpoint = self.targets.name(target).to_string();
-        held.history.push(Attempt { at, until: 0, endpoint, outcome: ends::Outcome::Out });
+        held.history.push(Attempt { at, until: 0, endpoint, outcome: ends::AttemptOutcome::Out });
     }
 
     /// Records the end of an attempt for operators, and its failure if it failed.
     fn record_attempt_end(&mut self, end: &CallEnd) {
         let (Some(site), Some(held)) = (&mut self.site, self.messages.get_mut(&end.number)) else { return };
-        if end.outcome == Outcome::HeldBack {
+        if end.outcome == Outcome::Withheld {
             // No call was made, so nothing is recorded against the endpoint.
             held.history.pop();
             return;
@@ -306,7 +313,8 @@
         let attempt = held.history.len() as u32;
         let Some(tried) = held.history.last_mut() else { return };
         tried.until = self.clock.unix_time(self.clock.now());
-        tried.outcome = if end.refused { ends::Outcome::Refused } else { attempt_outcome(end.outcome) };
+        tried.outcome =
+            if end.refused { ends::AttemptOutcome::Refused } else { attempt_outcome(end.outcome) };
         if end.outcome == Outcome::Ok {
             return;
         }
@@ -318,7 +326,7 @@
             partner: site.partner_name(message.destination).into_owned(),
             endpoint: tried.endpoint.clone(),
             attempt,
-            outcome: tried.outcome.word().into(),
+            outcome: tried.outcome.as_str().into(),
             may_have_run: !tried.outcome.never_ran(),
             then: "waits".into(),
             cause: end.cause.clone(),
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -4,12 +4,12 @@
 //! collects while one runs.
 
 use super::Node;
+use crate::call::{self, Call};
 use crate::events::{LoopEvent, Receipt, SubmitReply, Synced};
-use crate::targets::{self, Call};
-use foldtrack_ends::Result as EndResult;
+use foldtrack_delivery::Outcome;
+use foldtrack_ends::FinalStatus;
 use foldtrack_journal::journal::SyncJob;
-use foldtrack_journal::{Record, Ticket, Unwritten};
-use hatchline::Outcome;
+use foldtrack_journal::{FailedWrite, Record, Ticket};
 use std::collections::HashMap;
 use std::fs::File;
 use tokio::sync::oneshot;
@@ -26,7 +26,7 @@
     pub calls: Vec<(Ticket, Call, oneshot::Receiver<()>)>,
     /// Messages whose outcomes become visible with this group, after which the journal forgets
     /// them.
-    pub ended: Vec<(u64, EndResult)>,
+    pub ended: Vec<(u64, FinalStatus)>,
     /// Sequence number of the last of these outcomes.
     pub last_end: u64,
 }
@@ -68,14 +68,14 @@
 
     /// Handles a disk that fills up during an iteration: messages whose records were not written
     /// are refused and their calls are not made, as if they had never been requested.
-    fn fail_unwritten(&mut self, unwritten: Vec<Unwritten>) {
-        let mut lost: HashMap<Ticket, Unwritten> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
+    fn fail_unwritten(&mut self, unwritten: Vec<FailedWrite>) {
+        let mut lost: HashMap<Ticket, FailedWrite> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
         let collecting = &mut self.group_commit.collecting;
         let (answers, calls) =
             (std::mem::take(&mut collecting.answers), std::mem::take(&mut collecting.calls));
         for (ticket, number, reply) in answers {
             match lost.remove(&ticket) {
-                Some(Unwritten { error, .. }) => {
+                Some(FailedWrite { error, .. }) => {
                     eprintln!("journal: message refused: {error}");
                     let _ = reply.send(self.refusal_for(number));
                     self.forget_message(number);
@@ -85,7 +85,7 @@
         }
         for (ticket, call, cancelled) in calls {
             match lost.remove(&ticket) {
-                Some(Unwritten { error, .. }) => {
+                Some(FailedWrite { error, .. }) => {
                     eprintln!("journal: call not made: {error}");
                     self.take_back_call(call);
                 }
@@ -103,7 +103,7 @@
         self.calls.remove(&(number, attempt));
         let listed = self.targets.end_call(target);
         if let Some((connection, _)) = connection.filter(|_| listed) {
-            self.idle.put(target, connection);
+            self.pool.put(target, connection);
         }
         if let Some(held) = self.messages.get_mut(&number) {
             held.journaled_attempts -= 1;
@@ -117,7 +117,7 @@
         let commit = &mut self.group_commit;
         if !commit.waits_for_sync
             || commit.syncing.is_some()
-            || commit.collecting.is_empty() && !self.journal.wants_sync()
+            || commit.collecting.is_empty() && !self.journal.awaits_sync()
         {
             return;
         }
@@ -128,7 +128,7 @@
                 Err(error) => {
                     // Out of file descriptors: the group waits for the next iteration, and so do
                     // the files prepared for this sync.
-                    self.site.iter_mut().for_each(|s| s.ends.not_synced());
+                    self.site.iter_mut().for_each(|s| s.ends.mark_unsynced());
                     eprintln!("journal: cannot start a sync: {error}");
                     return;
                 }
@@ -147,7 +147,7 @@
     pub(super) fn finish_sync(&mut self, synced: Synced) {
         let Synced { job, result } = synced;
         let stored = result.is_ok();
-        if let Err(error) = self.journal.synced(&job, result) {
+        if let Err(error) = self.journal.sync_finished(&job, result) {
             eprintln!("journal: sync failed, its segments are no longer trusted: {error}");
         }
         if let Some(group) = self.group_commit.syncing.take() {
@@ -167,7 +167,7 @@
                 // The record may or may not survive a power failure. The client keeps the message
                 // and may submit it again under the same id.
                 let _ = reply.send(self.refusal_for(number));
-                self.stage_record(number, &Record::Over);
+                self.stage_record(number, &Record::Finished);
                 self.forget_message(number);
             }
         }
@@ -182,25 +182,25 @@
     /// Starts a call that has waited, unless its deadline has passed or it was cancelled. The call
     /// itself checks whether newer information has overtaken the decision.
     fn release_call(&mut self, call: Call, mut cancelled: oneshot::Receiver<()>, stored: bool) {
-        let still_valid = cancelled.try_recv().is_err() && call.until > Instant::now();
+        let still_valid = cancelled.try_recv().is_err() && call.deadline > Instant::now();
         if stored && still_valid {
-            tokio::spawn(targets::call(call, cancelled, self.events.clone()));
+            tokio::spawn(call::call(call, cancelled, self.events.clone()));
             return;
         }
-        let mut end = call.not_begun(Outcome::NotSent);
+        let mut end = call.unstarted_end(Outcome::NotSent);
         end.reusable_connection = call.connection.map(|(connection, _)| connection);
         self.events.send(LoopEvent::CallEnded(end));
     }
 
     /// Makes outcomes visible to clients, and lets the journal forget their messages if the
     /// outcomes are stored.
-    fn release_outcomes(&mut self, ended: Vec<(u64, EndResult)>, last: u64, stored: bool) {
+    fn release_outcomes(&mut self, ended: Vec<(u64, FinalStatus)>, last: u64, stored: bool) {
         let Some(site) = &mut self.site else { return };
-        site.ends.release(last);
-        site.ends_seen.send_replace(site.ends.last());
+        site.ends.publish(last);
+        site.ends_seen.send_replace(site.ends.last_published());
         for (number, result) in ended {
             if stored {
-                if let Err(error) = self.journal.over_soon(number) {
+                if let Err(error) = self.journal.finish_deferred(number) {
                     eprintln!("journal: {error}");
                 }
             } else {
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -2,12 +2,12 @@
 
 use super::{Acceptance, HeldMessage, Node};
 use crate::events::SubmitReply;
-use crate::notices::Ending;
+use crate::notice_queue::PendingNotice;
 use crate::platform;
 use crate::registry::SubmissionState;
-use foldtrack_ends::{EndRef, Result as EndResult};
-use foldtrack_journal::{Notice, Record};
-use hatchline::{Effect, Micros};
+use foldtrack_delivery::{Effect, Micros};
+use foldtrack_ends::{FinalStatus, MessageOutcomeRef};
+use foldtrack_journal::{FailureNotice, Record};
 use hyper::StatusCode;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -31,12 +31,13 @@
     }
 
     /// Ends a message: by the reply to its client if that is still waiting, otherwise by a notice.
-    pub(super) fn end_message(&mut self, number: u64, notice: Notice) {
+    pub(super) fn end_message(&mut self, number: u64, notice: FailureNotice) {
         let Some(held) = self.messages.remove(&number) else { return };
         if let Acceptance::Undecided(reply) = held.acceptance {
             self.ids.remove(&held.message.id);
             self.release_id(&held.message.id);
-            let retry_in_ms = if let Notice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
+            let retry_in_ms =
+                if let FailureNotice::HandedBack { retry_in_ms } = notice { retry_in_ms } else { 0 };
             let answer = match &mut self.site {
                 Some(site) => {
                     site.release(&held.message);
@@ -55,22 +56,25 @@
             return self.end_undelivered(number, held, notice);
         }
         self.ids.set_state(&held.message.id, SubmissionState::Ended);
-        self.stage_record(number, &Record::Noticed(notice));
-        let ending = Ending { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
+        self.stage_record(number, &Record::FailureNoticed(notice));
+        let ending =
+            PendingNotice { id: held.message.id.clone(), order_key: held.message.order_key(), notice };
         self.notices.insert(number, ending);
     }
 
     /// Ends an accepted message of a site undelivered.
-    pub(super) fn end_undelivered(&mut self, number: u64, held: HeldMessage, notice: Notice) {
+    pub(super) fn end_undelivered(&mut self, number: u64, held: HeldMessage, notice: FailureNotice) {
         let result = match notice {
-            Notice::HandedBack { retry_in_ms } => {
+            FailureNotice::HandedBack { retry_in_ms } => {
                 let delay = self.site.as_ref().map_or(retry_in_ms, |s| s.retry_delay(retry_in_ms));
                 self.handed_back_result(&held, delay)
             }
-            Notice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => EndResult::InDoubt,
+            FailureNotice::GivenUp if held.history.iter().any(|a| !a.outcome.never_ran()) => {
+                FinalStatus::InDoubt
+            }
             // An attempt of an earlier submission of this id may have been executed.
-            Notice::GivenUp if self.harmless_until(&held.message.id).is_some() => EndResult::InDoubt,
-            Notice::GivenUp => EndResult::GivenUp,
+            FailureNotice::GivenUp if self.harmless_until(&held.message.id).is_some() => FinalStatus::InDoubt,
+            FailureNotice::GivenUp => FinalStatus::GivenUp,
         };
         self.stage_outcome(number, held, result);
     }
@@ -79,30 +83,30 @@
     /// and may submit the message again much later. If an attempt may have been executed, a repeat
     /// is harmless only while the partner remembers the idempotency key. If no time is left for
     /// that, the outcome is in doubt.
-    fn handed_back_result(&self, held: &HeldMessage, retry_in_ms: u64) -> EndResult {
+    fn handed_back_result(&self, held: &HeldMessage, retry_in_ms: u64) -> FinalStatus {
         let message = &held.message;
         let class = self.settings.settings.classes.get(message.class);
-        let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window);
+        let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window);
         // The partner may have known the key since the first attempt that can have reached it, in
         // any submission.
         let first = held.history.iter().find(|a| !a.outcome.never_ran()).map(|a| a.at);
         let own =
             first.zip(window).map(|(at, window)| at.saturating_add(window).saturating_sub(DEDUP_MARGIN_US));
         let Some(until) = self.harmless_until(&message.id).into_iter().chain(own).min() else {
-            return EndResult::HandedBack { retry_in_ms };
+            return FinalStatus::HandedBack { retry_in_ms };
         };
         let back = self.clock.unix_time(self.clock.now()) + 1_000 * retry_in_ms + DEDUP_MARGIN_US;
         if back >= until {
-            return EndResult::InDoubt;
+            return FinalStatus::InDoubt;
         }
-        EndResult::HandedBackUntil { retry_in_ms, until }
+        FinalStatus::HandedBackUntil { retry_in_ms, until }
     }
 
     /// Until when a message that was handed back and may have been executed may be submitted again,
     /// Unix time in microseconds.
     pub(super) fn harmless_until(&self, id: &str) -> Option<u64> {
-        match self.site.as_ref()?.ends.look(id).ok().flatten()?.1.result {
-            EndResult::HandedBackUntil { until, .. } => Some(until),
+        match self.site.as_ref()?.ends.find(id).ok().flatten()?.1.result {
+            FinalStatus::HandedBackUntil { until, .. } => Some(until),
             _ => None,
         }
     }
@@ -112,32 +116,32 @@
     pub(super) fn end_delivered(&mut self, number: u64) {
         let Some(held) = self.messages.remove(&number) else { return };
         match self.site {
-            Some(_) => self.stage_outcome(number, held, EndResult::Delivered),
-            None => self.stage_record(number, &Record::Over),
+            Some(_) => self.stage_outcome(number, held, FinalStatus::Delivered),
+            None => self.stage_record(number, &Record::Finished),
         }
     }
 
     /// Stages the outcome of a message; [`Node::commit_outcomes`] writes it at the end of the
     /// iteration.
-    fn stage_outcome(&mut self, number: u64, held: HeldMessage, result: EndResult) {
+    fn stage_outcome(&mut self, number: u64, held: HeldMessage, result: FinalStatus) {
         self.report_id_ended(&held.message.id, result);
         let Some(site) = &mut self.site else { return };
         let message = &held.message;
         let class = self.settings.class_names.get(message.class).map_or("", String::as_str);
         let counts = &mut site.counts;
         let (count, word) = match result {
-            EndResult::Delivered => (&mut counts.delivered, "delivered"),
-            EndResult::GivenUp => (&mut counts.given_up, "given up"),
-            EndResult::InDoubt => (&mut counts.in_doubt, "given up, in doubt"),
-            EndResult::HandedBack { .. } | EndResult::HandedBackUntil { .. } => {
+            FinalStatus::Delivered => (&mut counts.delivered, "delivered"),
+            FinalStatus::GivenUp => (&mut counts.given_up, "given up"),
+            FinalStatus::InDoubt => (&mut counts.in_doubt, "given up, in doubt"),
+            FinalStatus::HandedBack { .. } | FinalStatus::HandedBackUntil { .. } => {
                 (&mut counts.handed_back, "handed back")
             }
         };
         *count += 1;
-        if result == EndResult::Delivered {
+        if result == FinalStatus::Delivered {
             counts.by_partner.entry(message.destination).or_default().0 += 1;
         }
-        if held.attempts > 1 || result != EndResult::Delivered {
+        if held.attempts > 1 || result != FinalStatus::Delivered {
             site.set_followup(number, word);
         }
         let ended = self.clock.unix_time(self.clock.now());
@@ -148,7 +152,7 @@
             }
         }
         let partner = site.partner_name(message.destination).into_owned();
-        let end = EndRef {
+        let end = MessageOutcomeRef {
             number,
             id: &message.id,
             class,
@@ -162,8 +166,10 @@
         site.release(message);
         match result {
             // The client may submit it again under the same id.
-            EndResult::HandedBack { .. } | EndResult::HandedBackUntil { .. } => self.ids.remove(&message.id),
-            EndResult::Delivered => self.ids.set_state(&message.id, SubmissionState::Accepted),
+            FinalStatus::HandedBack { .. } | FinalStatus::HandedBackUntil { .. } => {
+                self.ids.remove(&message.id)
+            }
+            FinalStatus::Delivered => self.ids.set_state(&message.id, SubmissionState::Accepted),
             _ => self.ids.set_state(&message.id, SubmissionState::Ended),
         }
         match site.ends.append(end) {
@@ -178,13 +184,13 @@
     /// write.
     pub(super) fn commit_outcomes(&mut self) {
         let Some(site) = &mut self.site else { return };
-        if !site.ends.is_behind() || site.commit_retry_at > Instant::now() {
+        if !site.ends.has_uncommitted() || site.commit_retry_at > Instant::now() {
             return;
         }
         match site.ends.commit() {
             Ok(()) => {
                 site.journaled_results = 0;
-                let (ended, last) = (std::mem::take(&mut site.staged), site.ends.written());
+                let (ended, last) = (std::mem::take(&mut site.staged), site.ends.last_committed());
                 self.group_commit.collecting.ended.extend(ended);
                 self.group_commit.collecting.last_end = last;
             }
@@ -202,13 +208,13 @@
     }
 
     /// Records in the journal how a message ended whose outcome may not be stored.
-    pub(super) fn journal_result(&mut self, number: u64, result: EndResult) {
+    pub(super) fn journal_result(&mut self, number: u64, result: FinalStatus) {
         let record = match result {
-            EndResult::Delivered => Record::Delivered,
-            EndResult::HandedBack { retry_in_ms } | EndResult::HandedBackUntil { retry_in_ms, .. } => {
-                Record::Noticed(Notice::HandedBack { retry_in_ms })
+            FinalStatus::Delivered => Record::Delivered,
+            FinalStatus::HandedBack { retry_in_ms } | FinalStatus::HandedBackUntil { retry_in_ms, .. } => {
+                Record::FailureNoticed(FailureNotice::HandedBack { retry_in_ms })
             }
-            EndResult::GivenUp | EndResult::InDoubt => Record::Noticed(Notice::GivenUp),
+            FinalStatus::GivenUp | FinalStatus::InDoubt => Record::FailureNoticed(FailureNotice::GivenUp),
         };
         self.stage_record(number, &record);
     }
@@ -218,7 +224,7 @@
     pub(super) fn drop_expired_outcomes(&mut self) {
         let Some(site) = &mut self.site else { return };
         match self.journal.flush() {
-            Ok(()) => site.ends.drop_old(self.clock.unix_time(self.clock.now()), 0),
+            Ok(()) => site.ends.drop_expired(self.clock.unix_time(self.clock.now()), 0),
             Err(error) => eprintln!("journal: {error}"),
         }
     }
@@ -226,25 +232,25 @@
     /// Sends the notices that are due to the platform.
     pub(super) fn send_notices(&mut self) {
         let Some(discovery) = &self.discovery else { return };
-        while let Some((numbers, lines)) = self.notices.next(self.clock.now()) {
+        while let Some((numbers, lines)) = self.notices.next_report(self.clock.now()) {
             tokio::spawn(platform::report(discovery.subscribe(), lines, numbers, self.events.clone()));
         }
     }
 
     /// Handles the platform's answer to a batch of notices.
     pub(super) fn notices_reported(&mut self, numbers: Vec<u64>, status: Option<StatusCode>, to: SocketAddr) {
-        self.notices.came_back();
+        self.notices.report_finished();
         if status != Some(StatusCode::NO_CONTENT) {
             // If discovery has moved meanwhile, the notices go to the new address at once.
             let stays = self.discovery.as_ref().is_some_and(|d| to == *d.borrow());
             if stays {
                 eprintln!("notices: not accepted by discovery: {status:?}");
             }
-            return self.notices.again(numbers, self.clock.now(), stays);
+            return self.notices.requeue(numbers, self.clock.now(), stays);
         }
         let mut keys = HashSet::new();
         for number in numbers {
-            self.stage_record(number, &Record::Over);
+            self.stage_record(number, &Record::Finished);
             keys.extend(self.notices.remove(number).map(|ended| ended.order_key).filter(|key| *key != 0));
         }
         if !keys.is_empty() {
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -5,9 +5,9 @@
 use crate::events::SubmitReply;
 use crate::message::Message;
 use crate::registry::SubmissionState;
-use foldtrack_ends::Result as EndResult;
+use foldtrack_delivery::{Event, Outcome};
+use foldtrack_ends::FinalStatus;
 use foldtrack_journal::{Accepted, Record};
-use hatchline::{Event, Outcome};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
@@ -81,7 +81,7 @@
         }
         let full = self.messages.len() >= self.settings.settings.max_held as usize;
         let reserved = if from_known_client { 0 } else { self.reserved_journal_bytes };
-        if full || !self.journal.has_room(self.fresh_bytes + message.journal_size() + reserved) {
+        if full || !self.journal.has_capacity(self.fresh_bytes + message.journal_size() + reserved) {
             return Some(self.refusal(message.destination));
         }
         let held = self.messages.len();
@@ -104,13 +104,13 @@
     /// again.
     fn reply_from_outcome(&self, id: &str) -> Option<SubmitReply> {
         let site = self.site.as_ref()?;
-        let (_, end) = site.ends.look(id).ok().flatten()?;
+        let (_, end) = site.ends.find(id).ok().flatten()?;
         match end.result {
-            EndResult::Delivered => Some(SubmitReply::Duplicate { over: false }),
-            EndResult::GivenUp | EndResult::InDoubt => Some(SubmitReply::Duplicate { over: true }),
-            EndResult::HandedBack { .. } => None,
+            FinalStatus::Delivered => Some(SubmitReply::Duplicate { over: false }),
+            FinalStatus::GivenUp | FinalStatus::InDoubt => Some(SubmitReply::Duplicate { over: true }),
+            FinalStatus::HandedBack { .. } => None,
             // The partner may have forgotten the key: the message could take effect twice.
-            EndResult::HandedBackUntil { until, .. } => (self.clock.unix_time(self.clock.now()) >= until)
+            FinalStatus::HandedBackUntil { until, .. } => (self.clock.unix_time(self.clock.now()) >= until)
                 .then_some(SubmitReply::Duplicate { over: true }),
         }
     }
@@ -118,7 +118,7 @@
     /// The refusal when there is no capacity or no endpoint, with the delay after which the
     /// scheduler expects capacity.
     pub(super) fn refusal(&mut self, destination: u32) -> SubmitReply {
-        let wait = self.brain.advice(destination).div_ceil(1000);
+        let wait = self.scheduler.advised_wait(destination).div_ceil(1000);
         self.site.as_mut().map_or(SubmitReply::Refused { retry_in_ms: 0 }, |s| s.refusal(wait))
     }
 
@@ -168,7 +168,7 @@
     /// has disconnected before, the message is not accepted.
     pub(super) fn reply_finished(&mut self, number: u64, written: bool) {
         if !written {
-            self.stage_record(number, &Record::Over);
+            self.stage_record(number, &Record::Finished);
             if let Some((held, _)) = self.site.as_mut().and_then(|s| s.pending.remove(&number)) {
                 self.ids.remove(&held.message.id);
                 self.release_id(&held.message.id);
@@ -200,6 +200,6 @@
         if let Some(PendingSend { attempt, target, .. }) = held.pending_send {
             self.report_outcome(number, attempt, target, Outcome::NotSent, true);
         }
-        self.notify_scheduler(Event::Lapsed { id: number });
+        self.notify_scheduler(Event::Abandoned { id: number });
     }
 }
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -13,26 +13,28 @@
 mod restore;
 mod shutdown;
 
-use crate::clients::{self, Desk};
+use crate::call::{yield_to_socket_reads, STALL_THRESHOLD};
+use crate::client_server::{self, ServerContext};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::connections::{IdleConnections, Keeping};
-use crate::descriptors::{half, Descriptors};
-use crate::ends_api::Fronts;
+use crate::connections::{ConnectionPool, PoolSettings};
+use crate::descriptors::{client_share, DescriptorBudget};
+use crate::ends_api::EndsApi;
 use crate::events::{EventSender, LoopEvent, Stage, SubmitReply};
 use crate::list::{ServerList, ServerState};
 use crate::membership::Membership;
 use crate::message::Message;
-use crate::notices::Notices;
+use crate::notice_queue::NoticeQueue;
+use crate::partner_protocol::PartnerProtocols;
 use crate::registry::{MessageIds, Targets};
-use crate::speech::Speeches;
-use crate::targets::{read_what_has_come, STOOD_STILL};
 use appliance::{SiteRuntime, MAX_NAME_BYTES};
-use foldtrack_admission::Party;
+use foldtrack_admission::DescriptorUser;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{
+    Action, DeliveryScheduler, Endpoint, EndpointState, Event, ListKind, Micros, TargetId,
+};
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{Folder, Journal, Options};
-use hatchline::settings::Parsed;
-use hatchline::{Action, Brain, Endpoint, EndpointState, Event, ListKind, Micros, TargetId};
+use foldtrack_journal::{Journal, JournalDir, JournalOptions};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -101,8 +103,8 @@
 /// The event loop's state.
 struct Node {
     clock: Clock,
-    brain: Brain,
-    settings: Arc<Parsed>,
+    scheduler: DeliveryScheduler,
+    settings: Arc<DeploymentSettings>,
     journal: Journal,
     events: EventSender,
     membership: Box<dyn Membership>,
@@ -125,14 +127,14 @@
     fresh: Vec<u64>,
     /// Bytes of the messages in `fresh`, which the journal has not counted yet.
     fresh_bytes: usize,
-    notices: Notices,
+    notices: NoticeQueue,
     /// Messages whose send was decided on and has not started.
     pending_sends: BTreeSet<u64>,
     /// Cancellation of each call, by message and attempt.
     calls: BTreeMap<(u64, u32), oneshot::Sender<()>>,
-    idle: IdleConnections,
-    descriptors: Arc<Descriptors>,
-    speeches: Speeches,
+    pool: ConnectionPool,
+    descriptors: Arc<DescriptorBudget>,
+    partner_protocols: PartnerProtocols,
     /// Number of connections opened ahead of demand so far.
     next_preconnect: u64,
     last_sweep: Instant,
@@ -160,43 +162,43 @@
         Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &events)?),
         None => None,
     };
-    let ready = others.as_ref().map(|(_, hands)| hands.ready.clone());
-    let (ends_seen, fronts) = fronts(&config);
+    let ready = others.as_ref().map(|(_, io)| io.ready.clone());
+    let (ends_seen, ends_api) = ends_api(&config);
     let settings = Arc::new(config.settings);
     let max_attempts = settings.settings.max_attempts;
     let slots = settings.settings.slots as usize;
-    let keeping = config.site.as_ref().map(|parts| Keeping {
-        ahead: parts.site.calls.open_ahead,
-        most: (slots / 4).max(2),
-        age: Duration::from_micros(parts.site.calls.connection_age),
+    let pool_settings = config.site.as_ref().map(|parts| PoolSettings {
+        preconnect: parts.site.calls.open_ahead,
+        max_per_target: (slots / 4).max(2),
+        max_age: Duration::from_micros(parts.site.calls.connection_age),
     });
     let site = config.site.map(|parts| SiteRuntime::new(parts, ends_seen, config.memory_bytes as u64));
     let name = if site.is_some() { MAX_NAME_BYTES } else { 0 };
-    let options = Options {
-        room: config.disk_bytes,
-        attempts: max_attempts,
-        name,
+    let options = JournalOptions {
+        capacity_bytes: config.disk_bytes,
+        max_attempts,
+        max_endpoint_name_len: name,
         durable: config.durable,
         identity: config.seed,
     };
-    let disk = Folder::new(&config.state)?.within(config.disk_budget);
+    let disk = JournalDir::new(&config.state)?.with_budget(config.disk_budget);
     let (journal, restored) = Journal::open_on(disk, options)?;
     // Stored outcomes may hold numbers of messages that the journal has forgotten. A number is
     // never used twice.
-    let highest = journal.highest().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
+    let highest = journal.highest_number().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
     let (stage, stage_seen) = watch::channel(Stage::Serving);
-    let share = half(config.sockets);
-    let conn_idle = Duration::from_micros(settings.settings.connection_idle);
+    let share = client_share(config.sockets);
+    let conn_idle = Duration::from_micros(settings.settings.idle_timeout);
     let mut node = Node {
         clock,
-        brain: Brain::new(clock.now(), config.seed, settings.settings.clone()),
+        scheduler: DeliveryScheduler::new(clock.now(), config.seed, settings.settings.clone()),
         settings: settings.clone(),
         journal,
         events: events.clone(),
         membership: config.membership,
         discovery: config.discovery,
         site: site.map(Box::new),
-        peers: others.map(|(peers, hands)| peers::PeerState::new(peers, hands)),
+        peers: others.map(|(peers, io)| peers::PeerState::new(peers, io)),
         group_commit: durable::GroupCommit::new(config.durable),
         scan: picture::SnapshotScan::default(),
         lists_received: 0,
@@ -204,12 +206,17 @@
         messages: BTreeMap::new(),
         fresh: Vec::new(),
         fresh_bytes: 0,
-        notices: Notices::default(),
+        notices: NoticeQueue::default(),
         pending_sends: BTreeSet::new(),
         calls: BTreeMap::new(),
-        idle: IdleConnections::new(conn_idle, share.saturating_sub(slots).max(share / 4), keeping, clock),
+        pool: ConnectionPool::new(
+            conn_idle,
+            share.saturating_sub(slots).max(share / 4),
+            pool_settings,
+            clock,
+        ),
         descriptors: config.descriptors,
-        speeches: config.speeches,
+        partner_protocols: config.partner_protocols,
         next_preconnect: 0,
         last_sweep: Instant::now(),
         targets: Targets::default(),
@@ -234,18 +241,27 @@
     if reports_updates {
         batch.extend(timeout(FIRST_LIST_TIMEOUT, receiver.recv()).await.ok().flatten());
     }
-    let listener = clients::listen(config.listen)?;
+    let listener = client_server::listen(config.listen)?;
     let bodies = Semaphore::new(config.memory_bytes / BODY_MEMORY_DIVISOR);
-    let bodies_of_others = Semaphore::new(config.memory_bytes / BODY_MEMORY_DIVISOR / 2);
-    let desk = Desk { settings, clock, events, stage: stage_seen, bodies, bodies_of_others, fronts, ready };
-    tokio::spawn(clients::serve(listener, Arc::new(desk), config.places));
+    let unknown_client_bodies = Semaphore::new(config.memory_bytes / BODY_MEMORY_DIVISOR / 2);
+    let context = ServerContext {
+        settings,
+        clock,
+        events,
+        stage: stage_seen,
+        bodies,
+        unknown_client_bodies,
+        ends_api,
+        ready,
+    };
+    tokio::spawn(client_server::serve(listener, Arc::new(context), config.client_connections));
     while !node.has_ended() {
         let started = Instant::now();
         node.run_iteration(&mut batch);
         if let Some(site) = &mut node.site {
             site.longest_iteration = site.longest_iteration.max(started.elapsed());
         }
-        let stalled = started.elapsed() > STOOD_STILL;
+        let stalled = started.elapsed() > STALL_THRESHOLD;
         let wake = node.next_wakeup();
         tokio::select! {
             biased;
@@ -254,27 +270,27 @@
         }
         // The iteration was delayed by the disk, or the timer fired late. Answers that arrived
         // meanwhile are read before the next decision.
-        if stalled || Instant::now() > wake + STOOD_STILL {
-            read_what_has_come().await;
+        if stalled || Instant::now() > wake + STALL_THRESHOLD {
+            yield_to_socket_reads().await;
         }
     }
     // Clients whose submission no iteration has seen get a reply instead of a closed connection:
     // their messages were not accepted.
     drop(receiver);
     drop(batch);
-    read_what_has_come().await;
+    yield_to_socket_reads().await;
     Ok(())
 }
 
 /// State of the HTTP API of a site: the sequence number of the latest outcome, and the names of the
 /// partners.
-fn fronts(config: &Config) -> (watch::Sender<u64>, Option<Fronts>) {
+fn ends_api(config: &Config) -> (watch::Sender<u64>, Option<EndsApi>) {
     let (ends_seen, seen) = watch::channel(0);
     let partners = config.site.as_ref().map(|parts| {
         let named = |p: &foldtrack_site::Partner| (p.name.clone(), p.number());
         parts.site.partners.iter().map(named).collect()
     });
-    (ends_seen, partners.map(|partners| Fronts::new(partners, seen)))
+    (ends_seen, partners.map(|partners| EndsApi::new(partners, seen)))
 }
 
 impl Node {
@@ -291,7 +307,7 @@
             self.timers.pop_first();
             self.notify_scheduler(Event::Timer { token });
         }
-        self.brain.decide(self.clock.now(), &mut self.actions);
+        self.scheduler.decide(self.clock.now(), &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
             self.execute(action);
         }
@@ -306,23 +322,23 @@
         if self.last_sweep.elapsed() > SWEEP_INTERVAL {
             self.last_sweep = Instant::now();
             self.drop_expired_outcomes();
-            for target in self.idle.sweep() {
+            for target in self.pool.sweep() {
                 self.preconnect(target);
             }
-            for _ in 0..self.descriptors.over(Party::Calls) {
-                self.idle.drop_oldest();
+            for _ in 0..self.descriptors.excess(DescriptorUser::Calls) {
+                self.pool.drop_oldest();
             }
             let (now, keep) = (self.clock.now(), self.retention());
             self.ids.forget(now, self.max_ids);
             for number in self.targets.remove_stale(now, now - keep) {
-                self.idle.close(number);
+                self.pool.close(number);
             }
         }
     }
 
     /// Compacts the journal for a short part of each iteration.
     fn compact_journal(&mut self) {
-        if let Err(error) = self.journal.step(std::time::Instant::now() + COMPACTION_TIME_LIMIT) {
+        if let Err(error) = self.journal.compact_step(std::time::Instant::now() + COMPACTION_TIME_LIMIT) {
             eprintln!("journal: {error}");
         }
     }
@@ -334,7 +350,7 @@
     }
 
     fn notify_scheduler(&mut self, event: Event) {
-        self.brain.handle(self.clock.now(), event, &mut self.actions);
+        self.scheduler.handle(self.clock.now(), event, &mut self.actions);
     }
 
     fn handle_event(&mut self, input: LoopEvent) {
@@ -346,7 +362,7 @@
             LoopEvent::CallEnded(end) => self.call_ended(end),
             LoopEvent::Preconnected { target, number, opened } => {
                 let open = self.targets.is_open(target);
-                self.idle.opened(target, number, opened.filter(|_| open));
+                self.pool.preconnect_finished(target, number, opened.filter(|_| open));
             }
             // A list that the previous address sent before discovery moved is ignored.
             LoopEvent::List { from, .. } if self.discovery.as_ref().is_none_or(|d| from != *d.borrow()) => {}
@@ -359,7 +375,7 @@
                 if let Some(discovery) = &self.discovery {
                     discovery.send_replace(address);
                 }
-                self.notices.moved();
+                self.notices.reset_pause();
             }
             LoopEvent::SiteRequest(ask) => self.handle_request(ask),
             LoopEvent::JournalSynced(synced) => self.finish_sync(synced),
@@ -387,12 +403,13 @@
         for line in list.servers {
             let zone = index(&self.settings.zone_names, &line.zone);
             let kind = index(&self.settings.kind_names, &line.kind);
-            let apart = self.settings.settings.routes_apart.get(kind as usize).copied().unwrap_or(false);
+            let apart =
+                self.settings.settings.independent_routes.get(kind as usize).copied().unwrap_or(false);
             let Some((target, replaced)) = self.targets.assign(&line, zone, apart) else { continue };
             listed.insert(target);
             if let Some(target) = replaced {
                 // The same id at another address is a different target.
-                self.idle.close(target);
+                self.pool.close(target);
                 let (destination, state) = (line.cell, EndpointState::Gone);
                 endpoints.push(Endpoint { target, destination, state, ..Endpoint::default() });
             }
@@ -424,12 +441,14 @@
         // Actions that were issued after the scheduler's last decision are carried out at once,
         // without waiting for the next event.
         let pending_actions = !self.actions.is_empty();
-        if pending_actions || self.scan.is_running() || self.journal.is_owing() && !self.journal.wants_sync()
+        if pending_actions
+            || self.scan.is_running()
+            || self.journal.has_compaction_work() && !self.journal.awaits_sync()
         {
             return Instant::now();
         }
         let timer = self.timers.first().map(|(at, _)| self.clock.instant(*at));
-        let reports = self.notices.due().map(|from| self.clock.instant(from));
+        let reports = self.notices.next_due().map(|from| self.clock.instant(from));
         let wakes = [timer, reports, self.next_shutdown_step(), self.peers_next_due()];
         wakes.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + SWEEP_INTERVAL)
     }
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -3,9 +3,9 @@
 use super::Node;
 use crate::events::SiteRequest;
 use foldtrack_control::{Done, Error};
+use foldtrack_delivery::ListKind;
 use foldtrack_ends::Fetched;
-use foldtrack_membership::{Change, Order, Trouble};
-use hatchline::ListKind;
+use foldtrack_membership::{Change, Order, OrderError};
 use std::io;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
         let now = self.clock.unix_time(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
-            if self.speeches.shows_secrets(partner, *address) {
+            if self.partner_protocols.exposes_secrets(partner, *address) {
                 let text = format!("{partner} is called without TLS, and {address} is not on this machine: its secret would be sent in plain text");
                 return drop(reply.send(Err(error("refused", text))));
             }
@@ -53,16 +53,16 @@
         if self.peers.is_some() {
             return self.publish_order(order, reply);
         }
-        let change = match self.membership.order(now, &order) {
+        let change = match self.membership.apply_order(now, &order) {
             Ok(change) => change,
             Err(why) => return drop(reply.send(Err(Self::order_error(&why)))),
         };
-        if change == Change::Done {
+        if change == Change::Applied {
             self.apply_list(self.membership.current_list(), ListKind::Full);
         }
         self.record_closed(&order);
         let done = self.order_reply(&order, change);
-        let file = self.membership.file();
+        let file = self.membership.sync_handle();
         tokio::task::spawn_blocking(move || {
             let synced = file.and_then(|file| file.sync_data());
             let told = synced.map(|()| done).map_err(|e| {
@@ -73,22 +73,22 @@
     }
 
     /// The control protocol's error for a failed order.
-    pub(super) fn order_error(error: &Trouble) -> Error {
-        let code = if matches!(error, Trouble::Refused(_)) { "refused" } else { "not_kept" };
+    pub(super) fn order_error(error: &OrderError) -> Error {
+        let code = if matches!(error, OrderError::Rejected(_)) { "refused" } else { "not_kept" };
         Error { code: code.into(), text: error.to_string() }
     }
 
     /// Records when an order has closed endpoints.
     pub(super) fn record_closed(&mut self, order: &Order) {
         let (Some(site), Some(state)) = (&mut self.site, self.membership.state()) else { return };
-        site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.is_open(e)));
+        site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.accepts_calls(e)));
         let concerns = |name: &String, partner: &String| match order {
             Order::Drain { endpoint } => endpoint == name,
             Order::PausePartner { partner: paused } => paused == partner,
             _ => false,
         };
         for (name, endpoint) in state.endpoints() {
-            if concerns(name, &endpoint.partner) && !state.is_open(endpoint) {
+            if concerns(name, &endpoint.partner) && !state.accepts_calls(endpoint) {
                 site.closed.entry(name.clone()).or_insert_with(Instant::now);
             }
         }
@@ -112,7 +112,7 @@
         let number = partner.and_then(|p| state?.partners().get(p)).map(|p| p.number);
         let held = self.messages.values().filter(|h| Some(h.message.destination) == number).count() as u32;
         Done {
-            changed: change == Change::Done,
+            changed: change == Change::Applied,
             version: state.map_or(0, |s| s.version()),
             calls,
             held,
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -6,16 +6,16 @@
 use crate::events::{LoopEvent, SiteRequest, SubmitReply};
 use crate::list::ServerList;
 use crate::message::Message;
-use crate::peers::Hands;
+use crate::peers::PeerIo;
 use foldtrack_control::{Done, Error, Peer, Peers as PeersView, SiteState, Statement};
-use foldtrack_ends::{End, Result as EndResult};
-use foldtrack_membership::{Change, EndpointState, Order, Trouble};
-use foldtrack_peers::claims::{key, Effect, Key, Verdict, Word as EndWord, REMEMBERED};
-use foldtrack_peers::fact::{Aspect, Fact, Subject, Word};
+use foldtrack_delivery::ListKind;
+use foldtrack_ends::{FinalStatus, MessageOutcome};
+use foldtrack_membership::{Change, EndpointState, Order, OrderError};
+use foldtrack_peers::claims::{message_key, ClaimOutcome, ClaimResult, Effect, Key, RETENTION_MS};
+use foldtrack_peers::fact::{Aspect, Fact, FactAction, Subject};
 use foldtrack_peers::ledger::Presence;
 use foldtrack_peers::orders::{Refusal, Settled};
 use foldtrack_peers::{Output, Peers};
-use hatchline::ListKind;
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 /// The event loop's view of the peers.
 pub(super) struct PeerState {
     peers: Peers,
-    hands: Hands,
+    io: PeerIo,
     pending_orders: HashMap<u64, PendingOrder>,
     next_order: u64,
     /// Messages whose ids are being claimed, with the replies that their clients wait for.
@@ -59,10 +59,10 @@
 }
 
 impl PeerState {
-    pub fn new(peers: Peers, hands: Hands) -> Box<PeerState> {
+    pub fn new(peers: Peers, io: PeerIo) -> Box<PeerState> {
         Box::new(PeerState {
             peers,
-            hands,
+            io,
             pending_orders: HashMap::new(),
             next_order: 1,
             pending_claims: HashMap::new(),
@@ -71,17 +71,17 @@
 }
 
 /// The fact that an order publishes: its subject and word.
-fn fact_of_order(order: &Order) -> (Subject, Word) {
+fn fact_of_order(order: &Order) -> (Subject, FactAction) {
     let endpoint = |name: &String| Subject::Endpoint(name.clone());
     let partner = |name: &String| Subject::Partner(name.clone());
     match order {
-        Order::Drain { endpoint: name } => (endpoint(name), Word::Close { for_ms: 0 }),
-        Order::Resume { endpoint: name } => (endpoint(name), Word::Open),
-        Order::PausePartner { partner: name } => (partner(name), Word::Close { for_ms: 0 }),
-        Order::ResumePartner { partner: name } => (partner(name), Word::Open),
-        Order::Remove { endpoint: name } => (endpoint(name), Word::Remove),
+        Order::Drain { endpoint: name } => (endpoint(name), FactAction::Close { for_ms: 0 }),
+        Order::Resume { endpoint: name } => (endpoint(name), FactAction::Open),
+        Order::PausePartner { partner: name } => (partner(name), FactAction::Close { for_ms: 0 }),
+        Order::ResumePartner { partner: name } => (partner(name), FactAction::Open),
+        Order::Remove { endpoint: name } => (endpoint(name), FactAction::Remove),
         Order::Add { partner, endpoint: name, address } => {
-            (endpoint(name), Word::Add { partner: partner.clone(), address: *address })
+            (endpoint(name), FactAction::Add { partner: partner.clone(), address: *address })
         }
     }
 }
@@ -105,13 +105,13 @@
         let imports = self.local_orders();
         let Some(peer_state) = &mut self.peers else { return };
         // A block that survived the process has its remaining time in its own record.
-        for (network, left) in peer_state.hands.blocks.standing() {
-            peer_state.peers.left(&Subject::Network(network.to_string()), left);
+        for (network, left) in peer_state.io.blocks.active() {
+            peer_state.peers.set_remaining_closure(&Subject::Network(network.to_string()), left);
         }
         if peer_state.peers.ledger().is_empty() {
             for (subject, word) in imports {
                 if let Err(refusal) = peer_state.peers.import(now, at, subject, word) {
-                    peer_state.hands.tell("not_stated", &refusal.to_string());
+                    peer_state.io.report("not_stated", &refusal.to_string());
                 }
             }
         }
@@ -129,7 +129,7 @@
     pub(super) async fn wait_for_peers(
         &mut self, receiver: &mut UnboundedReceiver<LoopEvent>, deferred: &mut Vec<LoopEvent>,
     ) {
-        while self.peers.as_ref().is_some_and(|s| !s.hands.ready.load(Ordering::Relaxed)) {
+        while self.peers.as_ref().is_some_and(|s| !s.io.ready.load(Ordering::Relaxed)) {
             let due = self.peers_next_due().unwrap_or_else(Instant::now);
             tokio::select! {
                 input = receiver.recv() => match input {
@@ -155,33 +155,36 @@
 
     /// Whether this forwarder runs on an older copy of its state folder.
     pub(super) fn has_stale_folder(&self) -> bool {
-        self.peers.as_ref().is_some_and(|s| s.peers.is_old_state())
+        self.peers.as_ref().is_some_and(|s| s.peers.has_stale_state())
     }
 
     /// The orders that distinguish this forwarder's list from its site file, as facts.
-    fn local_orders(&self) -> Vec<(Subject, Word)> {
+    fn local_orders(&self) -> Vec<(Subject, FactAction)> {
         let Some(state) = self.membership.state() else { return Vec::new() };
         let mut statements = Vec::new();
         for (name, endpoint) in state.endpoints() {
             let subject = Subject::Endpoint(name.clone());
             let listed = state.site().endpoints.get(name);
             if listed.is_none_or(|l| l.address != endpoint.address || l.partner != endpoint.partner) {
-                let word = Word::Add { partner: endpoint.partner.clone(), address: endpoint.address };
+                let word = FactAction::Add { partner: endpoint.partner.clone(), address: endpoint.address };
                 statements.push((subject.clone(), word));
             }
             if endpoint.state == EndpointState::Draining {
-                statements.push((subject, Word::Close { for_ms: 0 }));
+                statements.push((subject, FactAction::Close { for_ms: 0 }));
             }
         }
         let removed = state.site().endpoints.keys().filter(|name| !state.endpoints().contains_key(*name));
-        statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), Word::Remove)));
+        statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), FactAction::Remove)));
         let paused = state.partners().iter().filter(|(_, p)| p.paused);
-        let blocks = self.peers.iter().flat_map(|peer_state| peer_state.hands.blocks.standing());
+        let blocks = self.peers.iter().flat_map(|peer_state| peer_state.io.blocks.active());
         let blocks = blocks.filter(|(_, left)| *left > 0);
         statements.extend(
-            blocks.map(|(network, for_ms)| (Subject::Network(network.to_string()), Word::Close { for_ms })),
+            blocks.map(|(network, for_ms)| {
+                (Subject::Network(network.to_string()), FactAction::Close { for_ms })
+            }),
         );
-        statements.extend(paused.map(|(n, _)| (Subject::Partner(n.clone()), Word::Close { for_ms: 0 })));
+        statements
+            .extend(paused.map(|(n, _)| (Subject::Partner(n.clone()), FactAction::Close { for_ms: 0 })));
         statements
     }
 
@@ -189,7 +192,7 @@
     pub(super) fn handle_datagram(&mut self, bytes: &[u8]) {
         let now = self.now_ms();
         let Some(peer_state) = &mut self.peers else { return };
-        peer_state.hands.taken_out();
+        peer_state.io.datagram_dequeued();
         peer_state.peers.datagram(now, bytes);
     }
 
@@ -197,7 +200,7 @@
     pub(super) fn peer_records_stored(&mut self, ticket: u64) {
         let now = self.now_ms();
         if let Some(peer_state) = &mut self.peers {
-            peer_state.peers.kept(now, ticket);
+            peer_state.peers.persisted(now, ticket);
         }
     }
 
@@ -225,25 +228,25 @@
             peer_state.peers.tick(now);
         }
         let ready = peer_state.peers.is_ready(now);
-        peer_state.hands.ready.store(ready, Ordering::Relaxed);
+        peer_state.io.ready.store(ready, Ordering::Relaxed);
         for output in peer_state.peers.outputs() {
             let Some(peer_state) = &mut self.peers else { return };
             match output {
-                Output::Send(to, bytes) => peer_state.hands.send(to, &bytes),
-                Output::Keep(ticket, records) => peer_state.hands.keep(ticket, records),
-                Output::Changed(subject) => self.apply_facts(&subject),
-                Output::KeepClaims(records) => {
-                    let (peers, hands) = (&peer_state.peers, &mut peer_state.hands);
-                    hands.keep_claims(&records, || peers.standing_claims());
+                Output::Send(to, bytes) => peer_state.io.send(to, &bytes),
+                Output::Persist(ticket, records) => peer_state.io.persist(ticket, records),
+                Output::SubjectChanged(subject) => self.apply_facts(&subject),
+                Output::PersistClaims(records) => {
+                    let (peers, io) = (&peer_state.peers, &mut peer_state.io);
+                    io.persist_claims(&records, || peers.claim_snapshot());
                 }
-                Output::ClaimsWhole(whole) => {
-                    peer_state.hands.claims_whole(whole, &peer_state.peers.standing_claims())
+                Output::ClaimLogComplete(whole) => {
+                    peer_state.io.set_claim_log_complete(whole, &peer_state.peers.claim_snapshot())
                 }
-                Output::Hold(partner, until) => self.hold_partner(partner, until * 1000),
+                Output::HoldPartner(partner, until) => self.hold_partner(partner, until * 1000),
                 Output::Claim(key, verdict) => self.claim_settled(key, verdict),
-                Output::Aside(fact) => self.store_discarded_fact(&fact),
+                Output::Discarded(fact) => self.store_discarded_fact(&fact),
                 Output::Settled(number, result) => self.order_settled(number, result),
-                Output::Event(event) => peer_state.hands.tell(event.kind, &event.text),
+                Output::Event(event) => peer_state.io.report(event.kind, &event.text),
             }
         }
     }
@@ -252,12 +255,12 @@
     /// opens something takes effect once a majority has reported what it knows. The reply is sent
     /// when the order is stored here and at one other peer, or after a timeout.
     pub(super) fn publish_order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let validated = self.membership.judge(&order);
+        let validated = self.membership.validate(&order);
         let change = match validated {
             Ok(change) => change,
             Err(trouble) => return drop(reply.send(Err(Self::order_error(&trouble)))),
         };
-        if change == Change::Already {
+        if change == Change::Unchanged {
             return drop(reply.send(Ok(self.order_reply(&order, change))));
         }
         let (subject, word) = fact_of_order(&order);
@@ -267,17 +270,17 @@
     /// Publishes a fact for an operator who waits for the reply. `order` is none for a network,
     /// because blocks are not part of the membership.
     fn publish_fact(
-        &mut self, subject: Subject, word: Word, order: Option<(Order, Change)>,
+        &mut self, subject: Subject, word: FactAction, order: Option<(Order, Change)>,
         reply: oneshot::Sender<Result<Done, Error>>,
     ) {
         let (now, at) = (self.now_ms(), self.clock.unix_time(self.clock.now()));
         let Some(peer_state) = &mut self.peers else { return };
         let number = peer_state.next_order;
         peer_state.next_order += 1;
-        let published = if word.is_safer() {
-            peer_state.peers.close(now, number, at, subject, word).map(drop)
+        let published = if word.is_restrictive() {
+            peer_state.peers.order_restrictive(now, number, at, subject, word).map(drop)
         } else {
-            peer_state.peers.open(now, number, at, subject, word);
+            peer_state.peers.order_permissive(now, number, at, subject, word);
             Ok(())
         };
         match published {
@@ -304,11 +307,11 @@
         let Some(peer_state) = &self.peers else { return drop(reply.send(Ok(Done::default()))) };
         let subject = Subject::Network(network);
         let word = match for_ms {
-            Some(for_ms) => Word::Close { for_ms },
-            None if peer_state.peers.verdict(&subject).closed.is_none() => {
+            Some(for_ms) => FactAction::Close { for_ms },
+            None if peer_state.peers.subject_state(&subject).closed.is_none() => {
                 return drop(reply.send(Ok(Done::default())));
             }
-            None => Word::Open,
+            None => FactAction::Open,
         };
         self.publish_fact(subject, word, None, reply);
     }
@@ -317,23 +320,23 @@
     fn apply_network_facts(&mut self, subject: &Subject) {
         let Some(peer_state) = &self.peers else { return };
         let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
-        let verdict = peer_state.peers.verdict(subject);
+        let verdict = peer_state.peers.subject_state(subject);
         if verdict.closed.is_none() {
-            if verdict.opened && peer_state.hands.blocks.lift(&network) {
-                peer_state.hands.blocks.keep_later();
+            if verdict.opened && peer_state.io.blocks.remove(&network) {
+                peer_state.io.blocks.save_in_background();
             }
             return;
         }
-        let left = peer_state.peers.closed_for(subject);
-        let standing = peer_state.hands.blocks.standing();
+        let left = peer_state.peers.remaining_closure_ms(subject);
+        let standing = peer_state.io.blocks.active();
         if standing
             .iter()
             .any(|(known, for_ms)| *known == network && for_ms.abs_diff(left) < EXPIRY_TOLERANCE_MS)
         {
             return;
         }
-        match peer_state.hands.blocks.hold(network, left) {
-            Ok(()) => peer_state.hands.blocks.keep_later(),
+        match peer_state.io.blocks.apply(network, left) {
+            Ok(()) => peer_state.io.blocks.save_in_background(),
             Err(problem) => {
                 self.report_event("no_effect", &format!("{network} is not blocked here: {problem}"))
             }
@@ -376,7 +379,7 @@
     /// Applies here what all facts about a subject add up to.
     fn apply_facts(&mut self, subject: &Subject) {
         let Some(peer_state) = &self.peers else { return };
-        let verdict = peer_state.peers.verdict(subject);
+        let verdict = peer_state.peers.subject_state(subject);
         match subject {
             Subject::Endpoint(name) => {
                 self.apply_presence(name, verdict.presence.as_ref());
@@ -409,12 +412,12 @@
         let current = current.map(|e| (e.partner.clone(), e.address));
         let endpoint = name.to_string();
         match (presence, current) {
-            (Some(Presence::Gone), Some(_)) => self.apply_local_order(&Order::Remove { endpoint }),
-            (Some(Presence::At { partner, address }), current) => {
+            (Some(Presence::Removed), Some(_)) => self.apply_local_order(&Order::Remove { endpoint }),
+            (Some(Presence::Added { partner, address }), current) => {
                 if current.as_ref() == Some(&(partner.clone(), *address)) {
                     return;
                 }
-                if self.speeches.shows_secrets(partner, *address) {
+                if self.partner_protocols.exposes_secrets(partner, *address) {
                     let text = format!(
                         "{name} at {address} is not called from here: {partner} is called without TLS, and its secret \
                          would be sent in plain text"
@@ -433,7 +436,7 @@
     /// Reports an event to operators.
     fn report_event(&self, kind: &str, text: &str) {
         if let Some(peer_state) = &self.peers {
-            peer_state.hands.tell(kind, text);
+            peer_state.io.report(kind, text);
         }
     }
 
@@ -441,13 +444,13 @@
     /// it as well, for a start without the peers.
     fn apply_local_order(&mut self, order: &Order) {
         let now = self.clock.unix_time(self.clock.now());
-        match self.membership.order(now, order) {
-            Ok(Change::Done) => {
+        match self.membership.apply_order(now, order) {
+            Ok(Change::Applied) => {
                 self.apply_list(self.membership.current_list(), ListKind::Full);
                 self.record_closed(order);
             }
-            Ok(Change::Already) => {}
-            Err(Trouble::Refused(refusal)) => {
+            Ok(Change::Unchanged) => {}
+            Err(OrderError::Rejected(refusal)) => {
                 // The site files differ. A fact about something that does not exist here is kept
                 // until it does.
                 self.report_event("no_effect", &format!("an order has no effect here: {refusal}"));
@@ -458,18 +461,18 @@
 
     /// Tells the peers that a partner has asked this forwarder to wait for this long, in
     /// microseconds.
-    pub(super) fn share_wait(&mut self, partner: u32, wait: hatchline::Micros) {
+    pub(super) fn share_wait(&mut self, partner: u32, wait: foldtrack_delivery::Micros) {
         let now = self.now_ms();
         if let Some(peer_state) = self.peers.as_mut().filter(|_| wait > 0) {
-            peer_state.peers.told_to_wait(now, partner, wait / 1000);
+            peer_state.peers.share_wait(now, partner, wait / 1000);
         }
     }
 
     /// Holds calls to a partner until this time, because it has told another forwarder to wait. A
     /// random extra time keeps the forwarders from returning all at once.
-    fn hold_partner(&mut self, partner: u32, until: hatchline::Micros) {
+    fn hold_partner(&mut self, partner: u32, until: foldtrack_delivery::Micros) {
         let span = until.saturating_sub(self.clock.now());
-        let until = until + (span as f64 * MAX_HOLD_JITTER * fastrand::f64()) as hatchline::Micros;
+        let until = until + (span as f64 * MAX_HOLD_JITTER * fastrand::f64()) as foldtrack_delivery::Micros;
         let mut lines = self.membership.current_list().servers;
         lines.retain(|line| line.cell == partner);
         lines.iter_mut().for_each(|line| line.hold_until = until);
@@ -485,12 +488,12 @@
         let now = self.now_ms();
         let class = &self.settings.settings.classes[message.class];
         let effect = match class.effect {
-            hatchline::Effect::Repeatable => return Some((message, reply)),
-            hatchline::Effect::Keyed => Effect::Keyed(class.window / 1000),
-            hatchline::Effect::Unsafe => Effect::Once(class.deadline / 1000),
+            foldtrack_delivery::Effect::Repeatable => return Some((message, reply)),
+            foldtrack_delivery::Effect::Keyed => Effect::Keyed(class.dedup_window / 1000),
+            foldtrack_delivery::Effect::Once => Effect::Once(class.deadline / 1000),
         };
         let Some(peer_state) = &mut self.peers else { return Some((message, reply)) };
-        let id = key(&message.id);
+        let id = message_key(&message.id);
         if peer_state.pending_claims.contains_key(&id) {
             // The message was submitted on two connections at once. The claim's result is the reply
             // to the other one.
@@ -503,11 +506,11 @@
     }
 
     /// Continues a submission with the result of its claim.
-    fn claim_settled(&mut self, id: Key, verdict: Verdict) {
+    fn claim_settled(&mut self, id: Key, verdict: ClaimResult) {
         let Some(claim) = self.peers.as_mut().and_then(|s| s.pending_claims.remove(&id)) else { return };
         let PendingClaim { message, from_known_client, reply } = claim;
         let answer = match verdict {
-            Verdict::Granted(left) => {
+            ClaimResult::Granted(left) => {
                 let expires = self.clock.now() + 1000 * left;
                 let message = if left > 0 && expires < message.expires {
                     Arc::new(Message { expires, ..Message::clone(&message) })
@@ -516,9 +519,9 @@
                 };
                 return self.enqueue(message, from_known_client, reply);
             }
-            Verdict::Held | Verdict::Delivered => SubmitReply::Duplicate { over: false },
-            Verdict::Over => SubmitReply::Duplicate { over: true },
-            Verdict::Later(wait) => match &mut self.site {
+            ClaimResult::Held | ClaimResult::Delivered => SubmitReply::Duplicate { over: false },
+            ClaimResult::Final => SubmitReply::Duplicate { over: true },
+            ClaimResult::RetryAfter(wait) => match &mut self.site {
                 Some(site) => site.refusal(wait),
                 None => SubmitReply::Refused { retry_in_ms: wait },
             },
@@ -530,11 +533,11 @@
     /// Releases the id of a message that was not accepted after all: its client may submit it to
     /// any forwarder.
     pub(super) fn release_id(&mut self, id: &str) {
-        self.report_claim_outcome(id, EndWord::Back(0));
+        self.report_claim_outcome(id, ClaimOutcome::HandedBack(0));
     }
 
     /// Tells the peers how a message ended.
-    pub(super) fn report_id_ended(&mut self, id: &str, result: EndResult) {
+    pub(super) fn report_id_ended(&mut self, id: &str, result: FinalStatus) {
         if self.peers.is_none() {
             return;
         }
@@ -542,22 +545,24 @@
         self.report_claim_outcome(id, word);
     }
 
-    fn claim_outcome(&self, result: EndResult) -> EndWord {
+    fn claim_outcome(&self, result: FinalStatus) -> ClaimOutcome {
         match result {
-            EndResult::Delivered => EndWord::Delivered,
-            EndResult::GivenUp | EndResult::InDoubt => EndWord::Over,
-            EndResult::HandedBack { .. } => EndWord::Back(0),
-            EndResult::HandedBackUntil { until, .. } => {
+            FinalStatus::Delivered => ClaimOutcome::Delivered,
+            FinalStatus::GivenUp | FinalStatus::InDoubt => ClaimOutcome::Final,
+            FinalStatus::HandedBack { .. } => ClaimOutcome::HandedBack(0),
+            FinalStatus::HandedBackUntil { until, .. } => {
                 // 0 would mean without limit.
-                EndWord::Back((until.saturating_sub(self.clock.unix_time(self.clock.now())) / 1000).max(1))
+                ClaimOutcome::HandedBack(
+                    (until.saturating_sub(self.clock.unix_time(self.clock.now())) / 1000).max(1),
+                )
             }
         }
     }
 
-    fn report_claim_outcome(&mut self, id: &str, word: EndWord) {
+    fn report_claim_outcome(&mut self, id: &str, word: ClaimOutcome) {
         let now = self.now_ms();
         if let Some(peer_state) = &mut self.peers {
-            peer_state.peers.ended(now, key(id), word);
+            peer_state.peers.message_ended(now, message_key(id), word);
         }
     }
 
@@ -569,15 +574,15 @@
         }
         let classes = &self.settings.settings.classes;
         let held = self.messages.values();
-        let held = held.filter(|h| classes[h.message.class].effect != hatchline::Effect::Repeatable);
+        let held = held.filter(|h| classes[h.message.class].effect != foldtrack_delivery::Effect::Repeatable);
         let unix = self.clock.unix_time(self.clock.now());
         let names = &self.settings.class_names;
         let is_claimed = |class: &String| {
             let class = names.iter().position(|name| name == class);
-            class.is_none_or(|n| classes[n].effect != hatchline::Effect::Repeatable)
+            class.is_none_or(|n| classes[n].effect != foldtrack_delivery::Effect::Repeatable)
         };
-        let held: Vec<Key> = held.map(|h| key(&h.message.id)).collect();
-        let mut ended: Vec<(Key, EndWord)> = Vec::new();
+        let held: Vec<Key> = held.map(|h| message_key(&h.message.id)).collect();
+        let mut ended: Vec<(Key, ClaimOutcome)> = Vec::new();
         let mut cursor = 0;
         while let Some(fetched) =
             self.site.as_mut().and_then(|s| s.ends.fetch(cursor, OUTCOMES_PER_READ).ok())
@@ -586,20 +591,20 @@
                 break;
             }
             cursor = fetched.cursor;
-            let remembered = |end: &End| end.ended + 1000 * REMEMBERED > unix;
+            let remembered = |end: &MessageOutcome| end.ended + 1000 * RETENTION_MS > unix;
             let recent = fetched.ends.iter().filter(|(_, end)| remembered(end) && is_claimed(&end.class));
-            ended.extend(recent.map(|(_, end)| (key(&end.id), self.claim_outcome(end.result))));
+            ended.extend(recent.map(|(_, end)| (message_key(&end.id), self.claim_outcome(end.result))));
         }
         let (now, complete) = (self.now_ms(), self.group_commit.waits_for_sync);
         if let Some(peer_state) = &mut self.peers {
-            peer_state.peers.recheck(now, &held, &ended, complete);
+            peer_state.peers.reconcile_claims(now, &held, &ended, complete);
         }
     }
 
     /// Confirms that a message is accepted here, for peers that ask about its id.
     pub(super) fn report_id_accepted(&mut self, id: &str) {
         if let Some(peer_state) = &mut self.peers {
-            peer_state.peers.taken(key(id));
+            peer_state.peers.message_accepted(message_key(id));
         }
     }
 
@@ -615,19 +620,20 @@
     fn peers_view(&self) -> Option<PeersView> {
         let peer_state = self.peers.as_ref()?;
         let (now, p) = (self.now_ms(), &peer_state.peers);
-        let (reachable, members) = p.quorum();
+        let (reachable, members) = p.reachable_members();
         let ((sent, sent_bytes), (received, received_bytes)) = p.traffic();
         let mut dropped: std::collections::BTreeMap<String, u64> =
-            p.refused().iter().map(|(why, n)| (why.name().to_string(), *n)).collect();
-        dropped
-            .extend((peer_state.hands.crowded() > 0).then(|| ("crowded".into(), peer_state.hands.crowded())));
+            p.dropped_datagrams().iter().map(|(why, n)| (why.name().to_string(), *n)).collect();
+        dropped.extend(
+            (peer_state.io.queue_drops() > 0).then(|| ("crowded".into(), peer_state.io.queue_drops())),
+        );
         let mode = match () {
             () if p.is_displaced() => "displaced",
             () if p.is_caught_up() => "caught_up",
             () if p.is_ready(now) => "alone",
             () => "catching_up",
         };
-        let others = p.shown(now).into_iter().map(|o| Peer {
+        let others = p.member_statuses(now).into_iter().map(|o| Peer {
             name: o.name,
             standing: o.standing.name().into(),
             for_ms: o.for_ms,
@@ -648,9 +654,9 @@
             received,
             received_bytes,
             dropped,
-            ids: p.ids() as u32,
-            ids_known: p.knows_ids(now),
-            unkept: peer_state.hands.unkept(),
+            ids: p.claim_count() as u32,
+            ids_known: p.knows_all_claims(now),
+            unkept: peer_state.io.persist_error(),
         })
     }
 
@@ -660,15 +666,15 @@
         let digest = ledger.digest().iter().fold(0u64, |sum, n| sum.rotate_left(5) ^ n);
         let mut statements = Vec::new();
         for subject in ledger.subjects() {
-            let verdict = ledger.verdict(&subject);
-            for fact in ledger.about(&subject) {
-                let holds = match (fact.word.aspect(), &fact.word) {
-                    (Aspect::Flow, word) => word.is_safer() == verdict.closed.is_some(),
-                    (Aspect::Presence, Word::Add { partner, address }) => {
-                        let at = Presence::At { partner: partner.clone(), address: *address };
+            let verdict = ledger.subject_state(&subject);
+            for fact in ledger.live_facts(&subject) {
+                let holds = match (fact.action.aspect(), &fact.action) {
+                    (Aspect::Flow, word) => word.is_restrictive() == verdict.closed.is_some(),
+                    (Aspect::Presence, FactAction::Add { partner, address }) => {
+                        let at = Presence::Added { partner: partner.clone(), address: *address };
                         verdict.presence == Some(at)
                     }
-                    (Aspect::Presence, _) => verdict.presence == Some(Presence::Gone),
+                    (Aspect::Presence, _) => verdict.presence == Some(Presence::Removed),
                 };
                 statements.push(statement(&fact, holds));
             }
@@ -688,19 +694,19 @@
         Subject::Partner(_) => "partner",
         Subject::Network(_) => "network",
     };
-    let detail = match &fact.word {
-        Word::Add { partner, address } => format!("{partner} {address}"),
-        Word::Close { for_ms: for_ms @ 1.. } => format!("for {} s", for_ms.div_ceil(1000)),
+    let detail = match &fact.action {
+        FactAction::Add { partner, address } => format!("{partner} {address}"),
+        FactAction::Close { for_ms: for_ms @ 1.. } => format!("for {} s", for_ms.div_ceil(1000)),
         _ => String::new(),
     };
     Statement {
         kind: kind.into(),
         subject: fact.subject.name().into(),
-        word: fact.word.name().into(),
+        word: fact.action.name().into(),
         holds,
         id: fact.dot.to_string(),
         at: fact.at,
-        over: fact.over.iter().map(ToString::to_string).collect(),
+        over: fact.supersedes.iter().map(ToString::to_string).collect(),
         detail,
     }
 }
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -3,13 +3,13 @@
 //! however many readers it has.
 
 use super::Node;
-use crate::connections::SeenConnections;
+use crate::connections::ConnectionStats;
 use crate::events::{Snapshot, Stage};
 use crate::message_view::{attempt_view, message_view};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
-use foldtrack_membership::State;
-use hatchline::views::{DestinationView, Health, LaneView};
-use hatchline::{Micros, TargetId};
+use foldtrack_delivery::status::{DestinationStatus, Health, RouteStatus};
+use foldtrack_delivery::{Micros, TargetId};
+use foldtrack_membership::MembershipState;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -60,12 +60,12 @@
     }
 }
 
-fn health(route: &LaneView) -> &'static str {
+fn health(route: &RouteStatus) -> &'static str {
     match route.health {
-        Health::Open => "up",
+        Health::Up => "up",
         Health::Failing => "failing",
         Health::Out { .. } => "out",
-        Health::Warming { .. } => "warming",
+        Health::SlowStart { .. } => "warming",
     }
 }
 
@@ -116,7 +116,7 @@
     fn build_snapshot(&mut self, scan: &SnapshotScan) -> Arc<Snapshot> {
         let now = self.clock.now();
         let unix = self.clock.unix_time(now);
-        let views = self.brain.view(now);
+        let views = self.scheduler.status(now);
         let (total, held_by_partner) = (scan.total, &scan.partners);
         let queues = self.queues(scan, unix);
         let longest = self.site.as_mut().map_or(Duration::ZERO, |s| std::mem::take(&mut s.longest_iteration));
@@ -134,7 +134,7 @@
 
     fn status(&self, unix: Micros, total: HeldSummary, longest: Duration) -> Status {
         let Some(site) = &self.site else { return Status::default() };
-        let (ends, ends_unfetched, ends_bytes) = site.ends.kept();
+        let (ends, ends_unfetched, ends_bytes) = site.ends.usage();
         let counts = &site.counts;
         Status {
             name: site.name.clone(),
@@ -162,33 +162,33 @@
             calls: self.calls.len() as u32,
             calls_most: self.settings.settings.slots,
             oldest_ms: total.age_ms(unix),
-            journal_bytes: self.journal.length(),
+            journal_bytes: self.journal.disk_bytes(),
             journal_most: site.max_journal_bytes,
             ends,
             ends_unfetched,
-            ends_most: site.ends.bounds().count,
+            ends_most: site.ends.limits().max_count,
             ends_bytes,
-            ends_bytes_most: site.ends.bounds().size,
+            ends_bytes_most: site.ends.limits().max_bytes,
             ends_unwritten: site.journaled_results as u32,
-            membership: self.membership.state().map_or(0, State::version),
+            membership: self.membership.state().map_or(0, MembershipState::version),
             longest_round_us: longest.as_micros() as u64,
         }
     }
 
     fn partners(
-        &self, state: &State, views: &[DestinationView], held_by_partner: &HashMap<u32, HeldSummary>,
-        unix: Micros,
+        &self, state: &MembershipState, views: &[DestinationStatus],
+        held_by_partner: &HashMap<u32, HeldSummary>, unix: Micros,
     ) -> Vec<Partner> {
         let Some(site) = &self.site else { return Vec::new() };
-        let by_number: HashMap<u32, &DestinationView> = views.iter().map(|v| (v.destination, v)).collect();
+        let by_number: HashMap<u32, &DestinationStatus> = views.iter().map(|v| (v.destination, v)).collect();
         let mut counts: HashMap<&str, (u32, u32)> = HashMap::new();
         for endpoint in state.endpoints().values() {
             let (all, open) = counts.entry(&endpoint.partner).or_default();
             *all += 1;
-            *open += u32::from(state.is_open(endpoint));
+            *open += u32::from(state.accepts_calls(endpoint));
         }
         let partner = |(name, partner): (&String, &foldtrack_membership::Partner)| {
-            let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.lanes);
+            let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.routes);
             // If limits apply to each endpoint separately, the worst endpoint stands for the
             // partner; the list of endpoints shows them all.
             let worst = lanes
@@ -207,11 +207,11 @@
                 verdict: if open == 0 {
                     "no new calls are sent to it".into()
                 } else {
-                    worst.map_or(String::new(), LaneView::words)
+                    worst.map_or(String::new(), RouteStatus::describe)
                 },
-                failing: worst.map_or(0.0, |l| round_to_3(l.failing)),
-                towards_out: worst.map_or(0.0, |l| round_to_3(l.towards_out)),
-                stood_ms: worst.and_then(|l| l.stood).unwrap_or(0) / 1000,
+                failing: worst.map_or(0.0, |l| round_to_3(l.failure_share)),
+                towards_out: worst.map_or(0.0, |l| round_to_3(l.outage_evidence)),
+                stood_ms: worst.and_then(|l| l.state_age).unwrap_or(0) / 1000,
                 endpoints,
                 open,
                 held: held.held,
@@ -219,8 +219,8 @@
                 calls: lanes.iter().map(|l| l.calls).sum(),
                 window: round_to_1(lanes.iter().map(|l| l.window).sum()),
                 tau_ms: worst.map_or(0.0, |l| millis(l.tau)),
-                mean_ms: worst.map_or(0.0, |l| millis(l.mean)),
-                wait_ms: lanes.iter().map(|l| l.wait.div_ceil(1000)).max().unwrap_or(0),
+                mean_ms: worst.map_or(0.0, |l| millis(l.mean_latency)),
+                wait_ms: lanes.iter().map(|l| l.wait_left.div_ceil(1000)).max().unwrap_or(0),
                 pace: round_to_1(lanes.iter().map(|l| l.pace).sum()),
                 rate: info.map_or(0.0, |f| f.rate),
                 slots: info.map_or(0, |f| f.slots),
@@ -231,15 +231,15 @@
         state.partners().iter().map(partner).collect()
     }
 
-    fn endpoints(&self, state: &State, views: &[DestinationView]) -> Vec<Endpoint> {
+    fn endpoints(&self, state: &MembershipState, views: &[DestinationStatus]) -> Vec<Endpoint> {
         // Of targets that share a name, the latest is shown; the calls of all are counted.
-        let mut by_name: HashMap<&str, (TargetId, &LaneView, u64)> = HashMap::new();
+        let mut by_name: HashMap<&str, (TargetId, &RouteStatus, u64)> = HashMap::new();
         let mut calls: HashMap<&str, u32> = HashMap::new();
-        for route in views.iter().flat_map(|v| &v.lanes) {
+        for route in views.iter().flat_map(|v| &v.routes) {
             for target in &route.targets {
                 let name = self.targets.name(target.target);
                 *calls.entry(name).or_default() += target.calls;
-                let entry = (target.target, route, target.avoided);
+                let entry = (target.target, route, target.avoided_for);
                 let latest = by_name.entry(name).or_insert(entry);
                 if latest.0 < target.target {
                     *latest = entry;
@@ -248,11 +248,12 @@
         }
         let endpoint = |(name, endpoint): (&String, &foldtrack_membership::Endpoint)| {
             let route = by_name.get(name.as_str());
-            let (open, calls) = (state.is_open(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
+            let (open, calls) =
+                (state.accepts_calls(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
             let draining = endpoint.state == foldtrack_membership::EndpointState::Draining;
             let closed =
                 self.site.as_ref().and_then(|s| s.closed.get(name)).map_or(Duration::ZERO, Instant::elapsed);
-            let seen = route.map_or(SeenConnections::default(), |(target, ..)| self.idle.seen(*target));
+            let seen = route.map_or(ConnectionStats::default(), |(target, ..)| self.pool.stats(*target));
             Endpoint {
                 name: name.clone(),
                 partner: endpoint.partner.clone(),
@@ -269,20 +270,20 @@
                     None => "up",
                 }
                 .into(),
-                verdict: route.filter(|_| open).map_or(String::new(), |(_, l, _)| l.words()),
-                failing: route.map_or(0.0, |(_, l, _)| round_to_3(l.failing)),
-                towards_out: route.map_or(0.0, |(_, l, _)| round_to_3(l.towards_out)),
-                stood_ms: route.and_then(|(_, l, _)| l.stood).unwrap_or(0) / 1000,
+                verdict: route.filter(|_| open).map_or(String::new(), |(_, l, _)| l.describe()),
+                failing: route.map_or(0.0, |(_, l, _)| round_to_3(l.failure_share)),
+                towards_out: route.map_or(0.0, |(_, l, _)| round_to_3(l.outage_evidence)),
+                stood_ms: route.and_then(|(_, l, _)| l.state_age).unwrap_or(0) / 1000,
                 calls,
                 window: route.map_or(0.0, |(_, l, _)| round_to_1(l.window)),
                 tau_ms: route.map_or(0.0, |(_, l, _)| millis(l.tau)),
-                wait_ms: route.map_or(0, |(_, l, _)| l.wait.div_ceil(1000)),
+                wait_ms: route.map_or(0, |(_, l, _)| l.wait_left.div_ceil(1000)),
                 avoided_ms: route.map_or(0, |(_, _, avoided)| avoided / 1000),
                 idle: seen.idle as u32,
                 dialling: seen.dialling as u32,
-                ready: round_to_3(seen.ready),
+                ready: round_to_3(seen.without_handshake),
                 handshake_ms: millis(seen.handshake.as_micros() as u64),
-                idle_most_ms: seen.longest_idle.as_millis() as u64,
+                idle_most_ms: seen.max_idle.as_millis() as u64,
                 closed_ms: closed.as_millis() as u64,
             }
         };
@@ -332,7 +333,7 @@
                 ..Message::default()
             });
         }
-        match site.ends.look(id) {
+        match site.ends.find(id) {
             Ok(found) => found.map(|(_, end)| message_view(&end)),
             Err(error) => {
                 eprintln!("ends: {error}");
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -3,36 +3,36 @@
 use super::endings::DEDUP_MARGIN_US;
 use super::{Acceptance, HeldMessage, Node};
 use crate::message::{order_key, Message};
-use crate::notices::Ending;
+use crate::notice_queue::PendingNotice;
 use crate::registry::SubmissionState;
+use foldtrack_delivery::{Effect, Event, Outcome};
 use foldtrack_ends::Attempt;
-use foldtrack_journal::{Fate, Notice, Record, Restored, Tried};
-use hatchline::{Effect, Event, Outcome};
+use foldtrack_journal::{AttemptEffect, AttemptRecord, FailureNotice, Record, RecoveredMessage};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
 impl Node {
     /// Restores all messages in the order in which they were accepted.
-    pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, Restored>) {
-        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.numbers()).collect();
+    pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, RecoveredMessage>) {
+        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.message_numbers()).collect();
         for (number, message) in restored {
             // The process ended after it had written the message's outcome and before it updated
             // the journal.
             match ended.contains(&number) {
-                true => self.stage_record(number, &Record::Over),
+                true => self.stage_record(number, &Record::Finished),
                 false => self.restore(number, message),
             }
         }
     }
 
     /// Restores one message.
-    fn restore(&mut self, number: u64, restored: Restored) {
-        let Restored { accepted, taken: arrived_at, delivered, attempts, notice } = restored;
+    fn restore(&mut self, number: u64, restored: RecoveredMessage) {
+        let RecoveredMessage { accepted, taken: arrived_at, delivered, attempts, notice } = restored;
         self.ids.insert(&accepted.id, number, SubmissionState::Accepted, self.clock.now() + self.retention());
         if let Some(notice) = notice.filter(|_| self.site.is_none()) {
             let order_key = order_key(&accepted.key);
             self.ids.set_state(&accepted.id, SubmissionState::Ended);
-            self.notices.insert(number, Ending { id: accepted.id, order_key, notice });
+            self.notices.insert(number, PendingNotice { id: accepted.id, order_key, notice });
             return;
         }
         let class = self.settings.class_names.iter().position(|n| *n == accepted.class);
@@ -70,7 +70,7 @@
         };
         if may_be_stale {
             // The state folder is an older copy: attempts made after the copy are not in it.
-            let outcome = foldtrack_ends::Outcome::MayHaveRun;
+            let outcome = foldtrack_ends::AttemptOutcome::MayHaveRun;
             held.history.push(Attempt { at: arrived_at, until: 0, endpoint: String::new(), outcome });
         }
         if let Some(site) = &mut self.site {
@@ -80,9 +80,9 @@
         if may_be_stale
             && notice.is_none()
             && !delivered
-            && (effect == Some(Effect::Unsafe) || expires <= self.clock.now())
+            && (effect == Some(Effect::Once) || expires <= self.clock.now())
         {
-            return self.end_message(number, Notice::GivenUp);
+            return self.end_message(number, FailureNotice::GivenUp);
         }
         if delivered {
             return self.end_delivered(number);
@@ -92,15 +92,15 @@
         }
         let Some(class) = class else {
             // The class is no longer in the settings, so nothing can be promised.
-            return self.end_message(number, Notice::GivenUp);
+            return self.end_message(number, FailureNotice::GivenUp);
         };
-        let first = attempts.iter().find(|t| t.fate != Some(Fate::NeverRan));
+        let first = attempts.iter().find(|t| t.effect != Some(AttemptEffect::NeverRan));
         let first_run = first.map(|t| (self.clock.time_at_unix(t.at), t.zone));
-        let outcome = |fate| match fate {
-            Some(Fate::NeverRan) => Outcome::NotSent,
-            Some(Fate::MayHaveRun) | None => Outcome::Reset,
+        let outcome = |effect| match effect {
+            Some(AttemptEffect::NeverRan) => Outcome::NotSent,
+            Some(AttemptEffect::MayHaveRun) | None => Outcome::Reset,
         };
-        let attempts = attempts.iter().map(|t| outcome(t.fate)).collect();
+        let attempts = attempts.iter().map(|t| outcome(t.effect)).collect();
         let class = class as u32;
         self.notify_scheduler(Event::Restored {
             id: number,
@@ -119,7 +119,7 @@
     /// partner remembers the key, counted from its arrival.
     fn limit_stale_message(&self, message: Message, arrived_at: u64) -> Message {
         let class = self.settings.settings.classes.get(message.class);
-        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window) else {
+        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window) else {
             return message;
         };
         if !self.has_stale_folder() {
@@ -132,12 +132,12 @@
 }
 
 /// An attempt of an earlier process, as recorded in the journal.
-fn restored_attempt(tried: &Tried) -> Attempt {
-    use foldtrack_ends::Outcome;
-    let outcome = match tried.fate {
-        Some(Fate::NeverRan) => Outcome::DidNotRun,
-        Some(Fate::MayHaveRun) => Outcome::MayHaveRun,
-        None => Outcome::Lost,
+fn restored_attempt(tried: &AttemptRecord) -> Attempt {
+    use foldtrack_ends::AttemptOutcome;
+    let outcome = match tried.effect {
+        Some(AttemptEffect::NeverRan) => AttemptOutcome::DidNotRun,
+        Some(AttemptEffect::MayHaveRun) => AttemptOutcome::MayHaveRun,
+        None => AttemptOutcome::Lost,
     };
     Attempt { at: tried.at, until: 0, endpoint: tried.endpoint.clone(), outcome }
 }
--- a/src/bin/foldtrack/node/shutdown.rs
+++ b/src/bin/foldtrack/node/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, ACCEPT_GRACE, SHUTDOWN_LIMIT};
 use crate::events::Stage;
-use foldtrack_admission::Party;
+use foldtrack_admission::DescriptorUser;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -24,7 +24,7 @@
         let Some(at) = self.terminated_at else { return false };
         let idle = self.calls.is_empty() && self.messages.is_empty() && self.notices.is_empty();
         // Idle connections are closed by now: an open connection has a request in flight.
-        let clients_left = self.descriptors.held(Party::Clients) == 0;
+        let clients_left = self.descriptors.held(DescriptorUser::Clients) == 0;
         at.elapsed() >= SHUTDOWN_LIMIT || idle && clients_left && at.elapsed() >= 2 * ACCEPT_GRACE
     }
 
--- a/src/bin/foldtrack/notices.rs
+++ b/src/bin/foldtrack/notice_queue.rs
@@ -1,7 +1,7 @@
 //! The ends that the platform has not taken yet: which go out when, and the keys that wait for them.
 
-use foldtrack_journal::Notice;
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
+use foldtrack_journal::FailureNotice;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,19 +12,19 @@
 
 /// A message that ends by a notice; it is over once that is answered.
 #[derive(Debug)]
-pub(crate) struct Ending {
+pub(crate) struct PendingNotice {
     pub id: String,
     pub order_key: u64,
-    pub notice: Notice,
+    pub notice: FailureNotice,
 }
 
-impl Ending {
+impl PendingNotice {
     fn line(&self) -> String {
-        let Ending { id, notice, .. } = self;
+        let PendingNotice { id, notice, .. } = self;
         let line = match notice {
-            Notice::GivenUp => json!({"message": id, "outcome": "given_up"}),
-            Notice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
-            Notice::HandedBack { retry_in_ms } => {
+            FailureNotice::GivenUp => json!({"message": id, "outcome": "given_up"}),
+            FailureNotice::HandedBack { retry_in_ms: 0 } => json!({"message": id, "outcome": "handed_back"}),
+            FailureNotice::HandedBack { retry_in_ms } => {
                 json!({"message": id, "outcome": "handed_back", "retry_in_ms": retry_in_ms})
             }
         };
@@ -33,8 +33,8 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Notices {
-    endings: BTreeMap<u64, Ending>,
+pub(crate) struct NoticeQueue {
+    endings: BTreeMap<u64, PendingNotice>,
     unsent: BTreeSet<u64>,
     /// How many notices each order key waits for.
     keys: HashMap<u64, u32>,
@@ -42,8 +42,8 @@
     from: Micros,
 }
 
-impl Notices {
-    pub fn insert(&mut self, number: u64, ending: Ending) {
+impl NoticeQueue {
+    pub fn insert(&mut self, number: u64, ending: PendingNotice) {
         if ending.order_key != 0 {
             *self.keys.entry(ending.order_key).or_default() += 1;
         }
@@ -52,7 +52,7 @@
     }
 
     /// A notice is taken, or nobody is owed it any more.
-    pub fn remove(&mut self, number: u64) -> Option<Ending> {
+    pub fn remove(&mut self, number: u64) -> Option<PendingNotice> {
         self.unsent.remove(&number);
         let ending = self.endings.remove(&number)?;
         if let Some(count) = self.keys.get_mut(&ending.order_key) {
@@ -69,18 +69,18 @@
     }
 
     /// Whether an earlier message of the key is not over.
-    pub fn hold(&self, order_key: u64) -> bool {
+    pub fn holds_key(&self, order_key: u64) -> bool {
         self.keys.contains_key(&order_key)
     }
 
     /// The next report to be sent now, the oldest notices first: their messages and their lines.
-    pub fn next(&mut self, now: Micros) -> Option<(Vec<u64>, String)> {
-        self.due().filter(|from| *from <= now)?;
+    pub fn next_report(&mut self, now: Micros) -> Option<(Vec<u64>, String)> {
+        self.next_due().filter(|from| *from <= now)?;
         let mut numbers = Vec::new();
         let mut lines = String::new();
         while numbers.len() < NOTICES {
             let Some(number) = self.unsent.pop_first() else { break };
-            lines.extend(self.endings.get(&number).map(Ending::line));
+            lines.extend(self.endings.get(&number).map(PendingNotice::line));
             numbers.push(number);
         }
         self.out += 1;
@@ -88,17 +88,17 @@
     }
 
     /// When there is another report to send, if none has to come back first.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         (!self.unsent.is_empty() && self.out < REPORTS).then_some(self.from)
     }
 
     /// A report has come back.
-    pub fn came_back(&mut self) {
+    pub fn report_finished(&mut self) {
         self.out -= 1;
     }
 
     /// These go again; `paused`, since where they went is still the address to send to.
-    pub fn again(&mut self, numbers: Vec<u64>, now: Micros, paused: bool) {
+    pub fn requeue(&mut self, numbers: Vec<u64>, now: Micros, paused: bool) {
         self.unsent.extend(numbers.into_iter().filter(|n| self.endings.contains_key(n)));
         if paused {
             self.from = now + REPORT_PAUSE;
@@ -106,7 +106,7 @@
     }
 
     /// The platform is elsewhere: no pause holds there.
-    pub fn moved(&mut self) {
+    pub fn reset_pause(&mut self) {
         self.from = 0;
     }
 }
@@ -117,25 +117,28 @@
 
     #[test]
     fn a_key_is_held_until_its_last_notice_is_taken_and_the_oldest_go_first() {
-        let mut notices = Notices::default();
+        let mut notices = NoticeQueue::default();
         for number in (1..=100).rev() {
             let order_key = if number <= 2 { 7 } else { 0 };
-            notices.insert(number, Ending { id: format!("m{number}"), order_key, notice: Notice::GivenUp });
+            notices.insert(
+                number,
+                PendingNotice { id: format!("m{number}"), order_key, notice: FailureNotice::GivenUp },
+            );
         }
-        assert!(notices.hold(7) && !notices.hold(0));
-        let (numbers, lines) = notices.next(0).unwrap();
+        assert!(notices.holds_key(7) && !notices.holds_key(0));
+        let (numbers, lines) = notices.next_report(0).unwrap();
         assert!(numbers.iter().copied().eq(1..=64) && lines.lines().count() == 64);
-        notices.came_back();
-        assert!(notices.remove(1).is_some() && notices.hold(7));
-        notices.again(numbers, 1_000, true);
-        assert!(notices.next(1_000).is_none(), "paused");
-        notices.moved();
-        let (numbers, _) = notices.next(1_000).unwrap();
+        notices.report_finished();
+        assert!(notices.remove(1).is_some() && notices.holds_key(7));
+        notices.requeue(numbers, 1_000, true);
+        assert!(notices.next_report(1_000).is_none(), "paused");
+        notices.reset_pause();
+        let (numbers, _) = notices.next_report(1_000).unwrap();
         assert_eq!(numbers[0], 2);
-        assert!(notices.remove(2).is_some() && !notices.hold(7) && notices.remove(2).is_none());
+        assert!(notices.remove(2).is_some() && !notices.holds_key(7) && notices.remove(2).is_none());
         for number in 3..=100 {
             notices.remove(number);
         }
-        assert!(notices.is_empty() && notices.keys.is_empty() && notices.due().is_none());
+        assert!(notices.is_empty() && notices.keys.is_empty() && notices.next_due().is_none());
     }
 }
--- a/src/bin/foldtrack/speech.rs
+++ b/src/bin/foldtrack/partner_protocol.rs
@@ -2,10 +2,10 @@
 //! at again while the process runs; a new one counts from the next call on, and one that can't be read leaves the old.
 
 use crate::connections::Encryption;
-use foldtrack_dialect::{Dialect, Outgoing, Unfit};
-use foldtrack_proof::{headers, Kind, Secrets, Subject};
+use foldtrack_dialect::{CallContext, Dialect, Unsendable};
+use foldtrack_proof::{headers, AuthScheme, Secrets, SignedCall};
 use foldtrack_site::{Proof, Site, Tls};
-use foldtrack_tls::{expiry, facts, Texts};
+use foldtrack_tls::{certificate, expiry, PemFiles};
 use http::request::Parts;
 use secrecy::zeroize::Zeroize;
 use std::collections::{HashMap, HashSet};
@@ -30,18 +30,18 @@
 
 /// One partner's.
 #[derive(Debug)]
-pub(crate) struct Speech {
+pub(crate) struct PartnerProtocol {
     pub dialect: Dialect,
-    proof: Option<(Kind, watch::Receiver<Arc<Secrets>>)>,
+    proof: Option<(AuthScheme, watch::Receiver<Arc<Secrets>>)>,
     /// How its connections are encrypted; none for plain ones.
     pub encryption: Option<Encryption>,
 }
 
 /// Every partner's.
 #[derive(Debug)]
-pub(crate) struct Speeches {
-    usual: Arc<Speech>,
-    by_destination: HashMap<u32, Arc<Speech>>,
+pub(crate) struct PartnerProtocols {
+    usual: Arc<PartnerProtocol>,
+    by_destination: HashMap<u32, Arc<PartnerProtocol>>,
     /// Partners whose secrets go over their connections as they are.
     in_the_clear: HashSet<String>,
 }
@@ -70,62 +70,63 @@
 /// What changes with a file.
 type Stamp = (u64, u64, i64, i64, u32);
 
-impl Speech {
+impl PartnerProtocol {
     /// The head of a call.
     ///
     /// # Errors
     /// The message can never be sent to this partner.
-    pub fn head(&self, call: &Outgoing<'_>, body: &[u8]) -> Result<Parts, Unfit> {
+    pub fn head(&self, call: &CallContext<'_>, body: &[u8]) -> Result<Parts, Unsendable> {
         let mut head = self.dialect.head(call)?;
         if let Some((kind, secrets)) = &self.proof {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-            let of = Subject { id: call.values.id, unix, body };
-            let made = headers(kind, &secrets.borrow(), of).ok_or(Unfit::Header)?;
+            let of = SignedCall { id: call.values.id, timestamp: unix, body };
+            let made = headers(kind, &secrets.borrow(), of).ok_or(Unsendable::Header)?;
             head.headers.extend(made.into_iter().map(|(name, value)| (Some(name), value)));
         }
         Ok(head)
     }
 }
 
-impl Speeches {
+impl PartnerProtocols {
     /// Under the platform: its protocol for all.
-    pub fn platform() -> Speeches {
-        let usual = Arc::new(Speech { dialect: Dialect::foldtrack(), proof: None, encryption: None });
-        Speeches { usual, by_destination: HashMap::new(), in_the_clear: HashSet::new() }
+    pub fn platform() -> PartnerProtocols {
+        let usual =
+            Arc::new(PartnerProtocol { dialect: Dialect::foldtrack(), proof: None, encryption: None });
+        PartnerProtocols { usual, by_destination: HashMap::new(), in_the_clear: HashSet::new() }
     }
 
     /// Whether an endpoint at this address would be told a partner's secret over a wire that others may listen on.
-    pub fn shows_secrets(&self, partner: &str, address: SocketAddr) -> bool {
+    pub fn exposes_secrets(&self, partner: &str, address: SocketAddr) -> bool {
         self.in_the_clear.contains(partner) && !address.ip().is_loopback()
     }
 
     /// A destination's.
-    pub fn of(&self, destination: u32) -> Arc<Speech> {
+    pub fn for_destination(&self, destination: u32) -> Arc<PartnerProtocol> {
         self.by_destination.get(&destination).unwrap_or(&self.usual).clone()
     }
 }
 
 /// Files that are looked after while the process runs.
-pub(crate) struct Keeper(Vec<Watched>);
+pub(crate) struct FileWatcher(Vec<Watched>);
 
 /// What a site's partners are spoken to with.
 ///
 /// # Errors
 /// The first file that can't be used, by the partner's name and the file's.
-pub(crate) fn of_site(site: &Site) -> Result<(Speeches, Keeper), String> {
-    let (mut speeches, mut watched) = (Speeches::platform(), Vec::new());
+pub(crate) fn load(site: &Site) -> Result<(PartnerProtocols, FileWatcher), String> {
+    let (mut partner_protocols, mut watched) = (PartnerProtocols::platform(), Vec::new());
     for partner in &site.partners {
         let proof =
             partner.proof.as_ref().map(|said| proof(&partner.name, said, &mut watched)).transpose()?;
         let encryption =
             partner.tls.as_ref().map(|said| encryption(&partner.name, said, &mut watched)).transpose()?;
         if proof.is_some() && encryption.is_none() {
-            speeches.in_the_clear.insert(partner.name.clone());
+            partner_protocols.in_the_clear.insert(partner.name.clone());
         }
-        let speech = Speech { dialect: partner.dialect.clone(), proof, encryption };
-        speeches.by_destination.insert(partner.number(), Arc::new(speech));
+        let protocol = PartnerProtocol { dialect: partner.dialect.clone(), proof, encryption };
+        partner_protocols.by_destination.insert(partner.number(), Arc::new(protocol));
     }
-    Ok((speeches, Keeper(watched)))
+    Ok((partner_protocols, FileWatcher(watched)))
 }
 
 /// Reads files, makes what they are for, and has them looked after.
@@ -157,17 +158,17 @@
 
 /// When the certificate among some texts ends.
 fn ends(certificate: Option<usize>, texts: &[Vec<u8>]) -> Option<i64> {
-    let all = facts::of(texts.get(certificate?)?).ok()?;
+    let all = certificate::parse_pem(texts.get(certificate?)?).ok()?;
     all.into_iter().map(|f| f.not_after).min()
 }
 
-type Proven = (Kind, watch::Receiver<Arc<Secrets>>);
+type Proven = (AuthScheme, watch::Receiver<Arc<Secrets>>);
 
 fn proof(partner: &str, said: &Proof, watched: &mut Vec<Watched>) -> Result<Proven, String> {
     let kind = said.kind.clone();
     let file = said.file.display().to_string();
     let make = move |texts: &[Vec<u8>]| {
-        let read = Secrets::read(&kind, texts.first().map_or(&[][..], Vec::as_slice));
+        let read = Secrets::parse(&kind, texts.first().map_or(&[][..], Vec::as_slice));
         read.map(Arc::new).map_err(|problem| format!("{file}: {problem}"))
     };
     let secrets = watch_files(partner, "proof", vec![said.file.clone()], None, watched, make)?;
@@ -185,10 +186,10 @@
             [chain, key] => Some((chain.clone(), key.clone())),
             _ => None,
         };
-        foldtrack_tls::configuration(&plan, &Texts { roots: roots.first().cloned(), client })
+        foldtrack_tls::configuration(&plan, &PemFiles { roots: roots.first().cloned(), client })
     };
     let config = watch_files(partner, "tls", files, certificate, watched, make)?;
-    Ok(Encryption { name: said.plan.name.clone(), config })
+    Ok(Encryption { name: said.plan.server_name.clone(), config })
 }
 
 fn stamp(file: &File) -> std::io::Result<Stamp> {
@@ -204,11 +205,13 @@
 
 /// Reads files that their owner alone may write, and, but for certificates, read.
 fn read_all(files: &[PathBuf]) -> Result<(Vec<Vec<u8>>, Vec<Stamp>), String> {
-    let read = |path: &PathBuf| read_one(path).map_err(|problem| format!("{}: {problem}", path.display()));
+    let read = |path: &PathBuf| {
+        read_protected_file(path).map_err(|problem| format!("{}: {problem}", path.display()))
+    };
     Ok(files.iter().map(read).collect::<Result<Vec<_>, _>>()?.into_iter().unzip())
 }
 
-pub(crate) fn read_one(path: &Path) -> Result<(Vec<u8>, Stamp), String> {
+pub(crate) fn read_protected_file(path: &Path) -> Result<(Vec<u8>, Stamp), String> {
     let file = open(path)?;
     let seen = file.metadata().map_err(|e| e.to_string())?;
     if !seen.is_file() {
@@ -281,7 +284,7 @@
     }
 }
 
-impl Keeper {
+impl FileWatcher {
     /// Looks after the files for as long as the process runs, off the loop. Nothing of it runs where there is none.
     pub fn start(mut self) {
         if self.0.is_empty() {
@@ -295,14 +298,14 @@
                     self
                 });
                 // It ends only with the runtime.
-                let Ok(keeper) = looked.await else { return };
-                self = keeper;
+                let Ok(file_watcher) = looked.await else { return };
+                self = file_watcher;
             }
         });
     }
 
     /// Whether there is anything to look after.
-    pub fn is_idle(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
--- a/src/bin/foldtrack/platform.rs
+++ b/src/bin/foldtrack/platform.rs
@@ -1,13 +1,13 @@
 //! Client of the platform's agent: watches the list of targets and reports how messages ended.
 
-use crate::asking::{Asking, Failure, Source};
 use crate::connections::Connection;
+use crate::discovery_schedule::{DiscoverySchedule, PollFailure, Source};
 use crate::events::{EventSender, LoopEvent};
 use crate::list::ServerList;
 use crate::membership::Membership;
 use bytes::Bytes;
-use foldtrack_membership::{Change, Order, State, Trouble};
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
+use foldtrack_membership::{Change, MembershipState, Order, OrderError};
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Request, StatusCode};
@@ -37,19 +37,19 @@
 /// Sends a request to the agent. `connection` keeps the connection unless the exchange failed.
 async fn exchange(
     connection: &mut Option<Connection>, address: SocketAddr, request: Request<Full<Bytes>>,
-) -> Result<(StatusCode, Bytes), Failure> {
+) -> Result<(StatusCode, Bytes), PollFailure> {
     let reused = connection.take();
     // On a new connection this means that nobody serves the address. A reused connection may have
     // been closed meanwhile, which says nothing about the next one.
-    let ended = if reused.is_some() { Failure::NoAnswer } else { Failure::TurnedAway };
+    let ended = if reused.is_some() { PollFailure::NoResponse } else { PollFailure::Rejected };
     let mut open = match reused {
         Some(open) => open,
-        None => Connection::open(address, None, None).await.map_err(|_| Failure::NoAnswer)?,
+        None => Connection::open(address, None, None).await.map_err(|_| PollFailure::NoResponse)?,
     };
     let response = open.send(request).await.map_err(|_| ended)?;
     let status = response.status();
     let body = timeout(BODY_TIMEOUT, open.finish(response.into_body(), MAX_LIST_BYTES)).await;
-    let body = body.ok().flatten().ok_or(Failure::NoAnswer)?;
+    let body = body.ok().flatten().ok_or(PollFailure::NoResponse)?;
     *connection = Some(open);
     Ok((status, body))
 }
@@ -82,52 +82,54 @@
     /// before the restart would otherwise receive the messages held. The agent answers at once
     /// unless discovery is down.
     fn start_updates(&self, events: &EventSender) -> bool {
-        let asking = Asking::new(self.forwarder_count, self.source, self.drain_grace, self.seed);
-        tokio::spawn(watch(self.discovery.subscribe(), asking, events.clone()));
+        let schedule = DiscoverySchedule::new(self.forwarder_count, self.source, self.drain_grace, self.seed);
+        tokio::spawn(watch(self.discovery.subscribe(), schedule, events.clone()));
         true
     }
 
-    fn order(&mut self, _: u64, _: &Order) -> Result<Change, Trouble> {
-        Err(Trouble::Unwritten(io::Error::other("the list is managed by the platform")))
+    fn apply_order(&mut self, _: u64, _: &Order) -> Result<Change, OrderError> {
+        Err(OrderError::NotWritten(io::Error::other("the list is managed by the platform")))
     }
 
-    fn judge(&self, _: &Order) -> Result<Change, Trouble> {
-        Err(Trouble::Unwritten(io::Error::other("the list is managed by the platform")))
+    fn validate(&self, _: &Order) -> Result<Change, OrderError> {
+        Err(OrderError::NotWritten(io::Error::other("the list is managed by the platform")))
     }
 
-    fn state(&self) -> Option<&State> {
+    fn state(&self) -> Option<&MembershipState> {
         None
     }
 
-    fn file(&self) -> io::Result<File> {
+    fn sync_handle(&self) -> io::Result<File> {
         Err(io::Error::other("the list is managed by the platform"))
     }
 }
 
 /// Watches the list for as long as the process runs.
-async fn watch(mut discovery: watch::Receiver<SocketAddr>, mut asking: Asking, events: EventSender) {
+async fn watch(
+    mut discovery: watch::Receiver<SocketAddr>, mut schedule: DiscoverySchedule, events: EventSender,
+) {
     loop {
         let address = *discovery.borrow_and_update();
         // A watch that hangs on the previous address would take seconds to end.
         tokio::select! {
             biased;
             moved = discovery.changed() => match moved {
-                Ok(()) => asking.moved(),
+                Ok(()) => schedule.reset(),
                 Err(_) => return,
             },
-            () = watch_at(address, &mut asking, &events) => {}
+            () = watch_at(address, &mut schedule, &events) => {}
         }
     }
 }
 
 /// Watches the list at one address, starting with the whole list.
-async fn watch_at(address: SocketAddr, asking: &mut Asking, events: &EventSender) {
+async fn watch_at(address: SocketAddr, schedule: &mut DiscoverySchedule, events: &EventSender) {
     let mut connection = None;
     let mut version: Option<u64> = None;
     loop {
         let (path, wait) = match version {
             Some(v) => {
-                let watch = asking.watch();
+                let watch = schedule.poll_timeout();
                 (format!("/v1/servers?since={v}&timeout_ms={}", watch.as_millis()), watch + WATCH_MARGIN)
             }
             None => ("/v1/servers".to_string(), LIST_TIMEOUT),
@@ -136,16 +138,16 @@
         let answer = match get_request(address, &path) {
             Some(request) => {
                 let answer = timeout(wait, exchange(&mut connection, address, request)).await;
-                answer.unwrap_or(Err(Failure::NoAnswer))
+                answer.unwrap_or(Err(PollFailure::NoResponse))
             }
-            None => Err(Failure::NoAnswer),
+            None => Err(PollFailure::NoResponse),
         };
         let (status, body) = match answer {
             Ok(answer) => answer,
             Err(failure) => {
                 // The list stays in force, and the watch continues from its version.
                 connection = None;
-                sleep(asking.failed(failure, asked.elapsed())).await;
+                sleep(schedule.failed(failure, asked.elapsed())).await;
                 continue;
             }
         };
@@ -161,7 +163,7 @@
             Ok(list) if status == StatusCode::OK => {
                 let empty = !list.full && list.servers.is_empty();
                 version = Some(list.version);
-                let pause = asking.answered(!empty);
+                let pause = schedule.answered(!empty);
                 if !empty {
                     events.send(LoopEvent::List { list, from: address });
                     if !pause.is_zero() {
@@ -178,8 +180,9 @@
                 );
                 // The version may be unknown there, so the whole list is requested.
                 version = None;
-                let failure = if status == StatusCode::OK { Failure::NoAnswer } else { Failure::TurnedAway };
-                sleep(asking.failed(failure, asked.elapsed())).await;
+                let failure =
+                    if status == StatusCode::OK { PollFailure::NoResponse } else { PollFailure::Rejected };
+                sleep(schedule.failed(failure, asked.elapsed())).await;
             }
         }
     }
--- a/src/bin/foldtrack/registry.rs
+++ b/src/bin/foldtrack/registry.rs
@@ -2,8 +2,8 @@
 //! drop what is gone, so that they do not grow without bound.
 
 use crate::list::{ServerEntry, ServerState};
+use foldtrack_delivery::{Micros, TargetId};
 use foldtrack_preflight::{PreflightCheck, RouteScope, RouteState, RouteStates};
-use hatchline::{Micros, TargetId};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -1,24 +1,24 @@
 //! A site of its own: from the site file to a running loop.
 
 use crate::blocks::Blocks;
+use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
 use crate::config::{Config, SiteConfig};
 use crate::control;
-use crate::descriptors::{allowed, Descriptors, OTHER_SOCKETS};
+use crate::descriptors::{descriptor_limit, DescriptorBudget, RESERVED_DESCRIPTORS};
 use crate::events;
 use crate::membership::SiteMembership;
-use crate::peers::Setup;
-use crate::places::Places;
-use crate::{logs, runtime, serve_until_signal, speech};
-use foldtrack_admission::descriptors::{self, Kept};
+use crate::peers::PeerSetup;
+use crate::{logs, partner_protocol, runtime, serve_until_signal};
+use foldtrack_admission::descriptors::{self, Reserved};
 use foldtrack_admission::Rate;
-use foldtrack_ends::shelf::Bounds;
-use foldtrack_ends::Store;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{Class, Decay, DedupScope, ListedRate, Rules, Settings};
+use foldtrack_ends::retention::RetentionLimits;
+use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
-use foldtrack_membership::{Listed, Log, SiteList};
+use foldtrack_membership::{ListedEndpoint, MembershipLog, SiteFile};
 use foldtrack_site::{Durability, Effect, Site, MOST_ENDPOINTS};
-use hatchline::settings::Parsed;
-use hatchline::{Class, Decay, Group, ListedRate, Rules, Settings};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::hash::{BuildHasher, RandomState};
 use std::io::{Read, Write};
@@ -41,48 +41,50 @@
         .map_err(|e| format!("{}: {e}", site.state.display()))?;
     let _lock = lock(&site.state)?;
     let unix = Clock::new().unix_now();
-    let mut log = Log::open(&site.state, MOST_ENDPOINTS).map_err(|e| e.to_string())?;
-    for told in log.site_says(unix, &site_list(&site)).map_err(|e| e.to_string())? {
+    let mut log = MembershipLog::open(&site.state, MOST_ENDPOINTS).map_err(|e| e.to_string())?;
+    for told in log.apply_site_file(unix, &site_list(&site)).map_err(|e| e.to_string())? {
         eprintln!("membership: {told}");
     }
-    let bounds = Bounds { count: site.ends.count, size: site.ends.size, age: site.ends.age };
+    let bounds =
+        RetentionLimits { max_count: site.ends.count, max_bytes: site.ends.size, max_age_us: site.ends.age };
     let budget = disk_budget.map(|limit| Budget::new(&site.state, limit));
     if let Some(budget) = &budget {
         budget.limit().map_err(|e| e.to_string())?;
     }
-    let ends =
-        Store::open(&site.state.join("ends"), bounds).map_err(|e| e.to_string())?.within(budget.clone());
-    let kept = Kept { calls: site.limits.calls as usize, house: OTHER_SOCKETS };
+    let ends = OutcomeStore::open(&site.state.join("ends"), bounds)
+        .map_err(|e| e.to_string())?
+        .with_budget(budget.clone());
+    let reserved = Reserved { calls: site.limits.calls as usize, internal: RESERVED_DESCRIPTORS };
     let configured = site.limits.descriptors;
     let most = move || {
-        let limit = configured.min(allowed());
-        (limit, descriptors::places(limit, kept))
+        let limit = configured.min(descriptor_limit());
+        (limit, descriptors::max_client_connections(limit, reserved))
     };
     let (limit, places) = most();
     let places = places?;
-    let ledger = Descriptors::new(limit, places, kept.calls);
-    let places = Places::new(admission(&site, places), Clock::new(), ledger.clone());
-    let blocks = Blocks::open(&site.state, places.clone(), site.listen.port())?;
+    let ledger = DescriptorBudget::new(limit, places, reserved.calls);
+    let client_connections = ClientConnections::new(admission(&site, places), Clock::new(), ledger.clone());
+    let blocks = Blocks::open(&site.state, client_connections.clone(), site.listen.port())?;
     let peers = match &site.peers {
-        Some(said) => Some(Setup::open(said, &site.state, blocks.clone())?),
+        Some(said) => Some(PeerSetup::open(said, &site.state, blocks.clone())?),
         None => None,
     };
     let socket = control::bind(&site.control_socket())?;
-    let (speeches, keeper) = speech::of_site(&site)?;
-    let _logs = (!keeper.is_idle()).then(logs::start);
+    let (partner_protocols, file_watcher) = partner_protocol::load(&site)?;
+    let _logs = (!file_watcher.is_empty()).then(logs::start);
     let (events, receiver) = events::channel();
     let config = Config {
         listen: site.listen,
         state: site.state.clone(),
         seed: seed(unix),
         sockets: site.limits.descriptors,
-        places: places.clone(),
+        client_connections: client_connections.clone(),
         descriptors: ledger.clone(),
         memory_bytes: site.limits.memory as usize,
         disk_bytes: site.journal_room(),
         disk_budget: budget,
         settings: settings(&site),
-        speeches,
+        partner_protocols,
         membership: Box::new(SiteMembership::new(log, site.clone())),
         discovery: None,
         durable: site.durability == Durability::Machine,
@@ -90,7 +92,7 @@
     };
     let ends = [SignalKind::terminate(), SignalKind::interrupt()];
     runtime()?.block_on(async {
-        keeper.start();
+        file_watcher.start();
         control::start(socket, events.clone(), blocks, ledger, most)?;
         serve_until_signal(config, events, receiver, &ends).await
     })
@@ -123,12 +125,12 @@
     Ok(file)
 }
 
-fn site_list(site: &Site) -> SiteList {
-    let mut list = SiteList::default();
+fn site_list(site: &Site) -> SiteFile {
+    let mut list = SiteFile::default();
     for partner in &site.partners {
         list.partners.insert(partner.name.clone(), partner.number());
         for endpoint in &partner.endpoints {
-            let listed = Listed { partner: partner.name.clone(), address: endpoint.address };
+            let listed = ListedEndpoint { partner: partner.name.clone(), address: endpoint.address };
             list.endpoints.insert(endpoint.name.clone(), listed);
         }
     }
@@ -138,38 +140,38 @@
 /// Who is let in, in the words of the gate.
 fn admission(site: &Site, places: usize) -> foldtrack_admission::Settings {
     let said = &site.admission;
-    let usual = foldtrack_admission::Settings::for_places(places);
+    let usual = foldtrack_admission::Settings::for_connections(places);
     let count = |said: Option<u32>, usual: usize| said.map_or(usual, |n| n as usize);
     foldtrack_admission::Settings {
-        reserve: (said.reserve * usual.places as f64) as usize,
+        reserve: (said.reserve * usual.max_connections as f64) as usize,
         per_address: count(said.per_address, usual.per_address),
         per_known: count(said.per_known, usual.per_known),
         per_prefix: count(said.per_prefix, usual.per_prefix),
         v4_prefix: said.v4_prefix,
         v6_prefix: said.v6_prefix,
-        new: Rate { per_second: said.new_per_second, burst: said.burst },
-        strangers: Rate { per_second: said.strangers_per_second, ..usual.strangers },
-        requests: count(said.requests, usual.requests),
+        new_connections: Rate { per_second: said.new_per_second, burst: said.burst },
+        unknown_connections: Rate { per_second: said.strangers_per_second, ..usual.unknown_connections },
+        max_requests_per_address: count(said.requests, usual.max_requests_per_address),
         known: said.known.clone(),
         ..usual
     }
 }
 
 /// The site in the words of the decision module.
-fn settings(site: &Site) -> Parsed {
+fn settings(site: &Site) -> DeploymentSettings {
     let class = |c: &foldtrack_site::Class| Class {
         aim: c.aim,
         deadline: c.deadline,
         worth: c.worth,
         late_value: c.late_worth,
         effect: match c.effect {
-            Effect::Repeatable => hatchline::Effect::Repeatable,
-            Effect::Keyed => hatchline::Effect::Keyed,
-            Effect::Once => hatchline::Effect::Unsafe,
+            Effect::Repeatable => foldtrack_delivery::Effect::Repeatable,
+            Effect::Keyed => foldtrack_delivery::Effect::Keyed,
+            Effect::Once => foldtrack_delivery::Effect::Once,
         },
-        group: Group::All,
-        window: c.remembered,
-        patience: c.refuse_after,
+        dedup_scope: DedupScope::All,
+        dedup_window: c.remembered,
+        max_wait: c.refuse_after,
         in_order: c.ordered,
         streaming: false,
     };
@@ -186,24 +188,24 @@
         // The figures of the rules as the first users have them; see docs/operators/site.md.
         rules: Rules {
             drain_grace: 2_000_000,
-            cold_from: 0.16,
-            ramp_time: 14_000_000,
-            tip_multiple: 2.5,
-            tip_after: 2_000_000,
-            order_pause: 100_000,
-            ask_within: 0,
+            cold_capacity_share: 0.16,
+            slow_start_time: 14_000_000,
+            overload_factor: 2.5,
+            overload_duration: 2_000_000,
+            uncertain_key_pause: 100_000,
+            list_poll_interval: 0,
         },
-        batch: vec![1; site.kinds.len()],
-        routes_apart: site.kinds.iter().map(|k| k.routes_apart).collect(),
-        zone_fee: vec![0.0],
+        max_batch: vec![1; site.kinds.len()],
+        independent_routes: site.kinds.iter().map(|k| k.routes_apart).collect(),
+        zone_cost: vec![0.0],
         listed_rate: ListedRate::Exact,
-        connection_idle: site.calls.connection_idle,
+        idle_timeout: site.calls.connection_idle,
         connect_timeout: site.calls.connect_timeout,
         streams_per_connection: 1,
         tick: 5_000,
         ..Settings::default()
     };
-    Parsed {
+    DeploymentSettings {
         settings,
         class_names: site.classes.iter().map(|c| c.name.clone()).collect(),
         kind_names: site.kinds.iter().map(|k| k.name.clone()).collect(),
--- a/src/bin/hatchline-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,13 +1,15 @@
 //! One decision module for each instance number; translation between wire and interface.
 
 use crate::wire::{Batch, Entry, Input, Malformed, Output, Reply};
-use hatchline::settings::Parsed;
-use hatchline::{Action, Brain, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome};
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{
+    Action, DeliveryScheduler, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome,
+};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 struct Instance {
-    brain: Brain,
+    brain: DeliveryScheduler,
     share_left_at: Option<usize>,
     rate_at: Option<usize>,
 }
@@ -23,7 +25,7 @@
     Ok(match status {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
@@ -77,9 +79,11 @@
                     continue;
                 }
                 Input::Born { i, salt, env } => {
-                    let Parsed { settings, share_left_at, rate_at, .. } = serde_json::from_slice(&env)
-                        .map_err(|e| Malformed(format!("the settings of instance {i} do not parse: {e}")))?;
-                    let brain = guarded(i, &mut reply, || Brain::new(clock, salt, settings));
+                    let DeploymentSettings { settings, share_left_at, rate_at, .. } =
+                        serde_json::from_slice(&env).map_err(|e| {
+                            Malformed(format!("the settings of instance {i} do not parse: {e}"))
+                        })?;
+                    let brain = guarded(i, &mut reply, || DeliveryScheduler::new(clock, salt, settings));
                     touched.insert(i, Vec::new());
                     if let Some(brain) = brain {
                         self.instances.insert(i, Instance { brain, share_left_at, rate_at });
@@ -148,18 +152,18 @@
                     report: report(i, &feedback),
                 },
             ),
-            Input::Lapsed { i, id } => (i, Event::Lapsed { id }),
+            Input::Lapsed { i, id } => (i, Event::Abandoned { id }),
             Input::Wakeup { i, cookie } => (i, Event::Timer { token: cookie }),
             Input::Echo { i, target, status, took, feedback } => (
                 i,
-                Event::Probed {
+                Event::ProbeOutcome {
                     target,
                     outcome: outcome(status)?,
                     took: u64::from(took),
                     report: report(i, &feedback),
                 },
             ),
-            Input::Peer { i, who, body } => (i, Event::Peer { from: who, data: body }),
+            Input::Peer { i, who, body } => (i, Event::PeerMessage { from: who, data: body }),
             Input::Born { .. } | Input::Down { .. } | Input::Roster { .. } => {
                 return Err(Malformed("a record without an event".into()))
             }
@@ -184,7 +188,7 @@
 fn record(i: u16, action: Action) -> Option<Output> {
     let narrow = |span: u64| u32::try_from(span).unwrap_or(u32::MAX);
     Some(match action {
-        Action::FoundOut { .. } => return None,
+        Action::OutageDetected { .. } => return None,
         Action::Send { id, target, until } => Output::Forward { i, id, not_past: until, target },
         Action::Cancel { id, attempt } => Output::Revoke { i, id, attempt: attempt as u8 },
         Action::Refuse { id, retry_after } => Output::Refuse { i, id, cool_down: narrow(retry_after) },
@@ -194,7 +198,7 @@
         Action::CloseIdle { target } => Output::ShutIdle { i, target },
         Action::Subscribe { on } => Output::KeepInformed { i, enable: on },
         Action::FetchList => Output::Lookup { i },
-        Action::Tell { to, data } => Output::Share { i, peer: to.unwrap_or(u32::MAX), body: data },
+        Action::SendToPeer { to, data } => Output::Share { i, peer: to.unwrap_or(u32::MAX), body: data },
         Action::Log { text } => Output::JournalLine { i, message: text },
     })
 }
--- a/src/draws.rs
+++ b/src/draws.rs
@@ -1,8 +1,8 @@
 //! Draws at random: no decisions. Each sender has a seed of its own, so that what all of them draw differs.
 
-use super::Brain;
+use super::DeliveryScheduler;
 
-impl Brain {
+impl DeliveryScheduler {
     /// The next of a sequence, even in 0 to 1 (xorshift; Marsaglia 2003).
     pub(super) fn random(&mut self) -> f64 {
         self.seed ^= self.seed << 13;
--- a/src/evidence.rs
+++ b/src/failure_detector.rs
@@ -203,5 +203,5 @@
 }
 
 #[cfg(test)]
-#[path = "evidence_tests.rs"]
+#[path = "failure_detector_tests.rs"]
 mod tests;
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -1,9 +1,9 @@
 //! Figures that the decisions go by, read off the settings and the state: no decisions.
 
-use super::{Brain, UPKEEP};
+use super::{DeliveryScheduler, UPKEEP};
 use crate::interface::*;
 
-impl Brain {
+impl DeliveryScheduler {
     /// The shortest aim of any class, in microseconds.
     pub(super) fn least_aim(&self) -> f64 {
         self.s.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000) as f64
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! What goes into the decision module and what comes out: settings, events, actions.
 //!
-//! A forwarder that embeds [`crate::Brain`] does this in a loop: pass each thing that happened to
+//! A forwarder that embeds [`crate::DeliveryScheduler`] does this in a loop: pass each thing that happened to
 //! `handle`, call `decide` after the last one of that moment, carry out the actions in their order.
 //! All times are microseconds of one clock that only advances; it may start anywhere.
 
@@ -14,7 +14,7 @@
 pub type DestinationId = u32;
 
 /// Senders from which on each is one of many: it sees less than a tenth of what all of them send.
-pub const FLEET: u32 = 10;
+pub const LARGE_FLEET: u32 = 10;
 
 /// What a repeat of a message of a class does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -25,12 +25,12 @@
     /// The destination drops repeats for a time.
     Keyed,
     /// Must never take effect twice.
-    Unsafe,
+    Once,
 }
 
 /// Which endpoints of a destination drop repeats of a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Group {
+pub enum DedupScope {
     /// All of them.
     #[default]
     All,
@@ -62,13 +62,13 @@
     /// What a repeat does.
     pub effect: Effect,
     /// For keyed classes: who drops repeats.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For keyed classes: how long, from the first attempt that may have run.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// Messages with the same order key go one at a time, as they came.
     pub in_order: bool,
     /// A message that would wait for longer than this is refused at the door; 0 where only its deadline counts.
-    pub patience: Micros,
+    pub max_wait: Micros,
     /// Answers come as streams: an attempt whose stream began belongs to the client.
     pub streaming: bool,
 }
@@ -79,17 +79,17 @@
     /// A drained or removed endpoint gets nothing new after this span.
     pub drain_grace: Micros,
     /// Share of its capacity that a destination has at least on return from an outage.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// Span after which it has all of it.
-    pub ramp_time: Micros,
+    pub slow_start_time: Micros,
     /// Load of more than this multiple of the present capacity ...
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this long brings a cold destination down.
-    pub tip_after: Micros,
+    pub overload_duration: Micros,
     /// Rest of an order key after an attempt whose end is not sure.
-    pub order_pause: Micros,
+    pub uncertain_key_pause: Micros,
     /// Where the list is fetched: a sender that has not asked for so long counts as told.
-    pub ask_within: Micros,
+    pub list_poll_interval: Micros,
 }
 
 /// What the list says of a destination's rate.
@@ -134,17 +134,17 @@
     /// The rules' figures.
     pub rules: Rules,
     /// By kind of destination: messages that one call carries at most.
-    pub batch: Vec<u32>,
+    pub max_batch: Vec<u32>,
     /// By kind of destination: endpoints are routes apart, each with its own limit, pace and outages.
-    pub routes_apart: Vec<bool>,
+    pub independent_routes: Vec<bool>,
     /// By zone: price of a message that a route apart takes on.
-    pub zone_fee: Vec<f64>,
+    pub zone_cost: Vec<f64>,
     /// Price of a call refused above a limit.
-    pub refused_price: f64,
+    pub rejection_cost: f64,
     /// Meaning of [`Endpoint::rate`].
     pub listed_rate: ListedRate,
     /// Idle connections close after this span.
-    pub connection_idle: Micros,
+    pub idle_timeout: Micros,
     /// A connection not made within this span has failed.
     pub connect_timeout: Micros,
     /// Calls that one connection carries at once.
@@ -209,7 +209,7 @@
     /// Answered with an error; may have taken effect.
     Error,
     /// Turned away unseen: over a limit, queue full, shut or draining.
-    Full,
+    Rejected,
     /// No answer in time; may have taken effect or still do.
     TimedOut,
     /// No connection; never ran.
@@ -219,18 +219,18 @@
     /// Called off; may have taken effect.
     Cancelled,
     /// Answered in a way that can't be read; may have taken effect.
-    Spoilt,
+    UnreadableResponse,
     /// Not sent at all: no slot, message over, or out of attempts.
     NotSent,
     /// Held back before its first byte, since news has overtaken the decision: a wait, an outage, a drain. Uses up no try, and
     /// its number is given to the next attempt.
-    HeldBack,
+    Withheld,
 }
 
 impl Outcome {
     /// The attempt may have taken effect, or may yet.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::HeldBack)
+        !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Withheld)
     }
 }
 
@@ -311,13 +311,13 @@
         took: Micros,
         /// The message is over, by this or earlier.
         ended: bool,
-        /// The wait told, 0 for none; for [`Outcome::HeldBack`] what is left of it.
+        /// The wait told, 0 for none; for [`Outcome::Withheld`] what is left of it.
         wait: Micros,
         /// What the destination tells of its limit.
         report: Option<LimitReport>,
     },
     /// A probe is over.
-    Probed {
+    ProbeOutcome {
         /// Where it went.
         target: TargetId,
         /// How it ended.
@@ -328,7 +328,7 @@
         report: Option<LimitReport>,
     },
     /// Nobody wants this message any more.
-    Lapsed {
+    Abandoned {
         /// The message.
         id: MessageId,
     },
@@ -338,7 +338,7 @@
         token: u32,
     },
     /// Another sender wrote; where senders may talk.
-    Peer {
+    PeerMessage {
         /// Its rank.
         from: u32,
         /// What it wrote.
@@ -391,7 +391,7 @@
     },
     /// The destination of this endpoint, or the endpoint alone where it is a route apart, looks out: what was decided on for it
     /// before and has not begun is to be held back.
-    FoundOut {
+    OutageDetected {
         /// An endpoint of it.
         target: TargetId,
     },
@@ -408,7 +408,7 @@
     /// Ask once for the whole list.
     FetchList,
     /// Write to another sender, or to all.
-    Tell {
+    SendToPeer {
         /// Its rank; all others if absent.
         to: Option<u32>,
         /// At most 256 bytes.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,16 @@
 //! Delivery decisions for outbound messages to other firms' systems.
 //!
-//! The caller owns sockets, clocks and threads. It tells a [`Brain`] what happens, as [`Event`]s, and
-//! carries out the [`Action`]s it gets back. One `Brain` serves one forwarder; several share nothing.
+//! The caller owns sockets, clocks and threads. It tells a [`DeliveryScheduler`] what happens, as [`Event`]s, and
+//! carries out the [`Action`]s it gets back. One `DeliveryScheduler` serves one forwarder; several share nothing.
 //!
 //! ```
-//! use hatchline::{Action, Brain, Class, Effect, Endpoint, EndpointState, Event, ListKind, Settings};
+//! use foldtrack_delivery::{Action, DeliveryScheduler, Class, Effect, Endpoint, EndpointState, Event, ListKind, Settings};
 //!
 //! let class = Class { aim: 2_000_000, deadline: 20_000_000, worth: 1.0, late_value: 0.5,
 //!     effect: Effect::Repeatable, ..Class::default() };
 //! let settings = Settings { senders: 1, slots: 8, max_held: 100, max_attempts: 5,
 //!     classes: vec![class], ..Settings::default() };
-//! let mut brain = Brain::new(0, 42, settings);
+//! let mut brain = DeliveryScheduler::new(0, 42, settings);
 //! let mut actions = Vec::new();
 //!
 //! let endpoint = Endpoint { target: 7, destination: 1, state: EndpointState::Ready, ..Endpoint::default() };
@@ -24,15 +24,15 @@
 #![warn(missing_docs)]
 
 mod answers;
-mod brain;
-pub mod emulated;
-mod estimate;
-mod evidence;
+pub mod emulator_policy;
+mod failure_detector;
+mod fleet_pacing;
 pub mod interface;
-mod pace;
+mod scheduler;
 pub mod settings;
 mod state;
-pub mod views;
+pub mod status;
+mod wait_estimate;
 
-pub use brain::Brain;
 pub use interface::*;
+pub use scheduler::DeliveryScheduler;
--- a/src/listed.rs
+++ b/src/listed.rs
@@ -1,13 +1,13 @@
 //! Destinations and endpoints come with the list, and are forgotten when they have gone: no decisions, but what these go
 //! by, and what keeps the memory bounded.
 
-use super::{Brain, RESEND_SAVED, SECOND};
+use super::{DeliveryScheduler, RESEND_SAVED, SECOND};
 use crate::answers::AnswerTimes;
 use crate::interface::*;
 use crate::state::*;
 use std::collections::BTreeSet;
 
-impl Brain {
+impl DeliveryScheduler {
     /// A full list removes what it lacks; a cached one is only a start.
     pub(super) fn list(&mut self, kind: ListKind, version: u32, lines: Vec<Endpoint>) {
         if (kind == ListKind::Cached && self.s.subscribe) || kind == ListKind::Failed {
@@ -26,13 +26,13 @@
         let aim = self.least_aim() / SECOND;
         for e in lines {
             let kind = e.kind as usize;
-            let apart = self.s.routes_apart.get(kind).copied().unwrap_or(false);
+            let apart = self.s.independent_routes.get(kind).copied().unwrap_or(false);
             let d = self.destinations.entry(e.destination).or_default();
             d.slots = e.slots;
             let known = self.targets.get(&e.target).map(|t| t.lane);
             let lane = known.or(if apart { None } else { d.lanes.first().copied() }).unwrap_or_else(|| {
                 let times = AnswerTimes::new();
-                let fee = self.s.zone_fee.get(e.zone as usize).copied().filter(|_| apart).unwrap_or(0.0);
+                let fee = self.s.zone_cost.get(e.zone as usize).copied().filter(|_| apart).unwrap_or(0.0);
                 let fresh = Lane { kind, fee, times, window: 1.0, budget: RESEND_SAVED, ..Lane::default() };
                 let fresh = Lane { tokens: 1.0, last_ok: self.now, ..fresh };
                 let place = self.spare.pop().unwrap_or(self.lanes.len());
@@ -69,7 +69,7 @@
         let (now, long) = (self.now, self.longest_deadline() as Micros);
         let (lanes, spare, messages) = (&mut self.lanes, &mut self.spare, &self.messages);
         self.destinations.retain(|id, d| {
-            let apart = |l: &Lane| self.s.routes_apart.get(l.kind).copied().unwrap_or(false);
+            let apart = |l: &Lane| self.s.independent_routes.get(l.kind).copied().unwrap_or(false);
             let quiet = |l: &Lane| {
                 let bound =
                     l.gate != Gate::Open || l.wait_until > now || l.judged.max(l.last_ok) + long > now;
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -1,9 +1,9 @@
 //! Messages join and leave the queues of their destinations and keys: no decisions, but what these look at.
 
-use super::Brain;
+use super::DeliveryScheduler;
 use crate::interface::*;
 
-impl Brain {
+impl DeliveryScheduler {
     /// A message has come for a destination, taken on or not: what comes is its part of a returning one's load.
     pub(super) fn heat(&mut self, destination: DestinationId) {
         if let Some(d) = self.destinations.get(&destination) {
