--- a/src/brain.rs
+++ b/src/scheduler.rs
@@ -4,10 +4,10 @@
 //! stand a window of calls in flight, a gate for destinations that look out, and pacing under limits.
 
 use crate::answers::{AnswerTimes, BUCKETS};
-use crate::estimate::{overtaken, Outlook};
+use crate::fleet_pacing::PACE_DOWN;
 use crate::interface::*;
-use crate::pace::PACE_DOWN;
 use crate::state::*;
+use crate::wait_estimate::{overtaken, Outlook};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Answers before τ is trusted; planned resends in a row without an answer that mean τ is too low.
@@ -104,7 +104,7 @@
 /// The decisions of one forwarder.
 #[rustfmt::skip] // fields stand by topic
 #[derive(Debug, Default)]
-pub struct Brain {
+pub struct DeliveryScheduler {
     s: Settings, now: Micros, out: Vec<Action>, seed: u64,
     messages: BTreeMap<MessageId, Message>, turns: BTreeMap<u64, Turns>,
     destinations: BTreeMap<DestinationId, Destination>, targets: BTreeMap<TargetId, Target>,
@@ -118,16 +118,17 @@
     crowded: BTreeSet<usize>,
 }
 
-impl Brain {
+impl DeliveryScheduler {
     /// A sender that has just come up.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Self {
         let seed = seed ^ 0x9e37_79b9_7f4a_7c15;
         let (upkeep_at, armed) = (now + UPKEEP, Micros::MAX);
-        let fresh = Brain { s: settings, seed, now, upkeep_at, armed, ..Brain::default() };
-        Brain { spread: fresh.even().min(fresh.least_aim()), ..fresh }
+        let fresh =
+            DeliveryScheduler { s: settings, seed, now, upkeep_at, armed, ..DeliveryScheduler::default() };
+        DeliveryScheduler { spread: fresh.even().min(fresh.least_aim()), ..fresh }
     }
 
-    /// Takes in one thing that happened. Sends are chosen in [`Brain::decide`].
+    /// Takes in one thing that happened. Sends are chosen in [`DeliveryScheduler::decide`].
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -140,7 +141,7 @@
                 self.restored(id, Message { attempts: Attempt::over(attempts), ran, ..m });
             }
             Event::Stopping { by } => self.stopping = Some(by),
-            Event::Started { id, .. } | Event::Lapsed { id } => self.finish(id),
+            Event::Started { id, .. } | Event::Abandoned { id } => self.finish(id),
             Event::Outcome { id, attempt, target, outcome, took, ended, wait, report, .. } => {
                 // Waits bind the lane, whatever has become of the message; none is shortened.
                 let lane = self.targets.get(&target).and_then(|t| self.lanes.get_mut(t.lane));
@@ -150,14 +151,14 @@
                 self.outcome(id, attempt as usize, end, ended)
             }
             Event::Timer { .. } if self.armed <= now => self.armed = Micros::MAX,
-            Event::Timer { .. } | Event::Peer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::PeerMessage { .. } | Event::ProbeOutcome { .. } => {}
         }
         out.append(&mut self.out);
     }
 
     /// Span between attempts of one sender at which all together bring a cold destination no harm.
     fn even(&self) -> f64 {
-        f64::from(self.s.senders.max(1)) * self.s.rules.tip_after as f64 / SLACK
+        f64::from(self.s.senders.max(1)) * self.s.rules.overload_duration as f64 / SLACK
     }
 
     /// Least span between attempts at a lane in trouble. Guards what is out, shut or cold against many
@@ -165,7 +166,8 @@
     /// evenly, or by the trouble's span, in which each message brought one sender at most. Harms if few came.
     fn gap(&self, lane: usize, at: Micros) -> f64 {
         let r = &self.s.rules;
-        let part = self.share(lane) * r.cold_from * r.tip_multiple.max(1.0) * RAMP_CAUTION / SECOND;
+        let part =
+            self.share(lane) * r.cold_capacity_share * r.overload_factor.max(1.0) * RAMP_CAUTION / SECOND;
         let since = at - self.lanes[lane].trouble.unwrap_or(at).min(at);
         (1.0 / part.max(1e-12)).min(self.even()).min(TROUBLE_SPANS * since as f64)
     }
@@ -186,7 +188,7 @@
             let mut outlook = self.outlook(d);
             outlook.turn = self.turn(&m);
             let ratio = overtaken(&d.mix, &self.s.classes);
-            let patience = self.s.classes.get(m.class).map_or(0, |c| c.patience);
+            let patience = self.s.classes.get(m.class).map_or(0, |c| c.max_wait);
             let free = f64::from(self.s.max_held) * (1.0 - KEEP_FREE) - 2.0 - self.messages.len() as f64;
             if left > 0.0 && outlook.refuses(ratio, left, patience, free) {
                 let retry_after = self.wait_told(outlook.wait());
@@ -224,7 +226,7 @@
 
     /// When a client may come again for a destination, in microseconds: what is held for it has been served,
     /// or some of the room is free. 0 where nothing tells, or no advice is heeded.
-    pub fn advice(&mut self, destination: DestinationId) -> Micros {
+    pub fn advised_wait(&mut self, destination: DestinationId) -> Micros {
         let wait = self.destinations.get(&destination).map_or(0.0, |d| self.outlook(d).wait());
         let all: f64 = self.lanes.iter().map(Lane::serves).sum();
         let room = KEEP_FREE * self.messages.len() as f64 / all * SECOND;
@@ -267,7 +269,7 @@
     /// not be sent again, as unsafe ones that may have run, ends at once.
     fn restored(&mut self, id: MessageId, m: Message) {
         if self.s.classes.get(m.class).is_some_and(|c| c.in_order) && m.order_key != 0 {
-            self.turns.entry(m.order_key).or_default().1 = self.now + self.s.rules.order_pause;
+            self.turns.entry(m.order_key).or_default().1 = self.now + self.s.rules.uncertain_key_pause;
         }
         self.heat(m.destination);
         self.request(id, m);
@@ -310,10 +312,10 @@
         match c.effect {
             Effect::Repeatable => (open, 0, !m.over),
             Effect::Keyed => {
-                let all = c.group == Group::All;
+                let all = c.dedup_scope == DedupScope::All;
                 (open && self.now < self.called_off(m), if all { 0 } else { zone + 1 }, !m.over && all)
             }
-            Effect::Unsafe => (false, 0, false),
+            Effect::Once => (false, 0, false),
         }
     }
 
@@ -322,7 +324,7 @@
     /// Harms repeats that would have been answered just past it.
     fn called_off(&self, m: &Message) -> Micros {
         let c = &self.s.classes[m.class];
-        let forgets = m.ran.filter(|_| c.effect == Effect::Keyed).map(|(at, _)| at + c.window);
+        let forgets = m.ran.filter(|_| c.effect == Effect::Keyed).map(|(at, _)| at + c.dedup_window);
         forgets.map_or(m.expires, |at| m.expires.min(at.saturating_sub(self.s.tick)))
     }
 
@@ -349,7 +351,7 @@
     fn give_up(&mut self, id: MessageId) {
         let Some(m) = self.messages.get(&id).filter(|m| !m.over) else { return };
         let (refuse, destination) = (self.allowed(m).2, m.destination);
-        let retry_after = if refuse { self.advice(destination) } else { 0 };
+        let retry_after = if refuse { self.advised_wait(destination) } else { 0 };
         self.out.push(if refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.finish(id);
     }
@@ -361,13 +363,16 @@
         a.done = Some(outcome);
         let (target, call) = (a.target, a.call);
         end.planned = a.planned && outcome == Outcome::TimedOut;
-        (outcome == Outcome::HeldBack).then(|| m.attempts.pop());
+        (outcome == Outcome::Withheld).then(|| m.attempts.pop());
         if m.attempts.iter().all(|a| a.done.is_some_and(|o| !o.may_have_run())) {
             m.ran = None;
         }
-        if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::Spoilt) {
+        if matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::UnreadableResponse
+        ) {
             if let Some(turns) = self.turns.get_mut(&m.order_key) {
-                turns.1 = turns.1.max(self.now + self.s.rules.order_pause);
+                turns.1 = turns.1.max(self.now + self.s.rules.uncertain_key_pause);
             }
         }
         if let Some(lane) = self.targets.get(&target).map(|t| t.lane) {
@@ -381,7 +386,7 @@
             if done {
                 l.calls.remove(&call);
                 self.calls_out -= 1;
-                if !matches!(outcome, Outcome::NotSent | Outcome::HeldBack | Outcome::Cancelled) {
+                if !matches!(outcome, Outcome::NotSent | Outcome::Withheld | Outcome::Cancelled) {
                     self.judge(lane, target, &end);
                 }
             }
@@ -411,7 +416,7 @@
         let least_aim = self.least_aim();
         let least_pace = f64::from(self.s.max_attempts) * SECOND / self.longest_deadline();
         let (own, gap) = (self.own(lane), self.gap(lane, self.now.max(self.lanes[lane].wait_until)));
-        if self.lanes[lane].full_run > 0 && matches!(outcome, Outcome::Ok | Outcome::Full) {
+        if self.lanes[lane].full_run > 0 && matches!(outcome, Outcome::Ok | Outcome::Rejected) {
             self.spread *= if outcome == Outcome::Ok { SPREAD_DOWN } else { SPREAD_UP };
             self.spread = self.spread.min(self.even()).min(self.longest_deadline()).max(UPKEEP as f64);
         }
@@ -450,7 +455,7 @@
                 let trouble = if out { l.trouble } else { l.trouble.take() };
                 let suspicion = trouble.is_some_and(|t| self.now < t + SUSPICION);
                 let usual = (self.now - sent) as f64 <= l.times.longest();
-                let short = trouble.is_some_and(|t| self.now < t + 2 * self.s.rules.tip_after);
+                let short = trouble.is_some_and(|t| self.now < t + 2 * self.s.rules.overload_duration);
                 l.gate = match l.gate {
                     Gate::Out { .. } if out => Gate::Out { next: self.now, backoff: l.times.mean() },
                     Gate::Out { .. } if suspicion && usual => {
@@ -464,7 +469,7 @@
                     other => other,
                 };
             }
-            Outcome::Full => {
+            Outcome::Rejected => {
                 l.full_run += 1;
                 l.trouble.get_or_insert(self.now);
                 let due = l.halve(sent, self.now);
@@ -485,7 +490,7 @@
                     l.wait_until += more.max(0.0) as Micros;
                 }
             }
-            Outcome::Spoilt => {
+            Outcome::UnreadableResponse => {
                 l.evidence.spoilt(self.now);
                 l.last_ok = self.now;
                 l.trouble = l.trouble.or(l.evidence.is_lossy().then_some(sent));
@@ -504,28 +509,29 @@
                 }
             }
         }
-        let fails = !matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Spoilt) && !planned;
+        let fails =
+            !matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::UnreadableResponse) && !planned;
         l.may_have_run = if fails { outcome != Outcome::ConnectFailed } else { l.may_have_run };
         match l.gate {
             Gate::Out { .. } if outcome == Outcome::Ok => {}
             Gate::Out { backoff, .. } => {
                 l.gate = Gate::Out { next: self.now + (backoff.max(gap) * jitter * 0.75) as Micros, backoff };
             }
-            _ if l.evidence.is_out(self.now) || end.wait > self.s.rules.tip_after => self.shut(lane),
+            _ if l.evidence.is_out(self.now) || end.wait > self.s.rules.overload_duration => self.shut(lane),
             _ => {}
         }
         // Idle connections fill the table of an endpoint that takes few, or are dropped unseen: closed after
         // use where one was denied or this sender comes seldom. Costs a handshake if the next call was near.
         // A refusal without a report, where others have one, is a table filled by a fleet. Who holds a place
         // there never meets one, so it counts for all destinations of the kind.
-        let reports = self.s.senders >= FLEET && self.lanes.iter().any(|l| l.reported);
+        let reports = self.s.senders >= LARGE_FLEET && self.lanes.iter().any(|l| l.reported);
         let l = &self.lanes[lane];
-        let no_room = reports && outcome == Outcome::Full && report.is_none() && end.wait == 0;
+        let no_room = reports && outcome == Outcome::Rejected && report.is_none() && end.wait == 0;
         if no_room && self.crowded.insert(l.kind) {
             let same = self.targets.iter().filter(|(_, t)| self.lanes[t.lane].kind == l.kind);
             self.out.extend(same.map(|(id, _)| Action::CloseIdle { target: *id }));
         }
-        let seldom = (l.heat - 1.0) * self.s.connection_idle as f64 / SECOND <= self.span;
+        let seldom = (l.heat - 1.0) * self.s.idle_timeout as f64 / SECOND <= self.span;
         if let Some(t) = self.targets.get_mut(&target) {
             // One endpoint of several may be out alone: it rests while the others serve.
             t.avoid_until = if fails || no_room { self.now + least_aim as Micros } else { 0 };
@@ -552,7 +558,7 @@
         l.window_before = l.window;
         (l.trouble, l.window) = (l.trouble.or(Some(self.now)), 1.0);
         let name = l.targets.first().copied().unwrap_or(0);
-        self.out.push(Action::FoundOut { target: name });
+        self.out.push(Action::OutageDetected { target: name });
         self.log(format!("destination of {name} looks out: single trials"));
     }
 
@@ -597,12 +603,12 @@
         if let Gate::Ramp { since } = l.gate {
             // This sender's part of a cautious share of what would push it over, rising over the ramp. Does
             // harm where the destination was not cold.
-            let part = ((self.now - since) as f64 / r.ramp_time.max(1) as f64).min(1.0);
-            let warm = r.cold_from + (1.0 - r.cold_from) * part;
+            let part = ((self.now - since) as f64 / r.slow_start_time.max(1) as f64).min(1.0);
+            let warm = r.cold_capacity_share + (1.0 - r.cold_capacity_share) * part;
             // What it served lately it can do, also where clients come less often meanwhile.
             let own = own.max(if l.before > MANY && l.part <= 0.0 { l.before } else { 0.0 });
             let capacity = own.max(l.limit.max(LEAST_TOGETHER) / f64::from(self.s.senders.max(1)));
-            (rate, depth) = (capacity * warm * r.tip_multiple.max(1.0) * RAMP_CAUTION, 1.0);
+            (rate, depth) = (capacity * warm * r.overload_factor.max(1.0) * RAMP_CAUTION, 1.0);
         }
         let refill =
             if rate > 0.0 { rate * self.now.saturating_sub(l.filled) as f64 / SECOND } else { f64::MAX };
@@ -677,7 +683,7 @@
         for ((class, bound), set) in &d.ready {
             let Some((urgency, id)) = self.candidate(*class, set) else { continue };
             let (m, retry) = (&self.messages[&id], bound & RETRY != 0);
-            let unsafe_now = self.s.classes[*class].effect == Effect::Unsafe;
+            let unsafe_now = self.s.classes[*class].effect == Effect::Once;
             let mut choice: Option<((f64, f64), usize, TargetId, bool)> = None;
             for (lane, trial) in &open {
                 let l = &self.lanes[*lane];
@@ -745,8 +751,10 @@
         let tau = (l.times.tau * jitter) as Micros;
         let again = match c.effect {
             Effect::Repeatable => true,
-            Effect::Keyed => self.now + tau + 2 * self.s.tick < m.ran.map_or(self.now, |r| r.0) + c.window,
-            Effect::Unsafe => false,
+            Effect::Keyed => {
+                self.now + tau + 2 * self.s.tick < m.ran.map_or(self.now, |r| r.0) + c.dedup_window
+            }
+            Effect::Once => false,
         };
         let last = m.attempts.len() + 1 >= self.s.max_attempts as usize;
         // The lesser of τ and the time left; the time left where no resend may follow.
@@ -763,7 +771,7 @@
 
     /// Fills a call further, where the destination takes several messages in one. A trial goes alone.
     fn fill(&mut self, dest: DestinationId, lane: usize, target: TargetId, call: u64) {
-        let batch = self.s.batch.get(self.lanes[lane].kind).copied().unwrap_or(1);
+        let batch = self.s.max_batch.get(self.lanes[lane].kind).copied().unwrap_or(1);
         let zone = self.targets.get(&target).map_or(0, |t| t.zone + 1);
         for _ in 1..batch {
             let Some(d) = self.destinations.get(&dest) else { return };
@@ -771,7 +779,7 @@
             let next = open.filter_map(|((c, _), set)| self.candidate(*c, set));
             let Some((_, id)) = next.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
             let (m, l) = (&self.messages[&id], &self.lanes[lane]);
-            let unsafe_now = self.s.classes[m.class].effect == Effect::Unsafe;
+            let unsafe_now = self.s.classes[m.class].effect == Effect::Once;
             if !self.allowed(m).0 || (unsafe_now && l.may_have_run && l.evidence.is_lossy()) {
                 return;
             }
@@ -844,7 +852,7 @@
             l.out += OUT_WEIGHT * (l.calls.len() as f64 - l.out);
             l.retries = l.retries.max((l.retries + RETRY_UPKEEP).min(RETRY_SAVED));
             l.pace += if l.pace > 0.0 && l.limit <= 0.0 { PACE_RISE * (l.pace + 0.5) } else { 0.0 };
-            if matches!(l.gate, Gate::Ramp { since } if self.now > since + self.s.rules.ramp_time) {
+            if matches!(l.gate, Gate::Ramp { since } if self.now > since + self.s.rules.slow_start_time) {
                 l.gate = Gate::Open;
             }
             let out = matches!(l.gate, Gate::Out { .. });
@@ -905,7 +913,7 @@
     /// a minute to come back from a limit that was low for some seconds.
     fn limit_is(&mut self, rate: f64, senders: u32, aim: f64) {
         let even = rate / f64::from(senders.max(1));
-        self.part = if senders >= FLEET { even } else { 0.0 };
+        self.part = if senders >= LARGE_FLEET { even } else { 0.0 };
         if self.limit <= 0.0 {
             self.pace = if self.part > 0.0 || even * aim > 3.0 { even } else { 0.0 };
         } else if self.part > 0.0 || rate > LIMIT_MOVES * self.limit || self.limit > LIMIT_MOVES * rate {
@@ -927,5 +935,5 @@
 mod view;
 
 #[cfg(test)]
-#[path = "brain_tests.rs"]
+#[path = "scheduler_tests.rs"]
 mod tests;
--- a/src/brain_tests.rs
+++ b/src/scheduler_tests.rs
@@ -1,6 +1,6 @@
 //! The estimator against the paper's own figures, and against a slow spell.
 
-use super::{AnswerTimes, Brain};
+use super::{AnswerTimes, DeliveryScheduler};
 use crate::interface::*;
 use crate::state::Lane;
 
@@ -78,8 +78,8 @@
 fn endpoints_that_have_gone_are_forgotten() {
     for apart in [false, true] {
         let class = Class { aim: 3_000_000, deadline: 12_000_000, worth: 1.0, ..Class::default() };
-        let settings = Settings { routes_apart: vec![apart], ..alone(class) };
-        let mut brain = Brain::new(0, 1, settings);
+        let settings = Settings { independent_routes: vec![apart], ..alone(class) };
+        let mut brain = DeliveryScheduler::new(0, 1, settings);
         let (mut now, mut out) = (0, Vec::new());
         for round in 1..=500 {
             let endpoint = |destination| Endpoint {
@@ -152,15 +152,15 @@
 /// an error it waits for a sign of health.
 #[test]
 fn an_answer_that_cannot_be_read_does_not_hold_back_the_next_message() {
-    for (outcome, sent) in [(Outcome::Spoilt, true), (Outcome::Error, false)] {
+    for (outcome, sent) in [(Outcome::UnreadableResponse, true), (Outcome::Error, false)] {
         let class = Class {
             aim: 3_000_000,
             deadline: 12_000_000,
             worth: 1.0,
-            effect: Effect::Unsafe,
+            effect: Effect::Once,
             ..Class::default()
         };
-        let mut brain = Brain::new(0, 1, alone(class));
+        let mut brain = DeliveryScheduler::new(0, 1, alone(class));
         let mut out = Vec::new();
         let endpoint = Endpoint { target: 1, destination: 1, ..Endpoint::default() };
         brain.handle(
@@ -195,11 +195,11 @@
 }
 
 /// One unsafe message to a destination with one endpoint, which takes more than one at a time; the brain and what it says.
-fn one_out() -> (Brain, Vec<Action>) {
-    let class = Class { aim: 3_000_000, deadline: 12_000_000, effect: Effect::Unsafe, ..Class::default() };
-    let rules = crate::interface::Rules { tip_after: 1_000_000, ..Default::default() };
+fn one_out() -> (DeliveryScheduler, Vec<Action>) {
+    let class = Class { aim: 3_000_000, deadline: 12_000_000, effect: Effect::Once, ..Class::default() };
+    let rules = crate::interface::Rules { overload_duration: 1_000_000, ..Default::default() };
     let settings = Settings { max_attempts: 2, rules, ..alone(class) };
-    let (mut brain, mut out) = (Brain::new(0, 1, settings), Vec::new());
+    let (mut brain, mut out) = (DeliveryScheduler::new(0, 1, settings), Vec::new());
     let endpoints = vec![Endpoint { target: 1, destination: 1, ..Endpoint::default() }];
     brain.handle(0, Event::List { kind: ListKind::Full, version: 1, endpoints }, &mut out);
     let event = Event::Request { id: 1, class: 0, destination: 1, order_key: 0, expires: 12_000_000 };
@@ -225,7 +225,7 @@
     let mut now = 0;
     for _ in 0..5 {
         let mut out = Vec::new();
-        brain.handle(now + 1_000, ends(1, Outcome::HeldBack, false, 500_000), &mut out);
+        brain.handle(now + 1_000, ends(1, Outcome::Withheld, false, 500_000), &mut out);
         brain.decide(now + 1_000, &mut out);
         brain.decide(now + 500_999, &mut out);
         assert!(!sent(&out, 1) && brain.calls_out == 0 && brain.messages[&1].attempts.is_empty());
@@ -244,7 +244,7 @@
     let mut out = Vec::new();
     brain.handle(1_000, ends(1, Outcome::Ok, true, 0), &mut out);
     assert!(brain.messages.is_empty());
-    brain.handle(2_000, ends(1, Outcome::Full, true, 700_000), &mut out);
+    brain.handle(2_000, ends(1, Outcome::Rejected, true, 700_000), &mut out);
     let event = Event::Request { id: 2, class: 0, destination: 1, order_key: 0, expires: 12_000_000 };
     brain.handle(3_000, event, &mut out);
     brain.decide(3_000, &mut out);
@@ -259,12 +259,12 @@
 fn what_is_found_out_is_told_before_anything_else_is_sent() {
     let (mut brain, _) = one_out();
     let mut out = Vec::new();
-    brain.handle(1_000, ends(1, Outcome::Full, false, 2_000_000), &mut out);
+    brain.handle(1_000, ends(1, Outcome::Rejected, false, 2_000_000), &mut out);
     let event = Event::Request { id: 2, class: 0, destination: 1, order_key: 0, expires: 12_000_000 };
     brain.handle(2_000, event, &mut out);
     brain.decide(2_000, &mut out);
     (2..12).for_each(|at| brain.decide(at * 1_000_000, &mut out));
-    let found = out.iter().position(|a| *a == Action::FoundOut { target: 1 });
+    let found = out.iter().position(|a| *a == Action::OutageDetected { target: 1 });
     let next = out.iter().position(|a| matches!(a, Action::Send { .. }));
     assert!(found.is_some() && found < next, "{found:?} {next:?}");
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decision module remembers: plain state, no decisions.
 
 use crate::answers::AnswerTimes;
-use crate::evidence::Evidence;
+use crate::failure_detector::Evidence;
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,12 +1,12 @@
 //! What the decisions look like from outside, for people: read, never acted on.
 
-use super::Brain;
+use super::DeliveryScheduler;
 use crate::interface::*;
 use crate::state::Gate;
-use crate::views::*;
+use crate::status::*;
 use std::collections::BTreeMap;
 
-impl Brain {
+impl DeliveryScheduler {
     /// A line for people; a bound, since what goes wrong for long says so again and again.
     pub(super) fn log(&mut self, text: String) {
         self.logged += 1;
@@ -15,7 +15,7 @@
 
     /// A picture of every destination at a time. Bounded work: it looks at destinations, targets and calls out, not
     /// at single messages.
-    pub fn view(&self, now: Micros) -> Vec<DestinationView> {
+    pub fn status(&self, now: Micros) -> Vec<DestinationStatus> {
         let rest = |until: Micros| until.saturating_sub(now);
         let lane = |lane: &usize| {
             let l = &self.lanes[*lane];
@@ -23,41 +23,41 @@
             l.calls.values().for_each(|c| *calls.entry(c.target).or_default() += 1);
             let targets = l.targets.iter().filter_map(|id| {
                 let t = self.targets.get(id)?;
-                let (calls, avoided) = (calls.get(id).copied().unwrap_or(0), rest(t.avoid_until));
-                Some(TargetView { target: *id, state: t.state, calls, avoided })
+                let (calls, avoided_for) = (calls.get(id).copied().unwrap_or(0), rest(t.avoid_until));
+                Some(TargetStatus { target: *id, state: t.state, calls, avoided_for })
             });
             let health = match l.gate {
                 Gate::Open if l.evidence.is_lossy() => Health::Failing,
-                Gate::Open => Health::Open,
-                Gate::Out { next, .. } => Health::Out { next: rest(next) },
-                Gate::Ramp { since } => Health::Warming { since: now.saturating_sub(since) },
+                Gate::Open => Health::Up,
+                Gate::Out { next, .. } => Health::Out { next_trial_in: rest(next) },
+                Gate::Ramp { since } => Health::SlowStart { elapsed: now.saturating_sub(since) },
             };
-            LaneView {
+            RouteStatus {
                 targets: targets.collect(),
                 health,
-                trouble: l.trouble.map(|since| now.saturating_sub(since)),
-                failing: l.evidence.share(),
-                towards_out: l.evidence.towards_out(now),
-                stood: match l.gate {
+                unanswered_for: l.trouble.map(|since| now.saturating_sub(since)),
+                failure_share: l.evidence.share(),
+                outage_evidence: l.evidence.towards_out(now),
+                state_age: match l.gate {
                     Gate::Open if l.evidence.is_lossy() => l.evidence.lossy_since(),
                     Gate::Open => l.evidence.last_failure(),
                     Gate::Out { .. } => l.trouble,
                     Gate::Ramp { since } => Some(since),
                 }
                 .map(|since| now.saturating_sub(since)),
-                wait: rest(l.wait_until),
+                wait_left: rest(l.wait_until),
                 window: l.window,
                 calls: l.calls.len() as u32,
                 tau: l.times.tau as Micros,
-                mean: if l.times.answers > 0 { l.times.mean() as Micros } else { 0 },
+                mean_latency: if l.times.answers > 0 { l.times.mean() as Micros } else { 0 },
                 pace: l.pace,
                 limit: l.limit,
             }
         };
-        let destination = |(id, d): (&DestinationId, &crate::state::Destination)| DestinationView {
+        let destination = |(id, d): (&DestinationId, &crate::state::Destination)| DestinationStatus {
             destination: *id,
             ready: d.ready.values().map(|set| set.len() as u32).sum(),
-            lanes: d.lanes.iter().map(lane).collect(),
+            routes: d.lanes.iter().map(lane).collect(),
         };
         self.destinations.iter().map(destination).collect()
     }
--- a/src/estimate.rs
+++ b/src/wait_estimate.rs
@@ -67,5 +67,5 @@
 }
 
 #[cfg(test)]
-#[path = "estimate_tests.rs"]
+#[path = "wait_estimate_tests.rs"]
 mod tests;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A forwarder in small: it feeds a module, carries out its timers and checks every action against the rules.
 #![allow(dead_code)]
 
-use hatchline::*;
+use foldtrack_delivery::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MS: u64 = 1000;
@@ -32,7 +32,7 @@
 pub struct Field {
     pub now: u64,
     pub settings: Settings,
-    pub brain: Brain,
+    pub brain: DeliveryScheduler,
     pub mail: BTreeMap<MessageId, Mail>,
     pub order: BTreeMap<u64, Vec<MessageId>>,
     pub rests: BTreeMap<u64, u64>,
@@ -54,7 +54,7 @@
         worth: 1.0,
         late_value: 0.5,
         effect,
-        window: 10 * S,
+        dedup_window: 10 * S,
         ..Class::default()
     }
 }
@@ -69,16 +69,16 @@
         classes,
         rules: Rules {
             drain_grace: S,
-            cold_from: 0.2,
-            ramp_time: 10 * S,
-            tip_multiple: 2.5,
-            tip_after: 1500 * MS,
-            order_pause: 100 * MS,
-            ask_within: 10 * S,
+            cold_capacity_share: 0.2,
+            slow_start_time: 10 * S,
+            overload_factor: 2.5,
+            overload_duration: 1500 * MS,
+            uncertain_key_pause: 100 * MS,
+            list_poll_interval: 10 * S,
         },
-        batch: vec![1],
-        routes_apart: vec![false],
-        connection_idle: 15 * S,
+        max_batch: vec![1],
+        independent_routes: vec![false],
+        idle_timeout: 15 * S,
         connect_timeout: S,
         streams_per_connection: 8,
         tick: 5 * MS,
@@ -95,7 +95,7 @@
         let now = 5 * S;
         let mut field = Field {
             now,
-            brain: Brain::new(now, 7, settings.clone()),
+            brain: DeliveryScheduler::new(now, 7, settings.clone()),
             settings,
             mail: BTreeMap::new(),
             order: BTreeMap::new(),
@@ -171,13 +171,13 @@
         if outcome == Outcome::Ok && m.over.is_none() {
             (m.over, m.served) = (Some(now), true);
         }
-        if outcome == Outcome::HeldBack {
+        if outcome == Outcome::Withheld {
             m.sent.pop();
         }
         let ended = m.over.is_some();
         let (destination, key) = (m.destination, m.key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.rests.insert(key, now + self.settings.rules.order_pause);
+            self.rests.insert(key, now + self.settings.rules.uncertain_key_pause);
         }
         if wait > 0 {
             let route = if self.apart(target) { target } else { 0 };
@@ -190,7 +190,7 @@
 
     fn apart(&self, target: TargetId) -> bool {
         let kind = self.endpoints[&target].kind as usize;
-        self.settings.routes_apart.get(kind).copied().unwrap_or(false)
+        self.settings.independent_routes.get(kind).copied().unwrap_or(false)
     }
 
     /// Passes one event in, lets the module decide, and carries out and checks what it says.
@@ -218,7 +218,7 @@
                 }
                 let ran = m.sent.iter().any(may_have_run);
                 let class = &self.settings.classes[m.class];
-                let keyed_all = class.effect == Effect::Keyed && class.group == Group::All;
+                let keyed_all = class.effect == Effect::Keyed && class.dedup_scope == DedupScope::All;
                 if refuse && ran && class.effect != Effect::Repeatable && !keyed_all {
                     self.broken.push(format!("message {id} refused though it may have run"));
                 }
@@ -257,12 +257,12 @@
         }
         let ran: Vec<_> = m.sent.iter().filter(|a| may_have_run(a)).collect();
         match (class.effect, ran.first()) {
-            (Effect::Unsafe, Some(_)) => broken("an unsafe message that may have run was repeated"),
+            (Effect::Once, Some(_)) => broken("an unsafe message that may have run was repeated"),
             (Effect::Keyed, Some(first)) => {
-                if self.now > first.at + class.window {
+                if self.now > first.at + class.dedup_window {
                     broken("repeated outside its window");
                 }
-                if class.group == Group::Zone && self.endpoints[&first.target].zone != e.zone {
+                if class.dedup_scope == DedupScope::Zone && self.endpoints[&first.target].zone != e.zone {
                     broken("repeated outside its group");
                 }
             }
@@ -289,7 +289,7 @@
         }
         let sent = Sent { target, at: self.now, until, outcome: None };
         self.mail.get_mut(&id).unwrap().sent.push(sent);
-        if self.settings.batch.iter().all(|b| *b == 1) {
+        if self.settings.max_batch.iter().all(|b| *b == 1) {
             let out = self.out();
             let here = out.iter().filter(|(x, _, _)| self.mail[x].destination == m.destination).count();
             if out.len() > self.settings.slots as usize {
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -3,16 +3,16 @@
 
 mod lossy;
 
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 use lossy::*;
 
 /// Messages applied in a second of the day's span.
-fn rate(plan: &Plan, day: &Day) -> f64 {
-    let span = (plan.span / SECOND) as usize;
+fn rate(plan: &Scenario, day: &Report) -> f64 {
+    let span = (plan.duration / SECOND) as usize;
     day.by_second[..span].iter().sum::<u64>() as f64 / span as f64
 }
 
-fn truthful(plan: &Plan, day: &Day) {
+fn truthful(plan: &Scenario, day: &Report) {
     assert_eq!((day.twice, day.false_ends), (0, 0), "{plan:?}: {day:?}");
 }
 
@@ -21,15 +21,15 @@
 #[test]
 fn failures_by_chance_cost_little_more_than_themselves() {
     let whole = {
-        let plan = Plan::default();
-        rate(&plan, &play(&plan))
+        let plan = Scenario::default();
+        rate(&plan, &simulate(&plan))
     };
     for (share, least) in [(0.055, 0.7), (0.11, 0.4), (0.22, 0.2)] {
-        let plan = Plan { share, ..Plan::default() };
-        let day = play(&plan);
+        let plan = Scenario { failure_share: share, ..Scenario::default() };
+        let day = simulate(&plan);
         truthful(&plan, &day);
         assert!(rate(&plan, &day) > least * whole, "{share}: {} of {whole}", rate(&plan, &day));
-        assert!(day.verdicts <= 2, "{share}: held to be out {} times", day.verdicts);
+        assert!(day.outages_detected <= 2, "{share}: held to be out {} times", day.outages_detected);
     }
 }
 
@@ -38,21 +38,21 @@
     for kind in MIXED {
         for (calls, share) in [(5.0, 0.1), (50.0, 0.2), (500.0, 0.2), (5_000.0, 0.1)] {
             for endpoints in [1, 4] {
-                let plan = Plan {
+                let plan = Scenario {
                     rate: calls,
                     clients: 0,
-                    share,
-                    kinds: vec![kind],
+                    failure_share: share,
+                    failure_kinds: vec![kind],
                     endpoints,
                     slots: 256,
-                    span: 4 * SECOND,
-                    ..Plan::default()
+                    duration: 4 * SECOND,
+                    ..Scenario::default()
                 };
-                let day = play(&plan);
+                let day = simulate(&plan);
                 truthful(&plan, &day);
                 // What is handed in at the end is applied after it: the day as a whole counts.
                 let applied = day.applied as f64 / day.taken.max(1) as f64;
-                let most = if kind == Kind::Late && calls > 1_000.0 { 0.2 } else { 0.6 };
+                let most = if kind == FailureKind::Late && calls > 1_000.0 { 0.2 } else { 0.6 };
                 assert!(
                     applied > most,
                     "{kind:?} {calls}/s, {endpoints}: {applied:.2} of what was taken on, {day:?}"
@@ -64,19 +64,25 @@
 
 #[test]
 fn a_true_outage_is_found_in_no_time_whatever_the_rate_and_the_kind() {
-    for kind in [Kind::Refused, Kind::ResetBefore, Kind::Error, Kind::Silent] {
+    for kind in [FailureKind::Refused, FailureKind::ResetBefore, FailureKind::Error, FailureKind::Silent] {
         for (calls, most, spent) in [(5.0, 5_000, 12), (50.0, 400, 20), (500.0, 150, 80), (5_000.0, 150, 400)]
         {
             let outage = Some((4 * SECOND, 12 * SECOND, kind));
-            let plan =
-                Plan { rate: calls, clients: 0, outage, slots: 256, span: 8 * SECOND, ..Plan::default() };
-            let day = play(&plan);
+            let plan = Scenario {
+                rate: calls,
+                clients: 0,
+                outage,
+                slots: 256,
+                duration: 8 * SECOND,
+                ..Scenario::default()
+            };
+            let day = simulate(&plan);
             truthful(&plan, &day);
-            let found = day.found_after.unwrap_or(Micros::MAX) / MS;
+            let found = day.detected_after.unwrap_or(Micros::MAX) / MS;
             assert!(
-                found <= most && day.spent <= spent,
+                found <= most && day.calls_before_detection <= spent,
                 "{kind:?} {calls}/s: {found} ms, {} calls",
-                day.spent
+                day.calls_before_detection
             );
         }
     }
@@ -85,10 +91,10 @@
 /// A box between that restarts takes all calls out with it: that is one event, and the next second is as the one before.
 #[test]
 fn calls_that_fail_together_are_one_event() {
-    let plan = Plan { restarts: vec![3 * SECOND, 5 * SECOND], ..Plan::default() };
-    let day = play(&plan);
+    let plan = Scenario { restarts: vec![3 * SECOND, 5 * SECOND], ..Scenario::default() };
+    let day = simulate(&plan);
     truthful(&plan, &day);
-    assert_eq!(day.verdicts, 0);
+    assert_eq!(day.outages_detected, 0);
     let (before, after) = (day.by_second[2] as f64, day.by_second[3] as f64);
     assert!(after > 0.7 * before, "{:?}", &day.by_second[..8]);
 }
@@ -96,22 +102,22 @@
 /// Bursts are worse than independent failures, and a partner in one may look out: it is back as soon as it is over.
 #[test]
 fn bursts_of_failures_are_got_over() {
-    let plan = Plan { share: 0.1, burst: 8 * MS, ..Plan::default() };
-    let day = play(&plan);
+    let plan = Scenario { failure_share: 0.1, burst: 8 * MS, ..Scenario::default() };
+    let day = simulate(&plan);
     truthful(&plan, &day);
-    assert!(rate(&plan, &day) > 300.0, "{}, {} verdicts", rate(&plan, &day), day.verdicts);
+    assert!(rate(&plan, &day) > 300.0, "{}, {} verdicts", rate(&plan, &day), day.outages_detected);
 }
 
 /// Failures that come with load still make it yield: the more calls are out the more fail, and it keeps below where they do.
 #[test]
 fn failures_that_come_with_load_make_it_yield() {
-    let plan = Plan {
+    let plan = Scenario {
         strained_from: 12,
         strain: 0.03,
-        kinds: vec![Kind::Refused, Kind::ResetBefore],
-        ..Plan::default()
+        failure_kinds: vec![FailureKind::Refused, FailureKind::ResetBefore],
+        ..Scenario::default()
     };
-    let day = play(&plan);
+    let day = simulate(&plan);
     truthful(&plan, &day);
     let tries = day.attempts as f64 / day.applied as f64;
     assert!(
@@ -120,8 +126,8 @@
         rate(&plan, &day)
     );
     // One that takes only so many at once.
-    let plan = Plan { most_at_once: 12, ..Plan::default() };
-    let day = play(&plan);
+    let plan = Scenario { most_at_once: 12, ..Scenario::default() };
+    let day = simulate(&plan);
     let tries = day.attempts as f64 / day.applied as f64;
     assert!(
         tries < 1.5 && rate(&plan, &day) > 600.0,
@@ -135,8 +141,8 @@
 fn nothing_false_is_told_at_any_share() {
     for share in [0.3, 0.45, 0.6, 0.9] {
         for seed in 1..=2 {
-            let plan = Plan { seed, share, span: 4 * SECOND, ..Plan::default() };
-            truthful(&plan, &play(&plan));
+            let plan = Scenario { seed, failure_share: share, duration: 4 * SECOND, ..Scenario::default() };
+            truthful(&plan, &simulate(&plan));
         }
     }
 }
@@ -147,16 +153,16 @@
 fn an_overload_is_refused_at_the_door() {
     // Eight at once of 15 ms: 533 a second each.
     for (times, room) in [(2.0, 100_000), (10.0, 100_000), (10.0, 2_000)] {
-        let plan = Plan {
+        let plan = Scenario {
             rate: times * 1_066.0,
             clients: 0,
             works_on: 8,
             room,
             slots: 64,
-            span: 60 * SECOND,
-            ..Plan::default()
+            duration: 60 * SECOND,
+            ..Scenario::default()
         };
-        let day = play(&plan);
+        let day = simulate(&plan);
         truthful(&plan, &day);
         let what = format!("{times} times, room for {room}");
         let back = (day.handed_back + day.failed) as f64 / day.taken as f64;
@@ -188,17 +194,17 @@
 /// A partner that doubles its pace is given what it takes within seconds.
 #[test]
 fn a_partner_that_doubles_its_pace_gets_twice_as_much() {
-    let plan = Plan {
+    let plan = Scenario {
         rate: 3_200.0,
         clients: 0,
         works_on: 8,
         doubles: Some(20 * SECOND),
         room: 100_000,
         slots: 64,
-        span: 40 * SECOND,
-        ..Plan::default()
+        duration: 40 * SECOND,
+        ..Scenario::default()
     };
-    let day = play(&plan);
+    let day = simulate(&plan);
     truthful(&plan, &day);
     let sum = |from: usize| day.by_second[from..from + 5].iter().sum::<u64>() as f64 / 5.0;
     assert!(sum(25) > 1.8 * sum(14), "{:?}", &day.by_second[..40]);
@@ -208,15 +214,15 @@
 /// back it is found and served, though next to nothing waited for it.
 #[test]
 fn a_partner_that_stays_out_costs_the_others_nothing_and_is_found_when_it_is_back() {
-    let plan = Plan {
+    let plan = Scenario {
         rate: 400.0,
         clients: 0,
-        outage: Some((5 * SECOND, 90 * SECOND, Kind::Refused)),
+        outage: Some((5 * SECOND, 90 * SECOND, FailureKind::Refused)),
         room: 4_000,
-        span: 130 * SECOND,
-        ..Plan::default()
+        duration: 130 * SECOND,
+        ..Scenario::default()
     };
-    let day = play(&plan);
+    let day = simulate(&plan);
     truthful(&plan, &day);
     let second = |at: usize| day.by_second[at..at + 5].iter().sum::<u64>() as f64 / 5.0;
     assert!(second(60) > 0.9 * 200.0, "the other one: {}", second(60));
@@ -234,9 +240,16 @@
 #[test]
 fn retries_are_bounded_by_first_tries_at_any_share() {
     for share in [0.22, 0.4, 0.6, 0.8] {
-        for kinds in [MIXED.to_vec(), vec![Kind::Error], vec![Kind::Refused]] {
-            let plan = Plan { rate: 500.0, clients: 0, share, kinds, span: 10 * SECOND, ..Plan::default() };
-            let day = play(&plan);
+        for kinds in [MIXED.to_vec(), vec![FailureKind::Error], vec![FailureKind::Refused]] {
+            let plan = Scenario {
+                rate: 500.0,
+                clients: 0,
+                failure_share: share,
+                failure_kinds: kinds,
+                duration: 10 * SECOND,
+                ..Scenario::default()
+            };
+            let day = simulate(&plan);
             truthful(&plan, &day);
             // Twice the first tries, what is saved up, and ten a second for each of two partners.
             let most = 2.0 * day.taken as f64 + 2.0 * (64.0 + 10.0 * 40.0);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hatchline::*;
+use foldtrack_delivery::*;
 
 /// A destination that has answered for a while, so that τ is known and the window open.
 fn warmed(settings: Settings, endpoints: Vec<Endpoint>, class: usize) -> Field {
@@ -32,7 +32,7 @@
 
 #[test]
 fn an_unsafe_message_waits_the_time_left() {
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe)];
+    let classes = vec![class(Effect::Repeatable), class(Effect::Once)];
     let mut field = warmed(settings(classes), vec![endpoint(1, 1)], 0);
     let id = field.request(1, 1, 0);
     assert_eq!(field.mail[&id].sent[0].until, field.mail[&id].expires);
@@ -46,11 +46,11 @@
 #[test]
 fn a_keyed_message_is_not_repeated_after_its_window() {
     let mut keyed = class(Effect::Keyed);
-    keyed.window = 3 * S;
+    keyed.dedup_window = 3 * S;
     let mut field = warmed(settings(vec![keyed]), vec![endpoint(1, 1)], 0);
     let id = field.request(0, 1, 0);
     field.end(id, 0, Outcome::TimedOut, 0);
-    field.end(id, 1, Outcome::Full, 4 * S);
+    field.end(id, 1, Outcome::Rejected, 4 * S);
     field.run(6 * S, serves(80 * MS));
     assert_eq!(field.mail[&id].sent.len(), 2);
     assert!(field.mail[&id].over.is_some());
@@ -62,7 +62,7 @@
 #[test]
 fn a_repeat_of_a_keyed_message_is_called_off_with_its_window() {
     let mut keyed = class(Effect::Keyed);
-    keyed.window = 3 * S;
+    keyed.dedup_window = 3 * S;
     // Nothing is known of answer times yet: attempts wait as long as they may.
     let mut field = Field::new(settings(vec![keyed]), vec![endpoint(1, 1)]);
     let id = field.request(0, 1, 0);
@@ -81,18 +81,18 @@
 #[test]
 fn a_wait_told_to_any_message_of_a_call_is_heeded() {
     let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.batch = vec![4];
+    s.max_batch = vec![4];
     let mut field = warmed(s, vec![endpoint(1, 1)], 0);
     // Hold the destination, so that several messages go in one call.
     let id = field.request(0, 1, 0);
-    field.end(id, 0, Outcome::Full, 500 * MS);
+    field.end(id, 0, Outcome::Rejected, 500 * MS);
     let ids: Vec<_> = (0..3).map(|_| field.request(0, 1, 0)).collect();
     field.run(600 * MS, |_, _, _| None);
     let shared: Vec<_> = field.out().into_iter().filter(|(x, _, _)| ids.contains(x) || *x == id).collect();
     assert!(shared.len() >= 2, "{} messages out", shared.len());
     let last = shared.len() - 1;
     for (i, (id, n, _)) in shared.iter().enumerate() {
-        field.end(*id, *n, Outcome::Full, if i == last { 2 * S } else { 0 });
+        field.end(*id, *n, Outcome::Rejected, if i == last { 2 * S } else { 0 });
     }
     field.run(5 * S, serves(80 * MS));
     field.kept();
@@ -101,7 +101,7 @@
 /// voda big-1: every slot sat on calls to a silent destination, and nothing was sent anywhere.
 #[test]
 fn a_silent_destination_does_not_hold_all_slots() {
-    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe)]);
+    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Once)]);
     s.slots = 8;
     let mut field = Field::new(s, vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)]);
     for _ in 0..60 {
@@ -151,7 +151,7 @@
     let mut field = Field::new(s, vec![endpoint(1, 1), endpoint(2, 2)]);
     for _ in 0..200 {
         field.request(0, 1, 0);
-        field.run(20 * MS, |now, _, a| (now >= a.at + 20 * MS).then_some((Outcome::Full, 0)));
+        field.run(20 * MS, |now, _, a| (now >= a.at + 20 * MS).then_some((Outcome::Rejected, 0)));
         let held = field.mail.values().filter(|m| m.over.is_none()).count();
         assert!(held < 60, "{held} held");
     }
@@ -166,7 +166,7 @@
 fn one_refusal_after_a_long_run_is_soon_over() {
     let mut field = warmed(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = field.request(0, 1, 0);
-    field.end(id, 0, Outcome::Full, 0);
+    field.end(id, 0, Outcome::Rejected, 0);
     field.run(2 * S, serves(80 * MS));
     assert!(field.mail[&id].served);
     field.kept();
@@ -237,9 +237,12 @@
 /// was out or shut so often that together they held it down or pushed it over on its return.
 #[test]
 fn among_hundreds_of_senders_each_tries_a_destination_in_trouble_seldom() {
-    for (outcome, wait) in
-        [(Some(Outcome::Full), 0), (Some(Outcome::Full), 3 * S), (Some(Outcome::ConnectFailed), 0), (None, 0)]
-    {
+    for (outcome, wait) in [
+        (Some(Outcome::Rejected), 0),
+        (Some(Outcome::Rejected), 3 * S),
+        (Some(Outcome::ConnectFailed), 0),
+        (None, 0),
+    ] {
         let (few, many) =
             (sends_in_trouble(2, 18 * S, outcome, wait), sends_in_trouble(250, 18 * S, outcome, wait));
         assert!(many <= 8, "{outcome:?}, {wait} told: {many} sends in 18 s, {few} as one of two");
@@ -262,7 +265,7 @@
     busy.run(3 * S, serves(80 * MS));
     assert!(busy.mail[&id].served && closes(&busy) > before, "kept where connections are short");
     let mut s = settings(vec![class(Effect::Repeatable)]);
-    s.connection_idle = S;
+    s.idle_timeout = S;
     let mut seldom = Field::new(s, vec![endpoint(1, 1)]);
     for _ in 0..4 {
         seldom.request(0, 1, 0);
@@ -304,11 +307,11 @@
     for event in [
         end(77, 0, 1),
         end(id, 9, 1),
-        Event::Lapsed { id: 77 },
+        Event::Abandoned { id: 77 },
         Event::Timer { token: 99 },
         Event::Started { id: 77, attempt: 0 },
-        Event::Probed { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
-        Event::Peer { from: 1, data: vec![] },
+        Event::ProbeOutcome { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
+        Event::PeerMessage { from: 1, data: vec![] },
         Event::Request { id: 78, class: 9, destination: 1, order_key: 0, expires: u64::MAX },
         Event::List { kind: ListKind::Failed, version: 0, endpoints: vec![] },
     ] {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! What many forwarders do in step: many copies of the module, no sockets; the longer plays in the emulator.
 
+use foldtrack_delivery::emulator_policy::SchedulerFactory;
+use foldtrack_delivery::{
+    Action, Class, DeliveryScheduler, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind,
+    ListedRate, Micros, Outcome, Rules, Settings,
+};
 use foldtrack_emulator::figures::Second;
 use foldtrack_emulator::world::World;
-use hatchline::emulated::Modules;
-use hatchline::{
-    Action, Brain, Class, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind, ListedRate, Micros,
-    Outcome, Rules, Settings,
-};
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
@@ -44,8 +44,8 @@
 }
 
 /// One of so many senders, with a seed of its own.
-fn one_of(senders: u32, sender: u32) -> Brain {
-    Brain::new(0, u64::from(sender).wrapping_mul(0x1234_5678_9abc_def1), settings(senders))
+fn one_of(senders: u32, sender: u32) -> DeliveryScheduler {
+    DeliveryScheduler::new(0, u64::from(sender).wrapping_mul(0x1234_5678_9abc_def1), settings(senders))
 }
 
 /// Calls that each endpoint gets where every one of `senders` sends now and then, one call after another.
@@ -99,7 +99,7 @@
          effect = \"repeatable\"\n[[partner]]\nname = \"p\"\nshare = 1.0\nlimit = 49.0\nwindow = \"1s\"\nrefused-use-up = true\n\
          tells = 0.5\nreport = \"1us\"\nfixed = \"1us\"\n{troubles}"
     );
-    let figures = foldtrack_emulator::play::play(&World::read(&text).unwrap(), &Modules, 7);
+    let figures = foldtrack_emulator::play::play(&World::read(&text).unwrap(), &SchedulerFactory, 7);
     assert!(figures.is_clean(), "{:?}", figures.breaches);
     figures.seconds
 }
@@ -123,7 +123,7 @@
     let mut world = World::read(&format!("{text}{trouble}")).unwrap();
     (world.traffic.rate, world.traffic.uneven) = (rate, uneven);
     let played = |seed| {
-        let figures = foldtrack_emulator::play::play(&world, &Modules, seed);
+        let figures = foldtrack_emulator::play::play(&world, &SchedulerFactory, seed);
         assert!(figures.is_clean(), "{:?}", figures.breaches);
         figures.served()
     };
@@ -184,8 +184,8 @@
 /// One of so many senders that has had a call served at each of three destinations, the first two of one kind and the third of
 /// another, and then another call at the first refused. Gives the targets whose idle connections it closes.
 fn closed_after_a_refusal(senders: u32, reported: bool, refusal: (Option<LimitReport>, Micros)) -> Vec<u32> {
-    let settings = Settings { connection_idle: 60 * SECOND, ..settings(senders) };
-    let mut brain = Brain::new(0, 1, settings);
+    let settings = Settings { idle_timeout: 60 * SECOND, ..settings(senders) };
+    let mut brain = DeliveryScheduler::new(0, 1, settings);
     let mut out = Vec::new();
     let line = |target: u32| {
         let kind = target / 2;
@@ -217,7 +217,7 @@
     };
     let served = (1..).zip((0..3).cycle()).take(9);
     served.for_each(|(id, target)| drop(call(id, target, Outcome::Ok, reported.then_some(report), 0)));
-    let mut closed = call(10, 0, Outcome::Full, refusal.0, refusal.1);
+    let mut closed = call(10, 0, Outcome::Rejected, refusal.0, refusal.1);
     // Where it has learned something it goes on by it.
     closed.extend(call(11, 1, Outcome::Ok, reported.then_some(report), 0));
     closed.extend(call(12, 2, Outcome::Ok, reported.then_some(report), 0));
@@ -246,16 +246,16 @@
     const STEP: Micros = 20_000;
     let (out_from, back, end) = (20 * SECOND, 32 * SECOND, 46 * SECOND);
     let rules = Rules {
-        cold_from: 0.16,
-        ramp_time: 14 * SECOND,
-        tip_multiple: 2.5,
-        tip_after: 2 * SECOND,
+        cold_capacity_share: 0.16,
+        slow_start_time: 14 * SECOND,
+        overload_factor: 2.5,
+        overload_duration: 2 * SECOND,
         ..Rules::default()
     };
-    let mut brains: Vec<Brain> = (0..senders)
+    let mut brains: Vec<DeliveryScheduler> = (0..senders)
         .map(|n| {
             let settings = Settings { rules: rules.clone(), slots: 8, max_held: 400, ..settings(senders) };
-            Brain::new(0, u64::from(n).wrapping_mul(0x1234_5678_9abc_def1), settings)
+            DeliveryScheduler::new(0, u64::from(n).wrapping_mul(0x1234_5678_9abc_def1), settings)
         })
         .collect();
     let mut out = Vec::new();
@@ -294,11 +294,12 @@
         }
     }
     let window = |from: Micros| {
-        let calls = sent.iter().filter(|at| (from..from + rules.tip_after).contains(*at)).count();
-        let warm = 0.16 + (1.0 - 0.16) * (from + rules.tip_after - back) as f64 / rules.ramp_time as f64;
-        (calls as f64, rules.tip_multiple * limit * warm.min(1.0) * rules.tip_after as f64 / 1e6)
+        let calls = sent.iter().filter(|at| (from..from + rules.overload_duration).contains(*at)).count();
+        let warm = 0.16
+            + (1.0 - 0.16) * (from + rules.overload_duration - back) as f64 / rules.slow_start_time as f64;
+        (calls as f64, rules.overload_factor * limit * warm.min(1.0) * rules.overload_duration as f64 / 1e6)
     };
-    (back..end - rules.tip_after).step_by(SECOND as usize / 4).map(window).collect()
+    (back..end - rules.overload_duration).step_by(SECOND as usize / 4).map(window).collect()
 }
 
 /// Beyond the budget only chance is borne: twice its root and two more.
@@ -374,7 +375,7 @@
             for (partner, limit) in world.partners.iter_mut().zip([33.0, 24.0, 19.0, 15.0, 12.0]) {
                 partner.limit = limit * part;
             }
-            let figures = foldtrack_emulator::play::play(world, &Modules, u64::from(forwarders));
+            let figures = foldtrack_emulator::play::play(world, &SchedulerFactory, u64::from(forwarders));
             assert!(figures.is_clean(), "{forwarders}: {:?}", figures.breaches);
             assert!(figures.served() > 0.3, "{forwarders}: {}", figures.served());
         }
@@ -392,7 +393,8 @@
              effect = \"repeatable\"\n[[partner]]\nname = \"p\"\nshare = 1.0\ntakes = [\"5ms\", \"20ms\"]\nrefuses = {refuses:?}\n"
         );
         for seed in 1..=3 {
-            let figures = foldtrack_emulator::play::play(&World::read(&text).unwrap(), &Modules, seed);
+            let figures =
+                foldtrack_emulator::play::play(&World::read(&text).unwrap(), &SchedulerFactory, seed);
             let in_time = figures.in_time as f64 / figures.messages as f64;
             assert!(in_time > 0.95 && figures.is_clean(), "{refuses}, seed {seed}: {in_time}");
         }
--- a/tests/lossy/mod.rs
+++ b/tests/lossy/mod.rs
@@ -2,8 +2,8 @@
 //! sockets. Seeded: the same world plays the same day. The test `evidence` and the benchmark `lossy` share it.
 #![allow(dead_code)]
 
-use hatchline::views::Health;
-use hatchline::*;
+use foldtrack_delivery::status::Health;
+use foldtrack_delivery::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
@@ -12,7 +12,7 @@
 
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum FailureKind {
     /// The connection is refused.
     Refused,
     /// The connection breaks before it takes effect, or after it.
@@ -26,22 +26,28 @@
     Silent,
 }
 
-pub const MIXED: [Kind; 5] = [Kind::Refused, Kind::ResetBefore, Kind::ResetAfter, Kind::Error, Kind::Late];
+pub const MIXED: [FailureKind; 5] = [
+    FailureKind::Refused,
+    FailureKind::ResetBefore,
+    FailureKind::ResetAfter,
+    FailureKind::Error,
+    FailureKind::Late,
+];
 
 /// What the partners are like and what is asked of them.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub seed: u64,
     /// Messages a second that come; where `clients` is set, that many clients hand in one after another instead.
     pub rate: f64,
     pub clients: usize,
     /// Share of calls that fail, and how: one of these at random.
-    pub share: f64,
-    pub kinds: Vec<Kind>,
+    pub failure_share: f64,
+    pub failure_kinds: Vec<FailureKind>,
     /// Failures come in bursts that last so long on average (Gilbert-Elliott, in time); 0 for independent ones.
     pub burst: Micros,
     /// From and until when every call fails, and how.
-    pub outage: Option<(Micros, Micros, Kind)>,
+    pub outage: Option<(Micros, Micros, FailureKind)>,
     /// At these times all calls that are out are reset at once.
     pub restarts: Vec<Micros>,
     /// Calls at once above which a partner refuses further ones.
@@ -59,19 +65,19 @@
     pub strain: f64,
     pub partners: u32,
     pub endpoints: u32,
-    pub answers: (Micros, Micros),
+    pub latency: (Micros, Micros),
     pub slots: u32,
-    pub span: Micros,
+    pub duration: Micros,
 }
 
-impl Default for Plan {
+impl Default for Scenario {
     fn default() -> Self {
-        Plan {
+        Scenario {
             seed: 1,
             rate: 0.0,
             clients: 16,
-            share: 0.0,
-            kinds: MIXED.to_vec(),
+            failure_share: 0.0,
+            failure_kinds: MIXED.to_vec(),
             burst: 0,
             outage: None,
             restarts: Vec::new(),
@@ -84,16 +90,16 @@
             strain: 0.0,
             partners: 2,
             endpoints: 1,
-            answers: (0, 30 * MS),
+            latency: (0, 30 * MS),
             slots: 64,
-            span: 8 * SECOND,
+            duration: 8 * SECOND,
         }
     }
 }
 
 /// What a day came to.
 #[derive(Clone, Debug, Default)]
-pub struct Day {
+pub struct Report {
     pub taken: u64,
     pub refused: u64,
     pub handed_back: u64,
@@ -104,10 +110,10 @@
     pub twice: u64,
     pub false_ends: u64,
     /// When a destination first looked out after the outage began, and calls that went to it before that.
-    pub found_after: Option<Micros>,
-    pub spent: u64,
+    pub detected_after: Option<Micros>,
+    pub calls_before_detection: u64,
     /// Times that a destination was held to be out.
-    pub verdicts: u64,
+    pub outages_detected: u64,
     /// Messages applied in each second.
     pub by_second: Vec<u64>,
     /// Largest number of calls out to one partner.
@@ -141,10 +147,10 @@
 ];
 
 struct World {
-    plan: Plan,
+    plan: Scenario,
     rng: fastrand::Rng,
     now: Micros,
-    brain: Brain,
+    brain: DeliveryScheduler,
     queue: BinaryHeap<Reverse<(Micros, u64, What)>>,
     sequence: u64,
     /// Calls out, with the partner of each.
@@ -162,7 +168,7 @@
     /// By partner: when each of the calls that it works on will be done.
     works_until: HashMap<u32, Vec<Micros>>,
     is_out: BTreeMap<u32, bool>,
-    day: Day,
+    day: Report,
 }
 
 pub fn settings(slots: u32) -> Settings {
@@ -172,9 +178,9 @@
         worth,
         late_value: 0.5,
         effect,
-        group: Group::All,
-        window: 20 * SECOND,
-        patience: 0,
+        dedup_scope: DedupScope::All,
+        dedup_window: 20 * SECOND,
+        max_wait: 0,
         in_order,
         streaming: false,
     };
@@ -186,20 +192,20 @@
         may_cancel: true,
         may_advise_wait: true,
         max_advised_wait: 30 * SECOND,
-        classes: vec![class(Effect::Keyed, 1.0, true), class(Effect::Unsafe, 3.0, false)],
+        classes: vec![class(Effect::Keyed, 1.0, true), class(Effect::Once, 3.0, false)],
         rules: Rules {
             drain_grace: 2 * SECOND,
-            cold_from: 0.16,
-            ramp_time: 14 * SECOND,
-            tip_multiple: 2.5,
-            tip_after: 2 * SECOND,
-            order_pause: 100 * MS,
-            ask_within: 0,
+            cold_capacity_share: 0.16,
+            slow_start_time: 14 * SECOND,
+            overload_factor: 2.5,
+            overload_duration: 2 * SECOND,
+            uncertain_key_pause: 100 * MS,
+            list_poll_interval: 0,
         },
-        batch: vec![1],
-        routes_apart: vec![false],
-        zone_fee: vec![0.0],
-        connection_idle: 10 * SECOND,
+        max_batch: vec![1],
+        independent_routes: vec![false],
+        zone_cost: vec![0.0],
+        idle_timeout: 10 * SECOND,
         connect_timeout: SECOND,
         streams_per_connection: 1,
         tick: 5 * MS,
@@ -208,11 +214,11 @@
 }
 
 /// Plays a day.
-pub fn play(plan: &Plan) -> Day {
+pub fn simulate(plan: &Scenario) -> Report {
     let mut world = World {
         rng: fastrand::Rng::with_seed(plan.seed),
         now: 0,
-        brain: Brain::new(0, plan.seed, Settings { max_held: plan.room, ..settings(plan.slots) }),
+        brain: DeliveryScheduler::new(0, plan.seed, Settings { max_held: plan.room, ..settings(plan.slots) }),
         queue: BinaryHeap::new(),
         sequence: 0,
         calls: HashMap::new(),
@@ -226,7 +232,7 @@
         came: HashMap::new(),
         works_until: HashMap::new(),
         is_out: BTreeMap::new(),
-        day: Day { by_second: vec![0; (plan.span / SECOND) as usize + 60], ..Day::default() },
+        day: Report { by_second: vec![0; (plan.duration / SECOND) as usize + 60], ..Report::default() },
         plan: plan.clone(),
     };
     world.run();
@@ -264,7 +270,7 @@
             self.at(at, What::Restart);
         }
         // Everything ends: a day runs on past its last arrival.
-        let last = self.plan.span + 30 * SECOND;
+        let last = self.plan.duration + 30 * SECOND;
         while let Some(Reverse((at, ..))) = self.queue.peek().copied() {
             if at > last {
                 break;
@@ -285,12 +291,12 @@
 
     fn happen(&mut self, what: What, actions: &mut Vec<Action>) {
         match what {
-            What::HandIn(client) if self.now < self.plan.span => self.hand_in(Some(client), actions),
+            What::HandIn(client) if self.now < self.plan.duration => self.hand_in(Some(client), actions),
             What::HandIn(_) => {}
             What::Arrive => {
                 self.hand_in(None, actions);
                 let gap = -self.rng.f64().max(1e-9).ln() / self.plan.rate * SECOND as f64;
-                if self.now < self.plan.span {
+                if self.now < self.plan.duration {
                     self.at(self.now + gap as Micros + 1, What::Arrive);
                 }
             }
@@ -376,33 +382,33 @@
         *out += 1;
         let out = *out;
         self.day.most_out = self.day.most_out.max(out);
-        let (from, to) = self.plan.answers;
+        let (from, to) = self.plan.latency;
         let mut took = from + self.rng.u64(0..=to - from) + 200;
         let outage = self.plan.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
-        if let Some((from, ..)) = outage.filter(|_| partner == 0 && self.day.found_after.is_none()) {
-            self.day.spent += u64::from(from <= self.now);
+        if let Some((from, ..)) = outage.filter(|_| partner == 0 && self.day.detected_after.is_none()) {
+            self.day.calls_before_detection += u64::from(from <= self.now);
         }
         took += self.queue(partner, took);
         let failing = match outage {
             Some((.., kind)) if partner == 0 => Some(kind),
-            _ if out > self.plan.most_at_once => Some(Kind::Refused),
+            _ if out > self.plan.most_at_once => Some(FailureKind::Refused),
             _ => self.fails(partner, out),
         };
         let outcome = match failing {
             None => 0,
-            Some(Kind::Refused) => 2,
-            Some(Kind::Error) => 1,
-            Some(Kind::ResetBefore | Kind::ResetAfter) => 3,
-            Some(Kind::Late) => 0,
-            Some(Kind::Silent) => 4,
+            Some(FailureKind::Refused) => 2,
+            Some(FailureKind::Error) => 1,
+            Some(FailureKind::ResetBefore | FailureKind::ResetAfter) => 3,
+            Some(FailureKind::Late) => 0,
+            Some(FailureKind::Silent) => 4,
         };
         match failing {
-            Some(Kind::Refused) => took = 200,
-            Some(Kind::Late) => took += SECOND,
-            Some(Kind::Silent) => took = Micros::MAX / 4,
+            Some(FailureKind::Refused) => took = 200,
+            Some(FailureKind::Late) => took += SECOND,
+            Some(FailureKind::Silent) => took = Micros::MAX / 4,
             _ => {}
         }
-        if matches!(failing, None | Some(Kind::ResetAfter | Kind::Late)) {
+        if matches!(failing, None | Some(FailureKind::ResetAfter | FailureKind::Late)) {
             let fresh = self.applied.insert(id);
             self.day.twice += u64::from(!fresh && payment);
             if fresh {
@@ -432,9 +438,9 @@
         begins - self.now
     }
 
-    fn fails(&mut self, partner: u32, out: usize) -> Option<Kind> {
+    fn fails(&mut self, partner: u32, out: usize) -> Option<FailureKind> {
         let strain = out.saturating_sub(self.plan.strained_from) as f64 * self.plan.strain;
-        let share = (self.plan.share + strain).min(0.95);
+        let share = (self.plan.failure_share + strain).min(0.95);
         let (bad, until) = self.bad.entry(partner).or_insert((false, 0));
         if self.plan.burst == 0 {
             *bad = self.rng.f64() < share;
@@ -447,7 +453,7 @@
             *until += (-self.rng.f64().max(1e-9).ln() * mean) as Micros + 1;
         }
         let bad = *bad;
-        let kinds = &self.plan.kinds;
+        let kinds = &self.plan.failure_kinds;
         bad.then(|| kinds[self.rng.usize(0..kinds.len())])
     }
 
@@ -464,13 +470,13 @@
 
     /// Notes verdicts as they come.
     fn watch(&mut self) {
-        for d in self.brain.view(self.now) {
-            let out = d.lanes.iter().any(|l| matches!(l.health, Health::Out { .. }));
+        for d in self.brain.status(self.now) {
+            let out = d.routes.iter().any(|l| matches!(l.health, Health::Out { .. }));
             let before = self.is_out.insert(d.destination, out).unwrap_or(false);
-            self.day.verdicts += u64::from(out && !before);
+            self.day.outages_detected += u64::from(out && !before);
             let outage = self.plan.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
             if let Some((from, ..)) = outage.filter(|_| out && d.destination == 0) {
-                self.day.found_after.get_or_insert(self.now - from);
+                self.day.detected_after.get_or_insert(self.now - from);
             }
         }
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hatchline::*;
+use foldtrack_delivery::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -42,15 +42,15 @@
 
 fn play(steps: &[Step], batch: u32) -> Field {
     let mut zone = class(Effect::Keyed);
-    zone.group = Group::Zone;
+    zone.dedup_scope = DedupScope::Zone;
     let mut ordered = class(Effect::Keyed);
     ordered.in_order = true;
-    let mut turns = class(Effect::Unsafe);
+    let mut turns = class(Effect::Once);
     turns.in_order = true;
-    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe), zone, ordered, turns]);
-    s.batch = vec![batch, 1];
-    s.routes_apart = vec![false, true];
-    s.zone_fee = vec![0.05, 0.0];
+    let mut s = settings(vec![class(Effect::Repeatable), class(Effect::Once), zone, ordered, turns]);
+    s.max_batch = vec![batch, 1];
+    s.independent_routes = vec![false, true];
+    s.zone_cost = vec![0.05, 0.0];
     let mut field = Field::new(s, lines());
     for step in steps {
         match step {
@@ -60,14 +60,14 @@
                 if let Some((id, n, _)) = out.get(which % out.len().max(1)) {
                     let outcomes = [
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
                         Outcome::NotSent,
-                        Outcome::HeldBack,
+                        Outcome::Withheld,
                     ];
                     let outcome = outcomes.get(usize::from(*outcome)).copied().unwrap_or(Outcome::Ok);
-                    let waits = matches!(outcome, Outcome::Full | Outcome::HeldBack);
+                    let waits = matches!(outcome, Outcome::Rejected | Outcome::Withheld);
                     let wait = if waits { wait * 700 * MS } else { 0 };
                     field.end(*id, *n, outcome, wait);
                 }
--- a/tests/site/encrypted.rs
+++ b/tests/site/encrypted.rs
@@ -151,7 +151,9 @@
     let pay = Pay::start(sound);
     let (now, next) = (sound(&pay.authority), sound(&pay.authority));
     pay.front.change(Authority::server(&now, None));
-    let pin = |issued: &Issued| foldtrack_tls::facts::of(issued.certificate_pem().as_bytes()).unwrap()[0].pin;
+    let pin = |issued: &Issued| {
+        foldtrack_tls::certificate::parse_pem(issued.certificate_pem().as_bytes()).unwrap()[0].pin
+    };
     let plan = pay.plan(&format!("pins = [\"{}\", \"{}\"]\n", pin(&now), pin(&next)));
     let site = Site::start(&plan);
     hand_in(&site, "now");
--- a/tests/site/partners.rs
+++ b/tests/site/partners.rs
@@ -1,7 +1,7 @@
 //! Partners that were not written for foldtrack: their paths, answers, waits and limits, and proof of who calls.
 
 use super::world::*;
-use foldtrack_proof::{headers, Kind, Secrets, Subject};
+use foldtrack_proof::{headers, AuthScheme, Secrets, SignedCall};
 use foldtrack_standin::http::{Reply, Request, Server, OK};
 use std::fs::{self, Permissions};
 use std::os::unix::fs::PermissionsExt;
@@ -253,8 +253,13 @@
     for call in &seen {
         assert_eq!(call.headers["webhook-id"], "n1");
         let unix: u64 = call.headers["webhook-timestamp"].parse().unwrap();
-        let secrets = Secrets::read(&Kind::Webhook, format!("{one}\n{two}").as_bytes()).unwrap();
-        let made = headers(&Kind::Webhook, &secrets, Subject { id: "n1", unix, body: &call.body }).unwrap();
+        let secrets = Secrets::parse(&AuthScheme::Webhook, format!("{one}\n{two}").as_bytes()).unwrap();
+        let made = headers(
+            &AuthScheme::Webhook,
+            &secrets,
+            SignedCall { id: "n1", timestamp: unix, body: &call.body },
+        )
+        .unwrap();
         assert_eq!(call.headers["webhook-signature"], made[2].1.to_str().unwrap());
         assert_eq!(call.headers["webhook-signature"].split(' ').count(), 2);
     }
