--- a/crates/preflight/src/lib.rs
+++ b/crates/preflight/src/lib.rs
@@ -59,8 +59,8 @@
 impl RouteStates {
     /// The state of a route. A requested wait outlives the endpoints of a destination: endpoints
     /// that are added later are bound by it too.
-    pub fn of(&mut self, way: RouteScope) -> Arc<RouteState> {
-        self.0.entry(way).or_default().clone()
+    pub fn of(&mut self, scope: RouteScope) -> Arc<RouteState> {
+        self.0.entry(scope).or_default().clone()
     }
 
     /// Drops entries that no longer restrict anything. To be called periodically.
@@ -119,8 +119,8 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn check(routes: &mut RouteStates, way: RouteScope, decided_at: Micros) -> PreflightCheck {
-        PreflightCheck { route: routes.of(way), closed: Arc::default(), decided_at }
+    fn check(routes: &mut RouteStates, scope: RouteScope, decided_at: Micros) -> PreflightCheck {
+        PreflightCheck { route: routes.of(scope), closed: Arc::default(), decided_at }
     }
 
     #[test]
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -143,9 +143,9 @@
 
 impl EventSender {
     /// Sends an event.
-    pub fn send(&self, input: LoopEvent) {
+    pub fn send(&self, event: LoopEvent) {
         // The loop is gone only when the process ends.
-        let _ = self.0.send(input);
+        let _ = self.0.send(event);
     }
 }
 
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -71,9 +71,9 @@
 
 /// Runs the event loop until one of these signals is received.
 async fn serve_until_signal(
-    config: Config, events: EventSender, receiver: UnboundedReceiver<LoopEvent>, ends: &[SignalKind],
+    config: Config, events: EventSender, receiver: UnboundedReceiver<LoopEvent>, signals: &[SignalKind],
 ) -> Result<(), String> {
-    for kind in ends {
+    for kind in signals {
         let mut received = signal(*kind).map_err(|e| format!("signals: {e}"))?;
         let to_node = events.clone();
         tokio::spawn(async move {
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -1,6 +1,6 @@
 //! Carries out the scheduler's actions, and handles the end of calls.
 
-use super::appliance::attempt_outcome;
+use super::site_runtime::attempt_outcome;
 use super::{Acceptance, Node, PendingSend};
 use crate::call::{self, Call};
 use crate::descriptors::DescriptorPermit;
@@ -157,21 +157,21 @@
     /// against the same share.
     fn acquire_call_descriptor(&mut self) -> Option<DescriptorPermit> {
         loop {
-            let drawn = self.descriptors.acquire(DescriptorUser::Calls);
-            if drawn.is_some() || !self.pool.drop_oldest() {
-                return drawn;
+            let permit = self.descriptors.acquire(DescriptorUser::Calls);
+            if permit.is_some() || !self.pool.drop_oldest() {
+                return permit;
             }
         }
     }
 
     /// Opens connections to a target ahead of demand, if the site is configured to do so.
     pub(super) fn preconnect(&mut self, target: TargetId) {
-        let dials = self.pool.preconnects_due(target);
-        if dials == 0 {
+        let count = self.pool.preconnects_due(target);
+        if count == 0 {
             return;
         }
         let Some((address, destination)) = self.targets.open_address(target) else { return };
-        for _ in 0..dials {
+        for _ in 0..count {
             // Calls come first: no idle connection is closed to make room for one opened ahead of
             // demand.
             let Some(descriptor) = self.descriptors.acquire(DescriptorUser::Calls) else { return };
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/group_commit.rs
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(super) struct Group {
     /// Clients to be told that their message is accepted.
-    pub answers: Vec<(Ticket, u64, oneshot::Sender<SubmitReply>)>,
+    pub replies: Vec<(Ticket, u64, oneshot::Sender<SubmitReply>)>,
     /// Calls whose records must be stored before their first byte goes out. Without the record a
     /// payment would be sent again after a power failure, because nothing would show that it was
     /// sent before.
@@ -28,12 +28,12 @@
     /// them.
     pub ended: Vec<(u64, FinalStatus)>,
     /// Sequence number of the last of these outcomes.
-    pub last_end: u64,
+    pub last_outcome: u64,
 }
 
 impl Group {
     fn is_empty(&self) -> bool {
-        self.answers.is_empty() && self.calls.is_empty() && self.ended.is_empty()
+        self.replies.is_empty() && self.calls.is_empty() && self.ended.is_empty()
     }
 }
 
@@ -71,16 +71,16 @@
     fn fail_unwritten(&mut self, unwritten: Vec<FailedWrite>) {
         let mut lost: HashMap<Ticket, FailedWrite> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
         let collecting = &mut self.group_commit.collecting;
-        let (answers, calls) =
-            (std::mem::take(&mut collecting.answers), std::mem::take(&mut collecting.calls));
-        for (ticket, number, reply) in answers {
+        let (replies, calls) =
+            (std::mem::take(&mut collecting.replies), std::mem::take(&mut collecting.calls));
+        for (ticket, number, reply) in replies {
             match lost.remove(&ticket) {
                 Some(FailedWrite { error, .. }) => {
                     eprintln!("journal: message refused: {error}");
                     let _ = reply.send(self.refusal_for(number));
                     self.forget_message(number);
                 }
-                None => self.group_commit.collecting.answers.push((ticket, number, reply)),
+                None => self.group_commit.collecting.replies.push((ticket, number, reply)),
             }
         }
         for (ticket, call, cancelled) in calls {
@@ -121,14 +121,14 @@
         {
             return;
         }
-        let ends = self.site.as_mut().map_or(Ok(Vec::new()), |s| s.ends.sync_job());
-        let (job, ends): (SyncJob, Vec<File>) =
-            match ends.and_then(|ends| Ok((self.journal.sync_job()?, ends))) {
+        let outcome_files = self.site.as_mut().map_or(Ok(Vec::new()), |s| s.outcomes.sync_job());
+        let (job, outcome_files): (SyncJob, Vec<File>) =
+            match outcome_files.and_then(|outcome_files| Ok((self.journal.sync_job()?, outcome_files))) {
                 Ok(jobs) => jobs,
                 Err(error) => {
                     // Out of file descriptors: the group waits for the next iteration, and so do
                     // the files prepared for this sync.
-                    self.site.iter_mut().for_each(|s| s.ends.mark_unsynced());
+                    self.site.iter_mut().for_each(|s| s.outcomes.mark_unsynced());
                     eprintln!("journal: cannot start a sync: {error}");
                     return;
                 }
@@ -138,7 +138,7 @@
         tokio::task::spawn_blocking(move || {
             // Outcomes are synced first: the journal must not forget a message before its outcome
             // is stored.
-            let result = ends.iter().try_for_each(File::sync_data).and_then(|()| job.run());
+            let result = outcome_files.iter().try_for_each(File::sync_data).and_then(|()| job.run());
             events.send(LoopEvent::JournalSynced(Synced { job, result }));
         });
     }
@@ -157,7 +157,7 @@
 
     /// Releases the operations of a group, or fails them if their records may not be stored.
     fn release(&mut self, group: Group, stored: bool) {
-        for (_, number, reply) in group.answers {
+        for (_, number, reply) in group.replies {
             if stored {
                 let receipt = Receipt { number, events: self.events.clone(), written: false };
                 // If the client has disconnected, the receipt is dropped here and reports that
@@ -174,8 +174,8 @@
         for (_, call, cancelled) in group.calls {
             self.release_call(call, cancelled, stored);
         }
-        if group.last_end > 0 {
-            self.release_outcomes(group.ended, group.last_end, stored);
+        if group.last_outcome > 0 {
+            self.release_outcomes(group.ended, group.last_outcome, stored);
         }
     }
 
@@ -196,8 +196,8 @@
     /// outcomes are stored.
     fn release_outcomes(&mut self, ended: Vec<(u64, FinalStatus)>, last: u64, stored: bool) {
         let Some(site) = &mut self.site else { return };
-        site.ends.publish(last);
-        site.ends_seen.send_replace(site.ends.last_published());
+        site.outcomes.publish(last);
+        site.outcome_sequence.send_replace(site.outcomes.last_published());
         for (number, result) in ended {
             if stored {
                 if let Err(error) = self.journal.finish_deferred(number) {
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -104,7 +104,7 @@
     /// again.
     fn reply_from_outcome(&self, id: &str) -> Option<SubmitReply> {
         let site = self.site.as_ref()?;
-        let (_, end) = site.ends.find(id).ok().flatten()?;
+        let (_, end) = site.outcomes.find(id).ok().flatten()?;
         match end.result {
             FinalStatus::Delivered => Some(SubmitReply::Duplicate { over: false }),
             FinalStatus::GivenUp | FinalStatus::InDoubt => Some(SubmitReply::Duplicate { over: true }),
@@ -154,7 +154,7 @@
                 None => Record::Accepted(accepted),
             };
             match self.journal.stage(number, &accepted) {
-                Ok(ticket) => self.group_commit.collecting.answers.push((ticket, number, reply)),
+                Ok(ticket) => self.group_commit.collecting.replies.push((ticket, number, reply)),
                 Err(error) => {
                     eprintln!("journal: message refused: {error}");
                     let _ = reply.send(self.refusal_for(number));
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -2,16 +2,16 @@
 //! Socket and timer tasks send it [`LoopEvent`]s; it carries out the scheduler's actions in the order
 //! in which they were issued.
 
-mod appliance;
 mod calls;
-mod durable;
-mod endings;
+mod group_commit;
 mod intake;
 mod orders;
+mod outcomes;
 mod peers;
-mod picture;
 mod restore;
 mod shutdown;
+mod site_runtime;
+mod snapshot;
 
 use crate::call::{yield_to_socket_reads, STALL_THRESHOLD};
 use crate::client_server::{self, ServerContext};
@@ -27,7 +27,6 @@
 use crate::notice_queue::NoticeQueue;
 use crate::partner_protocol::PartnerProtocols;
 use crate::registry::{MessageIds, Targets};
-use appliance::{SiteRuntime, MAX_NAME_BYTES};
 use foldtrack_admission::DescriptorUser;
 use foldtrack_delivery::settings::DeploymentSettings;
 use foldtrack_delivery::{
@@ -35,6 +34,7 @@
 };
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{Journal, JournalDir, JournalOptions};
+use site_runtime::{SiteRuntime, MAX_NAME_BYTES};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -115,9 +115,9 @@
     /// The peers of the site, if it has any.
     peers: Option<Box<peers::PeerState>>,
     /// Work that waits for the journal.
-    group_commit: durable::GroupCommit,
+    group_commit: group_commit::GroupCommit,
     /// A snapshot for operators that is being assembled.
-    scan: picture::SnapshotScan,
+    scan: snapshot::SnapshotScan,
     /// Number of target lists received. Discovery's own versions restart when it moves.
     lists_received: u32,
     next_number: u64,
@@ -157,13 +157,13 @@
     mut config: Config, events: EventSender, mut receiver: UnboundedReceiver<LoopEvent>,
 ) -> io::Result<()> {
     let clock = Clock::new();
-    let others = config.site.as_mut().and_then(|parts| parts.peers.take());
-    let others = match others {
+    let peers = config.site.as_mut().and_then(|parts| parts.peers.take());
+    let peers = match peers {
         Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &events)?),
         None => None,
     };
-    let ready = others.as_ref().map(|(_, io)| io.ready.clone());
-    let (ends_seen, ends_api) = ends_api(&config);
+    let ready = peers.as_ref().map(|(_, io)| io.ready.clone());
+    let (outcome_sequence, ends_api) = ends_api(&config);
     let settings = Arc::new(config.settings);
     let max_attempts = settings.settings.max_attempts;
     let slots = settings.settings.slots as usize;
@@ -172,7 +172,7 @@
         max_per_target: (slots / 4).max(2),
         max_age: Duration::from_micros(parts.site.calls.connection_age),
     });
-    let site = config.site.map(|parts| SiteRuntime::new(parts, ends_seen, config.memory_bytes as u64));
+    let site = config.site.map(|parts| SiteRuntime::new(parts, outcome_sequence, config.memory_bytes as u64));
     let name = if site.is_some() { MAX_NAME_BYTES } else { 0 };
     let options = JournalOptions {
         capacity_bytes: config.disk_bytes,
@@ -185,7 +185,7 @@
     let (journal, restored) = Journal::open_on(disk, options)?;
     // Stored outcomes may hold numbers of messages that the journal has forgotten. A number is
     // never used twice.
-    let highest = journal.highest_number().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
+    let highest = journal.highest_number().max(site.as_ref().map_or(0, |s| s.outcomes.highest_number()));
     let (stage, stage_seen) = watch::channel(Stage::Serving);
     let share = client_share(config.sockets);
     let conn_idle = Duration::from_micros(settings.settings.idle_timeout);
@@ -198,9 +198,9 @@
         membership: config.membership,
         discovery: config.discovery,
         site: site.map(Box::new),
-        peers: others.map(|(peers, io)| peers::PeerState::new(peers, io)),
-        group_commit: durable::GroupCommit::new(config.durable),
-        scan: picture::SnapshotScan::default(),
+        peers: peers.map(|(peers, io)| peers::PeerState::new(peers, io)),
+        group_commit: group_commit::GroupCommit::new(config.durable),
+        scan: snapshot::SnapshotScan::default(),
         lists_received: 0,
         next_number: highest + 1,
         messages: BTreeMap::new(),
@@ -285,20 +285,20 @@
 /// State of the HTTP API of a site: the sequence number of the latest outcome, and the names of the
 /// partners.
 fn ends_api(config: &Config) -> (watch::Sender<u64>, Option<EndsApi>) {
-    let (ends_seen, seen) = watch::channel(0);
+    let (outcome_sequence, seen) = watch::channel(0);
     let partners = config.site.as_ref().map(|parts| {
         let named = |p: &foldtrack_site::Partner| (p.name.clone(), p.number());
         parts.site.partners.iter().map(named).collect()
     });
-    (ends_seen, partners.map(|partners| EndsApi::new(partners, seen)))
+    (outcome_sequence, partners.map(|partners| EndsApi::new(partners, seen)))
 }
 
 impl Node {
     /// One iteration: handles the events, lets the scheduler decide once, and carries out its
     /// actions.
     fn run_iteration(&mut self, batch: &mut Vec<LoopEvent>) {
-        for input in batch.drain(..) {
-            self.handle_event(input);
+        for event in batch.drain(..) {
+            self.handle_event(event);
         }
         self.step_peers();
         self.expire_pending_sends();
@@ -353,8 +353,8 @@
         self.scheduler.handle(self.clock.now(), event, &mut self.actions);
     }
 
-    fn handle_event(&mut self, input: LoopEvent) {
-        match input {
+    fn handle_event(&mut self, event: LoopEvent) {
+        match event {
             LoopEvent::Submit { message, from_known_client, reply } => {
                 self.submit(message, from_known_client, reply)
             }
@@ -377,7 +377,7 @@
                 }
                 self.notices.reset_pause();
             }
-            LoopEvent::SiteRequest(ask) => self.handle_request(ask),
+            LoopEvent::SiteRequest(request) => self.handle_request(request),
             LoopEvent::JournalSynced(synced) => self.finish_sync(synced),
             LoopEvent::Datagram(bytes) => self.handle_datagram(&bytes),
             LoopEvent::PeerRecordsStored(ticket) => self.peer_records_stored(ticket),
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -12,8 +12,8 @@
 
 impl Node {
     /// Handles a request of the HTTP API or the control socket.
-    pub(super) fn handle_request(&mut self, ask: SiteRequest) {
-        match ask {
+    pub(super) fn handle_request(&mut self, request: SiteRequest) {
+        match request {
             // The requester may have disconnected.
             SiteRequest::Ends { after, peek, most, reply } => {
                 drop(reply.send(self.fetch_outcomes(after, peek, most)))
@@ -22,7 +22,7 @@
             SiteRequest::Snapshot { reply } => self.request_snapshot(reply),
             SiteRequest::Order { order, reply } => self.handle_order(order, reply),
             SiteRequest::Network { network, for_ms, reply } => self.publish_block(network, for_ms, reply),
-            SiteRequest::Peers { .. } | SiteRequest::State { .. } => self.handle_peer_request(ask),
+            SiteRequest::Peers { .. } | SiteRequest::State { .. } => self.handle_peer_request(request),
         }
     }
 
@@ -33,9 +33,9 @@
             return Err(io::Error::other("this forwarder stores no outcomes"));
         };
         if let Some(cursor) = after.filter(|_| !peek) {
-            site.ends.acknowledge(cursor, now)?;
+            site.outcomes.acknowledge(cursor, now)?;
         }
-        site.ends.fetch(after.unwrap_or(site.ends.acknowledged()), most)
+        site.outcomes.fetch(after.unwrap_or(site.outcomes.acknowledged()), most)
     }
 
     /// Carries out an order: it is written to the log, and then applied to the scheduler's list of
@@ -65,10 +65,10 @@
         let file = self.membership.sync_handle();
         tokio::task::spawn_blocking(move || {
             let synced = file.and_then(|file| file.sync_data());
-            let told = synced.map(|()| done).map_err(|e| {
+            let answer = synced.map(|()| done).map_err(|e| {
                 error("not_kept", format!("the order is in force, but may not survive a power failure: {e}"))
             });
-            reply.send(told)
+            reply.send(answer)
         });
     }
 
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/outcomes.rs
@@ -105,7 +105,7 @@
     /// Until when a message that was handed back and may have been executed may be submitted again,
     /// Unix time in microseconds.
     pub(super) fn harmless_until(&self, id: &str) -> Option<u64> {
-        match self.site.as_ref()?.ends.find(id).ok().flatten()?.1.result {
+        match self.site.as_ref()?.outcomes.find(id).ok().flatten()?.1.result {
             FinalStatus::HandedBackUntil { until, .. } => Some(until),
             _ => None,
         }
@@ -129,7 +129,7 @@
         let message = &held.message;
         let class = self.settings.class_names.get(message.class).map_or("", String::as_str);
         let counts = &mut site.counts;
-        let (count, word) = match result {
+        let (count, description) = match result {
             FinalStatus::Delivered => (&mut counts.delivered, "delivered"),
             FinalStatus::GivenUp => (&mut counts.given_up, "given up"),
             FinalStatus::InDoubt => (&mut counts.in_doubt, "given up, in doubt"),
@@ -142,17 +142,17 @@
             counts.by_partner.entry(message.destination).or_default().0 += 1;
         }
         if held.attempts > 1 || result != FinalStatus::Delivered {
-            site.set_followup(number, word);
+            site.set_followup(number, description);
         }
         let ended = self.clock.unix_time(self.clock.now());
         // Before an old outcome is dropped, the journal must know that its message is finished.
-        if site.ends.drops(ended) {
+        if site.outcomes.drops(ended) {
             if let Err(error) = self.journal.flush() {
                 eprintln!("journal: {error}");
             }
         }
         let partner = site.partner_name(message.destination).into_owned();
-        let end = MessageOutcomeRef {
+        let outcome = MessageOutcomeRef {
             number,
             id: &message.id,
             class,
@@ -172,9 +172,9 @@
             FinalStatus::Delivered => self.ids.set_state(&message.id, SubmissionState::Accepted),
             _ => self.ids.set_state(&message.id, SubmissionState::Ended),
         }
-        match site.ends.append(end) {
+        match site.outcomes.append(outcome) {
             Ok(_) => site.staged.push((number, result)),
-            Err(error) => eprintln!("ends: cannot store the outcome of message {:?}: {error}", end.id),
+            Err(error) => eprintln!("ends: cannot store the outcome of message {:?}: {error}", outcome.id),
         }
     }
 
@@ -184,23 +184,23 @@
     /// write.
     pub(super) fn commit_outcomes(&mut self) {
         let Some(site) = &mut self.site else { return };
-        if !site.ends.has_uncommitted() || site.commit_retry_at > Instant::now() {
+        if !site.outcomes.has_uncommitted() || site.commit_retry_at > Instant::now() {
             return;
         }
-        match site.ends.commit() {
+        match site.outcomes.commit() {
             Ok(()) => {
                 site.journaled_results = 0;
-                let (ended, last) = (std::mem::take(&mut site.staged), site.ends.last_committed());
+                let (ended, last) = (std::mem::take(&mut site.staged), site.outcomes.last_committed());
                 self.group_commit.collecting.ended.extend(ended);
-                self.group_commit.collecting.last_end = last;
+                self.group_commit.collecting.last_outcome = last;
             }
             Err(error) => {
                 eprintln!("ends: {} outcomes not written yet: {error}", site.staged.len());
                 site.commit_retry_at = Instant::now() + COMMIT_RETRY_PAUSE;
                 // The journal may have capacity when the file system of the outcomes has none.
-                let told: Vec<_> = site.staged[site.journaled_results..].to_vec();
+                let unjournaled: Vec<_> = site.staged[site.journaled_results..].to_vec();
                 site.journaled_results = site.staged.len();
-                for (number, result) in told {
+                for (number, result) in unjournaled {
                     self.journal_result(number, result);
                 }
             }
@@ -224,7 +224,7 @@
     pub(super) fn drop_expired_outcomes(&mut self) {
         let Some(site) = &mut self.site else { return };
         match self.journal.flush() {
-            Ok(()) => site.ends.drop_expired(self.clock.unix_time(self.clock.now()), 0),
+            Ok(()) => site.outcomes.drop_expired(self.clock.unix_time(self.clock.now()), 0),
             Err(error) => eprintln!("journal: {error}"),
         }
     }
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// The fact that an order publishes: its subject and word.
+/// The fact that an order publishes: its subject and action.
 fn fact_of_order(order: &Order) -> (Subject, FactAction) {
     let endpoint = |name: &String| Subject::Endpoint(name.clone());
     let partner = |name: &String| Subject::Partner(name.clone());
@@ -109,8 +109,8 @@
             peer_state.peers.set_remaining_closure(&Subject::Network(network.to_string()), left);
         }
         if peer_state.peers.ledger().is_empty() {
-            for (subject, word) in imports {
-                if let Err(refusal) = peer_state.peers.import(now, at, subject, word) {
+            for (subject, action) in imports {
+                if let Err(refusal) = peer_state.peers.import(now, at, subject, action) {
                     peer_state.io.report("not_stated", &refusal.to_string());
                 }
             }
@@ -132,16 +132,16 @@
         while self.peers.as_ref().is_some_and(|s| !s.io.ready.load(Ordering::Relaxed)) {
             let due = self.peers_next_due().unwrap_or_else(Instant::now);
             tokio::select! {
-                input = receiver.recv() => match input {
+                event = receiver.recv() => match event {
                     Some(
-                        input @ (LoopEvent::Datagram(_)
+                        event @ (LoopEvent::Datagram(_)
                         | LoopEvent::PeerRecordsStored(_)
                         | LoopEvent::SiteRequest(SiteRequest::Peers { .. } | SiteRequest::State { .. })),
-                    ) => self.handle_event(input),
-                    Some(input) => {
-                        let ends = matches!(input, LoopEvent::Terminate);
-                        deferred.push(input);
-                        if ends {
+                    ) => self.handle_event(event),
+                    Some(event) => {
+                        let terminated = matches!(event, LoopEvent::Terminate);
+                        deferred.push(event);
+                        if terminated {
                             return;
                         }
                     }
@@ -166,8 +166,8 @@
             let subject = Subject::Endpoint(name.clone());
             let listed = state.site().endpoints.get(name);
             if listed.is_none_or(|l| l.address != endpoint.address || l.partner != endpoint.partner) {
-                let word = FactAction::Add { partner: endpoint.partner.clone(), address: endpoint.address };
-                statements.push((subject.clone(), word));
+                let action = FactAction::Add { partner: endpoint.partner.clone(), address: endpoint.address };
+                statements.push((subject.clone(), action));
             }
             if endpoint.state == EndpointState::Draining {
                 statements.push((subject, FactAction::Close { for_ms: 0 }));
@@ -243,7 +243,7 @@
                     peer_state.io.set_claim_log_complete(whole, &peer_state.peers.claim_snapshot())
                 }
                 Output::HoldPartner(partner, until) => self.hold_partner(partner, until * 1000),
-                Output::Claim(key, verdict) => self.claim_settled(key, verdict),
+                Output::Claim(key, result) => self.claim_settled(key, result),
                 Output::Discarded(fact) => self.store_discarded_fact(&fact),
                 Output::Settled(number, result) => self.order_settled(number, result),
                 Output::Event(event) => peer_state.io.report(event.kind, &event.text),
@@ -263,24 +263,24 @@
         if change == Change::Unchanged {
             return drop(reply.send(Ok(self.order_reply(&order, change))));
         }
-        let (subject, word) = fact_of_order(&order);
-        self.publish_fact(subject, word, Some((order, change)), reply);
+        let (subject, action) = fact_of_order(&order);
+        self.publish_fact(subject, action, Some((order, change)), reply);
     }
 
     /// Publishes a fact for an operator who waits for the reply. `order` is none for a network,
     /// because blocks are not part of the membership.
     fn publish_fact(
-        &mut self, subject: Subject, word: FactAction, order: Option<(Order, Change)>,
+        &mut self, subject: Subject, action: FactAction, order: Option<(Order, Change)>,
         reply: oneshot::Sender<Result<Done, Error>>,
     ) {
         let (now, at) = (self.now_ms(), self.clock.unix_time(self.clock.now()));
         let Some(peer_state) = &mut self.peers else { return };
         let number = peer_state.next_order;
         peer_state.next_order += 1;
-        let published = if word.is_restrictive() {
-            peer_state.peers.order_restrictive(now, number, at, subject, word).map(drop)
+        let published = if action.is_restrictive() {
+            peer_state.peers.order_restrictive(now, number, at, subject, action).map(drop)
         } else {
-            peer_state.peers.order_permissive(now, number, at, subject, word);
+            peer_state.peers.order_permissive(now, number, at, subject, action);
             Ok(())
         };
         match published {
@@ -306,23 +306,23 @@
     ) {
         let Some(peer_state) = &self.peers else { return drop(reply.send(Ok(Done::default()))) };
         let subject = Subject::Network(network);
-        let word = match for_ms {
+        let action = match for_ms {
             Some(for_ms) => FactAction::Close { for_ms },
             None if peer_state.peers.subject_state(&subject).closed.is_none() => {
                 return drop(reply.send(Ok(Done::default())));
             }
             None => FactAction::Open,
         };
-        self.publish_fact(subject, word, None, reply);
+        self.publish_fact(subject, action, None, reply);
     }
 
     /// Blocks a network here for as long as the peers do, or unblocks it.
     fn apply_network_facts(&mut self, subject: &Subject) {
         let Some(peer_state) = &self.peers else { return };
         let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
-        let verdict = peer_state.peers.subject_state(subject);
-        if verdict.closed.is_none() {
-            if verdict.opened && peer_state.io.blocks.remove(&network) {
+        let effective = peer_state.peers.subject_state(subject);
+        if effective.closed.is_none() {
+            if effective.opened && peer_state.io.blocks.remove(&network) {
                 peer_state.io.blocks.save_in_background();
             }
             return;
@@ -379,15 +379,15 @@
     /// Applies here what all facts about a subject add up to.
     fn apply_facts(&mut self, subject: &Subject) {
         let Some(peer_state) = &self.peers else { return };
-        let verdict = peer_state.peers.subject_state(subject);
+        let effective = peer_state.peers.subject_state(subject);
         match subject {
             Subject::Endpoint(name) => {
-                self.apply_presence(name, verdict.presence.as_ref());
+                self.apply_presence(name, effective.presence.as_ref());
                 let state = self.membership.state();
                 let Some(now) = state.and_then(|s| s.endpoints().get(name)).map(|e| e.state) else { return };
-                if verdict.closed.is_some() && now == EndpointState::Active {
+                if effective.closed.is_some() && now == EndpointState::Active {
                     self.apply_local_order(&Order::Drain { endpoint: name.clone() });
-                } else if verdict.opened && now == EndpointState::Draining {
+                } else if effective.opened && now == EndpointState::Draining {
                     self.apply_local_order(&Order::Resume { endpoint: name.clone() });
                 }
             }
@@ -396,9 +396,9 @@
                 let Some(paused) = state.and_then(|s| s.partners().get(name)).map(|p| p.paused) else {
                     return;
                 };
-                if verdict.closed.is_some() && !paused {
+                if effective.closed.is_some() && !paused {
                     self.apply_local_order(&Order::PausePartner { partner: name.clone() });
-                } else if verdict.opened && paused {
+                } else if effective.opened && paused {
                     self.apply_local_order(&Order::ResumePartner { partner: name.clone() });
                 }
             }
@@ -506,10 +506,10 @@
     }
 
     /// Continues a submission with the result of its claim.
-    fn claim_settled(&mut self, id: Key, verdict: ClaimResult) {
+    fn claim_settled(&mut self, id: Key, result: ClaimResult) {
         let Some(claim) = self.peers.as_mut().and_then(|s| s.pending_claims.remove(&id)) else { return };
         let PendingClaim { message, from_known_client, reply } = claim;
-        let answer = match verdict {
+        let answer = match result {
             ClaimResult::Granted(left) => {
                 let expires = self.clock.now() + 1000 * left;
                 let message = if left > 0 && expires < message.expires {
@@ -541,8 +541,8 @@
         if self.peers.is_none() {
             return;
         }
-        let word = self.claim_outcome(result);
-        self.report_claim_outcome(id, word);
+        let outcome = self.claim_outcome(result);
+        self.report_claim_outcome(id, outcome);
     }
 
     fn claim_outcome(&self, result: FinalStatus) -> ClaimOutcome {
@@ -559,10 +559,10 @@
         }
     }
 
-    fn report_claim_outcome(&mut self, id: &str, word: ClaimOutcome) {
+    fn report_claim_outcome(&mut self, id: &str, outcome: ClaimOutcome) {
         let now = self.now_ms();
         if let Some(peer_state) = &mut self.peers {
-            peer_state.peers.message_ended(now, message_key(id), word);
+            peer_state.peers.message_ended(now, message_key(id), outcome);
         }
     }
 
@@ -585,7 +585,7 @@
         let mut ended: Vec<(Key, ClaimOutcome)> = Vec::new();
         let mut cursor = 0;
         while let Some(fetched) =
-            self.site.as_mut().and_then(|s| s.ends.fetch(cursor, OUTCOMES_PER_READ).ok())
+            self.site.as_mut().and_then(|s| s.outcomes.fetch(cursor, OUTCOMES_PER_READ).ok())
         {
             if fetched.ends.is_empty() || fetched.cursor <= cursor {
                 break;
@@ -609,8 +609,8 @@
     }
 
     /// Answers requests for the state of the peers.
-    pub(super) fn handle_peer_request(&mut self, ask: SiteRequest) {
-        match ask {
+    pub(super) fn handle_peer_request(&mut self, request: SiteRequest) {
+        match request {
             SiteRequest::Peers { reply } => drop(reply.send(self.peers_view())),
             SiteRequest::State { reply } => drop(reply.send(self.state_view())),
             _ => {}
@@ -666,15 +666,15 @@
         let digest = ledger.digest().iter().fold(0u64, |sum, n| sum.rotate_left(5) ^ n);
         let mut statements = Vec::new();
         for subject in ledger.subjects() {
-            let verdict = ledger.subject_state(&subject);
+            let effective = ledger.subject_state(&subject);
             for fact in ledger.live_facts(&subject) {
                 let holds = match (fact.action.aspect(), &fact.action) {
-                    (Aspect::Flow, word) => word.is_restrictive() == verdict.closed.is_some(),
+                    (Aspect::Flow, action) => action.is_restrictive() == effective.closed.is_some(),
                     (Aspect::Presence, FactAction::Add { partner, address }) => {
                         let at = Presence::Added { partner: partner.clone(), address: *address };
-                        verdict.presence == Some(at)
+                        effective.presence == Some(at)
                     }
-                    (Aspect::Presence, _) => verdict.presence == Some(Presence::Removed),
+                    (Aspect::Presence, _) => effective.presence == Some(Presence::Removed),
                 };
                 statements.push(statement(&fact, holds));
             }
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -1,6 +1,6 @@
 //! Restart: restores the messages that the journal holds.
 
-use super::endings::DEDUP_MARGIN_US;
+use super::outcomes::DEDUP_MARGIN_US;
 use super::{Acceptance, HeldMessage, Node};
 use crate::message::{order_key, Message};
 use crate::notice_queue::PendingNotice;
@@ -14,7 +14,7 @@
 impl Node {
     /// Restores all messages in the order in which they were accepted.
     pub(super) fn restore_all(&mut self, restored: BTreeMap<u64, RecoveredMessage>) {
-        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.ends.message_numbers()).collect();
+        let ended: HashSet<u64> = self.site.iter().flat_map(|s| s.outcomes.message_numbers()).collect();
         for (number, message) in restored {
             // The process ended after it had written the message's outcome and before it updated
             // the journal.
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/site_runtime.rs
@@ -56,9 +56,9 @@
     pub name: String,
     /// Path of the state folder.
     pub state: PathBuf,
-    pub ends: OutcomeStore,
+    pub outcomes: OutcomeStore,
     /// Publishes the sequence number of the latest outcome.
-    pub ends_seen: watch::Sender<u64>,
+    pub outcome_sequence: watch::Sender<u64>,
     pub partners: HashMap<u32, PartnerInfo>,
     /// Maximum bytes of held messages.
     pub max_held_bytes: u64,
@@ -89,9 +89,9 @@
 }
 
 impl SiteRuntime {
-    pub fn new(parts: SiteConfig, ends_seen: watch::Sender<u64>, memory: u64) -> Self {
-        let SiteConfig { site, ends, .. } = parts;
-        ends_seen.send_replace(ends.last_published());
+    pub fn new(parts: SiteConfig, outcome_sequence: watch::Sender<u64>, memory: u64) -> Self {
+        let SiteConfig { site, ends: outcomes, .. } = parts;
+        outcome_sequence.send_replace(outcomes.last_published());
         let info = |p: &foldtrack_site::Partner| PartnerInfo {
             name: p.name.clone(),
             kind: site.kinds[p.kind].name.clone(),
@@ -99,8 +99,8 @@
             slots: p.slots.unwrap_or(0),
         };
         SiteRuntime {
-            ends,
-            ends_seen,
+            outcomes,
+            outcome_sequence,
             partners: site.partners.iter().map(|p| (p.number(), info(p))).collect(),
             max_held_bytes: memory / HELD_MEMORY_DIVISOR,
             held_bytes: 0,
@@ -144,15 +144,15 @@
     pub fn capacity_refusal(
         &mut self, message: &crate::message::Message, held: usize,
     ) -> Option<SubmitReply> {
-        let bytes = self.held_bytes + message.journal_size() as u64 > self.max_held_bytes;
+        let bytes_full = self.held_bytes + message.journal_size() as u64 > self.max_held_bytes;
         let coming = held as u64 + self.pending.len() as u64 + 1;
-        let ends = !self.ends.has_capacity(coming, self.reserved + self.outcome_size(message));
+        let outcomes_full = !self.outcomes.has_capacity(coming, self.reserved + self.outcome_size(message));
         // Outcomes staged in this iteration count as written. Outcomes that an earlier iteration
         // could not write mean that the store has failed.
-        if !bytes && !ends && self.journaled_results == 0 {
+        if !bytes_full && !outcomes_full && self.journaled_results == 0 {
             return None;
         }
-        Some(self.refusal(if ends { UNFETCHED_RETRY_MS } else { 0 }))
+        Some(self.refusal(if outcomes_full { UNFETCHED_RETRY_MS } else { 0 }))
     }
 
     /// The refusal while the forwarder is full, with this retry delay in milliseconds, or the
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/snapshot.rs
@@ -134,7 +134,7 @@
 
     fn status(&self, unix: Micros, total: HeldSummary, longest: Duration) -> Status {
         let Some(site) = &self.site else { return Status::default() };
-        let (ends, ends_unfetched, ends_bytes) = site.ends.usage();
+        let (ends, ends_unfetched, ends_bytes) = site.outcomes.usage();
         let counts = &site.counts;
         Status {
             name: site.name.clone(),
@@ -166,9 +166,9 @@
             journal_most: site.max_journal_bytes,
             ends,
             ends_unfetched,
-            ends_most: site.ends.limits().max_count,
+            ends_most: site.outcomes.limits().max_count,
             ends_bytes,
-            ends_bytes_most: site.ends.limits().max_bytes,
+            ends_bytes_most: site.outcomes.limits().max_bytes,
             ends_unwritten: site.journaled_results as u32,
             membership: self.membership.state().map_or(0, MembershipState::version),
             longest_round_us: longest.as_micros() as u64,
@@ -188,10 +188,10 @@
             *open += u32::from(state.accepts_calls(endpoint));
         }
         let partner = |(name, partner): (&String, &foldtrack_membership::Partner)| {
-            let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.routes);
+            let routes = by_number.get(&partner.number).map_or(&[][..], |v| &v.routes);
             // If limits apply to each endpoint separately, the worst endpoint stands for the
             // partner; the list of endpoints shows them all.
-            let worst = lanes
+            let worst = routes
                 .iter()
                 .max_by_key(|l| ["up", "failing", "warming", "out"].iter().position(|h| *h == health(l)));
             let held = held_by_partner.get(&partner.number).copied().unwrap_or_default();
@@ -216,12 +216,12 @@
                 open,
                 held: held.held,
                 oldest_ms: held.age_ms(unix),
-                calls: lanes.iter().map(|l| l.calls).sum(),
-                window: round_to_1(lanes.iter().map(|l| l.window).sum()),
+                calls: routes.iter().map(|l| l.calls).sum(),
+                window: round_to_1(routes.iter().map(|l| l.window).sum()),
                 tau_ms: worst.map_or(0.0, |l| millis(l.tau)),
                 mean_ms: worst.map_or(0.0, |l| millis(l.mean_latency)),
-                wait_ms: lanes.iter().map(|l| l.wait_left.div_ceil(1000)).max().unwrap_or(0),
-                pace: round_to_1(lanes.iter().map(|l| l.pace).sum()),
+                wait_ms: routes.iter().map(|l| l.wait_left.div_ceil(1000)).max().unwrap_or(0),
+                pace: round_to_1(routes.iter().map(|l| l.pace).sum()),
                 rate: info.map_or(0.0, |f| f.rate),
                 slots: info.map_or(0, |f| f.slots),
                 delivered,
@@ -333,7 +333,7 @@
                 ..Message::default()
             });
         }
-        match site.ends.find(id) {
+        match site.outcomes.find(id) {
             Ok(found) => found.map(|(_, end)| message_view(&end)),
             Err(error) => {
                 eprintln!("ends: {error}");
