--- a/tests/forwarder/waits.rs
+++ b/tests/forwarder/waits.rs
@@ -102,7 +102,7 @@
         quick.behave(behaviour);
         let lists = |list| {
             platform.set_list(list);
-            eventually("the list is requested_at", || platform.list_delivered());
+            eventually("the list arrives", || platform.list_delivered());
             sleep(MS(50));
         };
         lists(vec![both().remove(0)]);
@@ -123,7 +123,7 @@
         let first = arrivals.lock().unwrap().iter().copied().chain(to_quick).min().unwrap();
         assert!(
             first - requested_at >= wait,
-            "sent {:?} after the wait was requested_at",
+            "sent {:?} after the wait was requested",
             first - requested_at
         );
         sleep(MS(200));
@@ -162,7 +162,7 @@
         });
         pair.forwarder.signal("STOP");
         let arrivals = pair.slow.open();
-        eventually("it is requested_at to wait", || requested_at.lock().unwrap().is_some());
+        eventually("the wait is requested", || requested_at.lock().unwrap().is_some());
         pair.quick.behave(|_| OK);
         sleep(MS(150));
         pair.forwarder.signal("CONT");
@@ -224,7 +224,7 @@
     let left = Arc::new(AtomicBool::new(false));
     let waits = left.clone();
     let old = Server::start(move |_| {
-        eventually("the list is requested_at", || waits.load(Ordering::SeqCst));
+        eventually("the list arrives", || waits.load(Ordering::SeqCst));
         Reply::Status(429, "X-Come-Back-Ms: 1500\r\n")
     });
     let new = Server::start(|_| OK);
@@ -233,7 +233,7 @@
     assert_eq!(forwarder.submit(&fee("m1")), 202);
     eventually("the call", || old.seen().len() == 1);
     platform.set_list(vec![list_entry("s-2", new.address, 1, "active")]);
-    eventually("the list is requested_at", || platform.list_delivered());
+    eventually("the list arrives", || platform.list_delivered());
     // The list may not have been processed yet; a call to the new endpoint shows that it was.
     let requested_at = Instant::now();
     left.store(true, Ordering::SeqCst);
