--- a/tests/forwarder/waits.rs
+++ b/tests/forwarder/waits.rs
@@ -121,11 +121,7 @@
         eventually("both are sent again", || sent() >= 7);
         let to_quick = self.quick.seen().into_iter().skip(5).map(|r| r.at);
         let first = arrivals.lock().unwrap().iter().copied().chain(to_quick).min().unwrap();
-        assert!(
-            first - requested_at >= wait,
-            "sent {:?} after the wait was requested",
-            first - requested_at
-        );
+        assert!(first - requested_at >= wait, "sent {:?} after the wait was requested", first - requested_at);
         sleep(MS(200));
         assert_eq!((sent(), self.platform.notices().len()), (7, 0), "each is sent once more");
     }
