--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -22,6 +22,7 @@
 /// Stage of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
+    /// Accepts connections and messages.
     Serving,
     /// SIGTERM was received: responses close their connections.
     Draining,
@@ -31,12 +32,14 @@
 
 /// Reply to a submitted message.
 pub(crate) enum SubmitReply {
+    /// The message is accepted and in the journal.
     Accepted(Receipt),
     /// The id was submitted before: the message was accepted then, or is `over` and will not be
     /// sent.
     Duplicate {
         over: bool,
     },
+    /// The message is not accepted; the client may submit it again after this delay.
     Refused {
         retry_in_ms: u64,
     },
@@ -57,16 +60,19 @@
 
 /// An event for the event loop.
 pub(crate) enum LoopEvent {
+    /// A client submits a message.
     Submit {
         message: Arc<message::Message>,
         /// Its client is known and may use the reserved part of the journal.
         from_known_client: bool,
         reply: oneshot::Sender<SubmitReply>,
     },
+    /// The reply that accepts a message was written, or could not be.
     ReplySent {
         number: u64,
         written: bool,
     },
+    /// A call has ended.
     CallEnded(CallEnd),
     /// A connection opened ahead of demand: the connection and the time it took, or none if it
     /// failed.
@@ -75,6 +81,7 @@
         number: u64,
         opened: Option<(Connection, Duration)>,
     },
+    /// Discovery at this address has sent a list of targets.
     List {
         list: ServerList,
         from: SocketAddr,
@@ -87,6 +94,7 @@
     },
     /// Discovery has moved to this address.
     DiscoveryMoved(SocketAddr),
+    /// The process is to shut down.
     Terminate,
     /// A datagram from a peer.
     Datagram(Vec<u8>),
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -8,9 +8,11 @@
 /// A message as it was submitted.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
+    /// Id that the client chose.
     pub id: String,
     /// Index into the classes of the settings.
     pub class: usize,
+    /// Number of the destination.
     pub destination: u32,
     /// Order key as text; messages with the same key are sent one at a time.
     pub key: String,
