--- a/crates/peers/benches/cluster.rs
+++ b/crates/peers/benches/cluster.rs
@@ -84,7 +84,7 @@
             let gone = World::name(size - 1);
             world.kill(size - 1);
             let found = world.until(120_000, |w| {
-                let shown = w.peers(0).shown(w.clock(0));
+                let shown = w.peers(0).member_statuses(w.clock(0));
                 shown.iter().any(|s| s.name == gone && s.standing == Standing::Down)
             });
             let found = found.map_or("-".into(), |ms| ms.to_string());
--- a/crates/peers/src/claims.rs
+++ b/crates/peers/src/claims.rs
@@ -22,7 +22,7 @@
 pub type Key = u128;
 
 /// The key of an id.
-pub fn key(id: &str) -> Key {
+pub fn message_key(id: &str) -> Key {
     let hash = Sha256::digest(id.as_bytes());
     u128::from_le_bytes(std::array::from_fn(|n| hash[n]))
 }
@@ -37,8 +37,8 @@
 /// And who has not answered it is asked again after this span.
 const AGAIN_KEPT_ON: u64 = 300;
 /// Ids are remembered for so long, in milliseconds; and so many at most, the oldest going first.
-pub const REMEMBERED: u64 = 600_000;
-/// See [`REMEMBERED`].
+pub const RETENTION_MS: u64 = 600_000;
+/// See [`RETENTION_MS`].
 pub const MOST: usize = 100_000;
 /// A partner's memory of a key counts as shorter by this.
 const MARGIN: u64 = 1_000;
@@ -55,7 +55,7 @@
 /// An end is told again to whoever has not acknowledged it, so often and each time twice as late.
 const TELLINGS: u32 = 8;
 /// Said of a claim that came to nothing.
-const FREE: Word = Word::Back(0);
+const FREE: ClaimOutcome = ClaimOutcome::HandedBack(0);
 /// Items in one message on the wire.
 pub const ITEMS: usize = 24;
 
@@ -70,13 +70,15 @@
 
 /// What a holder tells of a message of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum ClaimOutcome {
     /// It was delivered.
     Delivered,
     /// It ended otherwise, and must not be handed in again.
-    Over,
+    #[serde(rename = "Over")]
+    Final,
     /// It was handed back, and may be handed in anywhere again for so long; 0 without bound.
-    Back(u64),
+    #[serde(rename = "Back")]
+    HandedBack(u64),
 }
 
 /// A claim on the wire.
@@ -112,7 +114,7 @@
     /// It claims it, and has not taken it on yet: nobody knows what comes of that.
     Claiming,
     /// It has ended so.
-    Ended(Word),
+    Ended(ClaimOutcome),
     /// It has refused it, or never had it.
     Unknown,
 }
@@ -128,7 +130,7 @@
 
 /// What has come of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ClaimResult {
     /// It may be taken on here, and go out for so long; 0 without bound.
     Granted(u64),
     /// Another has taken it on, and has it.
@@ -136,9 +138,9 @@
     /// It was delivered.
     Delivered,
     /// It has ended otherwise, or nobody will ever know.
-    Over,
+    Final,
     /// Come again after so many milliseconds.
-    Later(u64),
+    RetryAfter(u64),
 }
 
 /// What a member has granted, as it is kept.
@@ -147,7 +149,7 @@
     /// A claim.
     Claimed(Key, Holder, u64),
     /// An end that its holder has told.
-    Ended(Key, Word),
+    Ended(Key, ClaimOutcome),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -155,7 +157,7 @@
     holder: Holder,
     turn: u64,
     since: u64,
-    end: Option<(Word, u64)>,
+    end: Option<(ClaimOutcome, u64)>,
     /// Of this forwarder's own: it has been taken on.
     firm: bool,
     /// Of this forwarder's own: who was asked for it, and is to hear of its end. None where that is not known any more.
@@ -166,9 +168,9 @@
     /// What is answered where it must not, or need not, be handed in any more.
     fn over(&self) -> Option<Answer> {
         match self.end {
-            Some((Word::Delivered, _)) => Some(Answer::Ended(false)),
-            Some((Word::Over, _)) => Some(Answer::Ended(true)),
-            Some((Word::Back(_), _)) | None => None,
+            Some((ClaimOutcome::Delivered, _)) => Some(Answer::Ended(false)),
+            Some((ClaimOutcome::Final, _)) => Some(Answer::Ended(true)),
+            Some((ClaimOutcome::HandedBack(_), _)) | None => None,
         }
     }
 }
@@ -195,7 +197,7 @@
 
 #[derive(Debug)]
 struct Telling {
-    word: Word,
+    word: ClaimOutcome,
     turn: u64,
     missing: BTreeSet<usize>,
     next: u64,
@@ -226,7 +228,7 @@
     telling_at: u64,
     asked: BTreeMap<Key, Asked>,
     tellings: BTreeMap<Key, Telling>,
-    done: Vec<(Key, Verdict)>,
+    done: Vec<(Key, ClaimResult)>,
     records: Vec<Kept>,
 }
 
@@ -240,7 +242,7 @@
             others,
             known: HashMap::new(),
             ages: BTreeSet::new(),
-            sure_from: if sure { now } else { now + REMEMBERED },
+            sure_from: if sure { now } else { now + RETENTION_MS },
             regain: (!sure).then(|| Regain::new(now, others)),
             whole: false,
             turned_sure: None,
@@ -265,7 +267,7 @@
     /// This forwarder has lost what it held: it is another holder from now on, and not sure.
     pub fn forget_own(&mut self, now: u64, memory: u64, start: u64) {
         (self.own.memory, self.turn) = (memory, start << 32);
-        self.sure_from = now + REMEMBERED;
+        self.sure_from = now + RETENTION_MS;
         self.regain = Some(Regain::new(now, self.others));
         (self.whole, self.turned_sure) = (false, Some(false));
     }
@@ -310,7 +312,7 @@
         }
     }
 
-    fn end(&mut self, now: u64, key: Key, word: Word) {
+    fn end(&mut self, now: u64, key: Key, word: ClaimOutcome) {
         let Some(entry) = self.known.get_mut(&key) else { return };
         if entry.end.map(|(word, _)| word) != Some(word) {
             entry.end = Some((word, now));
@@ -354,7 +356,7 @@
         if let Some(answer) = entry.over() {
             return answer;
         }
-        if let Some((Word::Back(span), at)) = entry.end {
+        if let Some((ClaimOutcome::HandedBack(span), at)) = entry.end {
             let left = if span == 0 { 0 } else { span.saturating_sub(now - at) };
             if span > 0 && left == 0 {
                 return Answer::Ended(true);
@@ -431,9 +433,9 @@
             }
             Answer::Ended(over) => {
                 if over {
-                    self.give_up(now, key, Verdict::Over, Word::Over);
+                    self.give_up(now, key, ClaimResult::Final, ClaimOutcome::Final);
                 } else {
-                    self.give_up(now, key, Verdict::Delivered, Word::Delivered);
+                    self.give_up(now, key, ClaimResult::Delivered, ClaimOutcome::Delivered);
                 }
             }
             Answer::Held(holder, age) => {
@@ -462,12 +464,14 @@
             return;
         }
         match status {
-            Status::Held => self.give_up(now, key, Verdict::Held, FREE),
-            Status::Ended(word @ Word::Delivered) => self.give_up(now, key, Verdict::Delivered, word),
-            Status::Ended(word @ Word::Over) => self.give_up(now, key, Verdict::Over, word),
+            Status::Held => self.give_up(now, key, ClaimResult::Held, FREE),
+            Status::Ended(word @ ClaimOutcome::Delivered) => {
+                self.give_up(now, key, ClaimResult::Delivered, word)
+            }
+            Status::Ended(word @ ClaimOutcome::Final) => self.give_up(now, key, ClaimResult::Final, word),
             // It tells all who believe that it has it.
-            Status::Ended(Word::Back(_)) | Status::Unknown | Status::Claiming => {
-                self.give_up(now, key, Verdict::Later(SOON), FREE);
+            Status::Ended(ClaimOutcome::HandedBack(_)) | Status::Unknown | Status::Claiming => {
+                self.give_up(now, key, ClaimResult::RetryAfter(SOON), FREE);
             }
         }
     }
@@ -478,13 +482,13 @@
         let Some((holder, age)) = asked.held.clone() else { return };
         match asked.effect {
             Effect::Once(deadline) if age < deadline => {
-                self.give_up(now, key, Verdict::Later(LATER), FREE);
+                self.give_up(now, key, ClaimResult::RetryAfter(LATER), FREE);
             }
-            Effect::Once(_) => self.give_up(now, key, Verdict::Over, FREE),
+            Effect::Once(_) => self.give_up(now, key, ClaimResult::Final, FREE),
             Effect::Keyed(window) => {
                 let left = window.saturating_sub(age + MARGIN);
                 if left == 0 {
-                    return self.give_up(now, key, Verdict::Over, FREE);
+                    return self.give_up(now, key, ClaimResult::Final, FREE);
                 }
                 asked.left = left;
                 asked.over = Some(holder);
@@ -499,7 +503,7 @@
         }
     }
 
-    fn finish(&mut self, key: Key, verdict: Verdict) {
+    fn finish(&mut self, key: Key, verdict: ClaimResult) {
         self.asked.remove(&key);
         self.done.push((key, verdict));
     }
@@ -516,11 +520,11 @@
         if let Some(entry) = self.known.get_mut(&key) {
             entry.asked = Some(of);
         }
-        self.finish(key, Verdict::Granted(left));
+        self.finish(key, ClaimResult::Granted(left));
     }
 
     /// A claim that comes to nothing: others may have let it in, and are told what is known, or that it is free.
-    fn give_up(&mut self, now: u64, key: Key, verdict: Verdict, word: Word) {
+    fn give_up(&mut self, now: u64, key: Key, verdict: ClaimResult, word: ClaimOutcome) {
         if self.known.get(&key).is_some_and(|e| e.holder == self.own && e.end.is_none()) {
             self.end(now, key, word);
         }
@@ -531,7 +535,7 @@
         self.finish(key, verdict);
     }
 
-    fn begin_telling(&mut self, at: u64, key: Key, turn: u64, word: Word, missing: BTreeSet<usize>) {
+    fn begin_telling(&mut self, at: u64, key: Key, turn: u64, word: ClaimOutcome, missing: BTreeSet<usize>) {
         if missing.is_empty() {
             return;
         }
@@ -555,7 +559,7 @@
 
     /// After a start: what this forwarder has by its journal, and how its messages ended. What others, or the log, hold to be its
     /// own and is neither was never taken on. `whole` if the journal outlives machines.
-    pub fn recheck(&mut self, now: u64, held: &[Key], ended: &[(Key, Word)], whole: bool) {
+    pub fn recheck(&mut self, now: u64, held: &[Key], ended: &[(Key, ClaimOutcome)], whole: bool) {
         let mut open: BTreeSet<Key> = self
             .known
             .iter()
@@ -590,7 +594,7 @@
     }
 
     /// A message of this forwarder has ended, or was not taken on after all.
-    pub fn tell(&mut self, now: u64, key: Key, word: Word) {
+    pub fn tell(&mut self, now: u64, key: Key, word: ClaimOutcome) {
         let Some(entry) = self.known.get(&key).filter(|e| e.holder == self.own) else { return };
         let turn = entry.turn;
         let missing = match &entry.asked {
@@ -602,7 +606,7 @@
     }
 
     /// Another tells how a message of its own has ended.
-    pub fn told(&mut self, now: u64, from: &Holder, key: Key, turn: u64, word: Word) {
+    pub fn told(&mut self, now: u64, from: &Holder, key: Key, turn: u64, word: ClaimOutcome) {
         // It may overtake the claim that it is about, which must not be let in after it.
         if !self.known.contains_key(&key) {
             self.put(now, key, from.clone(), turn);
@@ -634,7 +638,7 @@
     }
 
     /// Who holds, or held, a message, and how it ended; as far as it is known here.
-    pub fn known(&self, key: Key) -> Option<(&Holder, Option<Word>)> {
+    pub fn known(&self, key: Key) -> Option<(&Holder, Option<ClaimOutcome>)> {
         self.known.get(&key).map(|e| (&e.holder, e.end.map(|(word, _)| word)))
     }
 
@@ -671,8 +675,8 @@
     }
 
     /// What is to be told to whom now, by member.
-    pub fn telling(&mut self, now: u64) -> BTreeMap<usize, Vec<(Key, u64, Word)>> {
-        let mut by_member: BTreeMap<usize, Vec<(Key, u64, Word)>> = BTreeMap::new();
+    pub fn telling(&mut self, now: u64) -> BTreeMap<usize, Vec<(Key, u64, ClaimOutcome)>> {
+        let mut by_member: BTreeMap<usize, Vec<(Key, u64, ClaimOutcome)>> = BTreeMap::new();
         if now < self.telling_at {
             return by_member;
         }
@@ -751,7 +755,9 @@
     fn learn(&mut self, now: u64, item: Item) {
         let Item { key, holder, turn, age, end } = item;
         let end = end.map(|(word, age)| (word, now.saturating_sub(age)));
-        let over = |end: Option<(Word, u64)>| matches!(end, Some((Word::Delivered | Word::Over, _)));
+        let over = |end: Option<(ClaimOutcome, u64)>| {
+            matches!(end, Some((ClaimOutcome::Delivered | ClaimOutcome::Final, _)))
+        };
         let fresh = match self.known.get(&key) {
             None => true,
             Some(known) if known.holder == self.own => false,
@@ -761,7 +767,7 @@
             // Of two holders the one that may still have it counts; what is over stays so.
             Some(known) => {
                 over(end) && !over(known.end)
-                    || end.is_none() && matches!(known.end, Some((Word::Back(_), _)))
+                    || end.is_none() && matches!(known.end, Some((ClaimOutcome::HandedBack(_), _)))
             }
         };
         if !fresh {
@@ -784,7 +790,7 @@
             let Some(asked) = self.asked.get(&key) else { continue };
             if asked.kept_on || now >= asked.began + LIFE {
                 // Its client has not come again; or it is too old for its votes to count.
-                self.give_up(now, key, Verdict::Later(LATER), FREE);
+                self.give_up(now, key, ClaimResult::RetryAfter(LATER), FREE);
                 continue;
             }
             match (&asked.held, &asked.over, asked.effect) {
@@ -803,12 +809,12 @@
                     if let Some(asked) = self.asked.get_mut(&key) {
                         (asked.kept_on, asked.by) = (true, (now + KEPT_ON).min(asked.began + LIFE));
                     }
-                    self.done.push((key, Verdict::Later(LATER)));
+                    self.done.push((key, ClaimResult::RetryAfter(LATER)));
                 }
             }
         }
         while let Some((since, key)) =
-            self.ages.first().copied().filter(|(since, _)| since + REMEMBERED <= now)
+            self.ages.first().copied().filter(|(since, _)| since + RETENTION_MS <= now)
         {
             self.ages.remove(&(since, key));
             self.known.remove(&key);
@@ -824,7 +830,7 @@
     }
 
     /// Claims that are settled.
-    pub fn done(&mut self) -> Vec<(Key, Verdict)> {
+    pub fn done(&mut self) -> Vec<(Key, ClaimResult)> {
         std::mem::take(&mut self.done)
     }
 
--- a/crates/peers/src/fact.rs
+++ b/crates/peers/src/fact.rs
@@ -75,7 +75,7 @@
 
 /// What is said of a subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Word {
+pub enum FactAction {
     /// Nothing new goes there, or comes from there: a drain, a pause, a block.
     Close {
         /// For so long from when it was stated, in milliseconds; 0 until it is opened.
@@ -103,28 +103,28 @@
     Presence,
 }
 
-impl Word {
+impl FactAction {
     /// What it is about.
     pub fn aspect(&self) -> Aspect {
         match self {
-            Word::Close { .. } | Word::Open => Aspect::Flow,
-            Word::Remove | Word::Add { .. } => Aspect::Presence,
+            FactAction::Close { .. } | FactAction::Open => Aspect::Flow,
+            FactAction::Remove | FactAction::Add { .. } => Aspect::Presence,
         }
     }
 
     /// Whether it makes things safer: such a word may be said by any forwarder alone, and holds against its opposite
     /// that was said without knowledge of it.
-    pub fn is_safer(&self) -> bool {
-        matches!(self, Word::Close { .. } | Word::Remove)
+    pub fn is_restrictive(&self) -> bool {
+        matches!(self, FactAction::Close { .. } | FactAction::Remove)
     }
 
     /// In a word, for people.
     pub fn name(&self) -> &'static str {
         match self {
-            Word::Close { .. } => "close",
-            Word::Open => "open",
-            Word::Remove => "remove",
-            Word::Add { .. } => "add",
+            FactAction::Close { .. } => "close",
+            FactAction::Open => "open",
+            FactAction::Remove => "remove",
+            FactAction::Add { .. } => "add",
         }
     }
 }
@@ -141,9 +141,11 @@
     /// What it is about.
     pub subject: Subject,
     /// What it says.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub action: FactAction,
     /// The facts that it supersedes: those its author knew to hold.
-    pub over: Vec<Dot>,
+    #[serde(rename = "over")]
+    pub supersedes: Vec<Dot>,
 }
 
 impl Fact {
@@ -158,26 +160,26 @@
     /// Whether it is within its bounds, as everything must be that comes from elsewhere.
     pub fn is_sound(&self) -> bool {
         let short = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
-        let word = match &self.word {
-            Word::Add { partner, .. } => short(partner),
+        let word = match &self.action {
+            FactAction::Add { partner, .. } => short(partner),
             _ => true,
         };
-        let subject = match (&self.subject, self.word.aspect()) {
+        let subject = match (&self.subject, self.action.aspect()) {
             (_, Aspect::Flow) | (Subject::Endpoint(_), Aspect::Presence) => short(self.subject.name()),
             _ => false,
         };
-        let dots = self.over.iter().all(|d| short(&d.run.name) && d.seq > 0);
+        let dots = self.supersedes.iter().all(|d| short(&d.run.name) && d.seq > 0);
         word && subject
             && dots
             && short(&self.dot.run.name)
             && self.dot.seq > 0
-            && self.over.len() <= MOST_OVER
+            && self.supersedes.len() <= MOST_OVER
     }
 
     /// Which of two copies under one name counts while the author can't be asked: the safer one, at a tie the one of
     /// the lower sum. Every forwarder comes to the same.
     pub fn counts_over(&self, other: &Fact) -> bool {
-        let rank = |f: &Fact| (!f.word.is_safer(), f.sum());
+        let rank = |f: &Fact| (!f.action.is_restrictive(), f.sum());
         rank(self) < rank(other)
     }
 }
--- a/crates/peers/src/ledger.rs
+++ b/crates/peers/src/ledger.rs
@@ -8,7 +8,7 @@
 //! up to which it has seen everything (`upto`) and the highest place that it has dropped (`floor`). Whoever brings
 //! such a fact back has been away beyond the horizon: his copy is laid aside.
 
-use crate::fact::{Aspect, Dot, Fact, Run, Subject, Word, MOST_OVER};
+use crate::fact::{Aspect, Dot, Fact, FactAction, Run, Subject, MOST_OVER};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -83,7 +83,7 @@
 
 /// Whether anything goes to a subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct SubjectState {
     /// It is closed by this fact.
     pub closed: Option<Fact>,
     /// An order has opened it, and none that did not know of that has closed it.
@@ -98,9 +98,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// It has been removed.
-    Gone,
+    Removed,
     /// It has been added.
-    At {
+    Added {
         /// Whose it is.
         partner: String,
         /// Where it listens.
@@ -164,16 +164,25 @@
     }
 
     /// The next fact of a life, not taken in yet. It supersedes what is known to hold.
-    pub fn compose(&self, run: &Run, at: u64, subject: Subject, word: Word) -> Fact {
+    pub fn compose(&self, run: &Run, at: u64, subject: Subject, word: FactAction) -> Fact {
         let over = self.alive(&subject, word.aspect()).map(|k| k.fact.dot.clone()).take(MOST_OVER).collect();
         self.compose_over(run, at, subject, word, over)
     }
 
     /// The same, with what it supersedes named.
-    pub fn compose_over(&self, run: &Run, at: u64, subject: Subject, word: Word, over: Vec<Dot>) -> Fact {
+    pub fn compose_over(
+        &self, run: &Run, at: u64, subject: Subject, word: FactAction, over: Vec<Dot>,
+    ) -> Fact {
         let seq =
             self.runs.get(run).map_or(0, |l| l.facts.keys().last().copied().unwrap_or(0).max(l.upto)) + 1;
-        Fact { dot: Dot { run: run.clone(), seq }, lamport: self.lamport + 1, at, subject, word, over }
+        Fact {
+            dot: Dot { run: run.clone(), seq },
+            lamport: self.lamport + 1,
+            at,
+            subject,
+            action: word,
+            supersedes: over,
+        }
     }
 
     /// A fact by its name.
@@ -201,7 +210,7 @@
     }
 
     /// The facts about a subject that hold.
-    pub fn about(&self, subject: &Subject) -> Vec<Fact> {
+    pub fn live_facts(&self, subject: &Subject) -> Vec<Fact> {
         let both = [Aspect::Flow, Aspect::Presence];
         both.iter().flat_map(|aspect| self.alive(subject, *aspect)).map(|k| k.fact.clone()).collect()
     }
@@ -218,23 +227,23 @@
     }
 
     /// What holds for a subject.
-    pub fn verdict(&self, subject: &Subject) -> Verdict {
+    pub fn subject_state(&self, subject: &Subject) -> SubjectState {
         let strongest = |aspect| {
             let mut all: Vec<&Kept> = self.alive(subject, aspect).collect();
-            all.sort_by_key(|k| (!k.fact.word.is_safer(), u64::MAX - k.fact.lamport, &k.fact.dot));
-            let contested = all.iter().any(|k| k.fact.word != all[0].fact.word);
+            all.sort_by_key(|k| (!k.fact.action.is_restrictive(), u64::MAX - k.fact.lamport, &k.fact.dot));
+            let contested = all.iter().any(|k| k.fact.action != all[0].fact.action);
             (all.first().map(|k| &k.fact), contested)
         };
         let (flow, flow_contested) = strongest(Aspect::Flow);
         let (presence, presence_contested) = strongest(Aspect::Presence);
-        Verdict {
-            closed: flow.filter(|f| f.word.is_safer()).cloned(),
-            opened: flow.is_some_and(|f| !f.word.is_safer()),
-            presence: presence.map(|f| match &f.word {
-                Word::Add { partner, address } => {
-                    Presence::At { partner: partner.clone(), address: *address }
+        SubjectState {
+            closed: flow.filter(|f| f.action.is_restrictive()).cloned(),
+            opened: flow.is_some_and(|f| !f.action.is_restrictive()),
+            presence: presence.map(|f| match &f.action {
+                FactAction::Add { partner, address } => {
+                    Presence::Added { partner: partner.clone(), address: *address }
                 }
-                _ => Presence::Gone,
+                _ => Presence::Removed,
             }),
             contested: flow_contested || presence_contested,
         }
@@ -261,9 +270,9 @@
             return Taken::Full;
         }
         self.lamport = self.lamport.max(fact.lamport);
-        let subject = (fact.subject.clone(), fact.word.aspect());
+        let subject = (fact.subject.clone(), fact.action.aspect());
         self.subjects.entry(subject).or_default().insert(fact.dot.clone());
-        for dot in &fact.over {
+        for dot in &fact.supersedes {
             self.supersede(dot.clone(), now);
         }
         if dead_ms.is_some() {
@@ -303,7 +312,7 @@
         let kept = line.facts.remove(&dot.seq)?;
         line.upto = line.upto.min(dot.seq - 1);
         self.count -= 1;
-        let subject = (kept.fact.subject.clone(), kept.fact.word.aspect());
+        let subject = (kept.fact.subject.clone(), kept.fact.action.aspect());
         if let Some(dots) = self.subjects.get_mut(&subject) {
             dots.remove(dot);
             if dots.is_empty() {
--- a/crates/peers/src/ledger_tests.rs
+++ b/crates/peers/src/ledger_tests.rs
@@ -13,17 +13,17 @@
     Subject::Endpoint(name.into())
 }
 
-const CLOSE: Word = Word::Close { for_ms: 0 };
+const CLOSE: FactAction = FactAction::Close { for_ms: 0 };
 
 /// States a word in a ledger, as its own forwarder does.
-fn state(ledger: &mut Ledger, run: &Run, name: &str, word: Word) -> Fact {
+fn state(ledger: &mut Ledger, run: &Run, name: &str, word: FactAction) -> Fact {
     let fact = ledger.compose(run, 0, endpoint(name), word);
     assert_eq!(ledger.take(fact.clone(), 0, None), Taken::New);
     fact
 }
 
 fn closed(ledger: &Ledger, name: &str) -> bool {
-    ledger.verdict(&endpoint(name)).closed.is_some()
+    ledger.subject_state(&endpoint(name)).closed.is_some()
 }
 
 /// Has two ledgers tell each other everything, as digests and summaries do, until neither lacks anything.
@@ -54,17 +54,17 @@
     assert!(closed(&right, "e"));
     // Cut: drained again at one side, resumed at the other.
     state(&mut left, &a, "e", CLOSE);
-    state(&mut right, &b, "e", Word::Open);
+    state(&mut right, &b, "e", FactAction::Open);
     assert!(!closed(&right, "e"));
     exchange(&mut left, &mut right, 0);
     for ledger in [&left, &right] {
-        let verdict = ledger.verdict(&endpoint("e"));
+        let verdict = ledger.subject_state(&endpoint("e"));
         assert!(verdict.closed.is_some() && verdict.contested, "{verdict:?}");
     }
-    state(&mut right, &b, "e", Word::Open);
+    state(&mut right, &b, "e", FactAction::Open);
     exchange(&mut left, &mut right, 0);
     for ledger in [&left, &right] {
-        let verdict = ledger.verdict(&endpoint("e"));
+        let verdict = ledger.subject_state(&endpoint("e"));
         assert!(verdict.closed.is_none() && !verdict.contested, "{verdict:?}");
     }
     assert_eq!(left.digest(), right.digest());
@@ -80,11 +80,11 @@
     let drain = left.compose(&a, 10 * hour, endpoint("e"), CLOSE);
     left.take(drain, 0, None);
     // Resumed at the other side of a cut, by a clock that is a day ahead.
-    let resume = right.compose(&b, 34 * hour, endpoint("e"), Word::Open);
+    let resume = right.compose(&b, 34 * hour, endpoint("e"), FactAction::Open);
     right.take(resume, 0, None);
     exchange(&mut left, &mut right, 0);
     assert!(closed(&left, "e") && closed(&right, "e"));
-    let knowing = right.compose(&b, hour, endpoint("e"), Word::Open);
+    let knowing = right.compose(&b, hour, endpoint("e"), FactAction::Open);
     right.take(knowing, 0, None);
     exchange(&mut left, &mut right, 0);
     assert!(!closed(&left, "e") && !closed(&right, "e"));
@@ -97,9 +97,9 @@
     let drain = state(&mut away, &a, "e", CLOSE);
     exchange(&mut here, &mut away, 0);
     // While the other is away the drain ends, and again, and all of it grows old.
-    state(&mut here, &b, "e", Word::Open);
+    state(&mut here, &b, "e", FactAction::Open);
     state(&mut here, &b, "e", CLOSE);
-    state(&mut here, &b, "e", Word::Open);
+    state(&mut here, &b, "e", FactAction::Open);
     assert!(here.drop_dead(999, 1_000).is_empty());
     assert_eq!(here.drop_dead(1_000, 1_000).len(), 3);
     assert_eq!(here.take(drain.clone(), 1_000, None), Taken::Dropped);
@@ -113,8 +113,8 @@
 #[test]
 fn another_content_under_a_name_is_damage_and_all_choose_the_same_copy() {
     let mut ledger = Ledger::default();
-    let open = state(&mut ledger, &run("a", 1), "e", Word::Open);
-    let closed = Fact { word: CLOSE, ..open.clone() };
+    let open = state(&mut ledger, &run("a", 1), "e", FactAction::Open);
+    let closed = Fact { action: CLOSE, ..open.clone() };
     assert_eq!(ledger.take(closed.clone(), 0, None), Taken::Damaged);
     assert!(closed.counts_over(&open) && !open.counts_over(&closed));
     let mut other = Ledger::default();
@@ -170,12 +170,12 @@
     prop::collection::vec(prop_oneof![stated, met], 1..30)
 }
 
-fn word(n: u8) -> Word {
+fn word(n: u8) -> FactAction {
     match n {
         0 => CLOSE,
-        1 => Word::Open,
-        2 => Word::Remove,
-        _ => Word::Add { partner: "p".into(), address: ([127, 0, 0, 1], 9).into() },
+        1 => FactAction::Open,
+        2 => FactAction::Remove,
+        _ => FactAction::Add { partner: "p".into(), address: ([127, 0, 0, 1], 9).into() },
     }
 }
 
@@ -218,7 +218,7 @@
         }
         prop_assert_eq!(ledgers[0].digest(), ledgers[1].digest());
         for subject in ledgers[0].subjects() {
-            prop_assert_eq!(ledgers[0].verdict(&subject), ledgers[1].verdict(&subject));
+            prop_assert_eq!(ledgers[0].subject_state(&subject), ledgers[1].subject_state(&subject));
         }
     }
 
@@ -229,12 +229,12 @@
         for fact in &facts {
             for ledger in &mut ledgers {
                 let before: BTreeSet<Dot> = ledger.subjects().iter()
-                    .filter_map(|s| ledger.verdict(s).closed).map(|f| f.dot).collect();
+                    .filter_map(|s| ledger.subject_state(s).closed).map(|f| f.dot).collect();
                 ledger.take(fact.clone(), 0, None);
-                let named: BTreeSet<&Dot> = fact.over.iter().collect();
+                let named: BTreeSet<&Dot> = fact.supersedes.iter().collect();
                 for dot in before.iter().filter(|d| !named.contains(d)) {
                     let subject = ledger.get(dot).unwrap().subject.clone();
-                    prop_assert!(ledger.is_alive(dot) && ledger.verdict(&subject).closed.is_some());
+                    prop_assert!(ledger.is_alive(dot) && ledger.subject_state(&subject).closed.is_some());
                 }
             }
         }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod store;
 pub mod wire;
 
-pub use machine::{Event, Output, Peers, Record, Restored, Settings, Shown};
+pub use machine::{Event, MemberStatus, Output, Peers, Record, Restored, Settings};
 
 #[cfg(test)]
 mod ledger_tests;
--- a/crates/peers/src/machine.rs
+++ b/crates/peers/src/machine.rs
@@ -4,9 +4,9 @@
 //! after either [`Peers::outputs`]. Times are milliseconds of one clock that only advances.
 
 use crate::claims::{self, Answer, Claims, Holder, Kept, Key, Status};
-use crate::fact::{Dot, Fact, Run, Subject, Word, MOST_OVER};
+use crate::fact::{Dot, Fact, FactAction, Run, Subject, MOST_OVER};
 use crate::hints::{self, Hints};
-use crate::ledger::{Extent, Ledger, Stretch, Taken, Verdict, BUCKETS};
+use crate::ledger::{Extent, Ledger, Stretch, SubjectState, Taken, BUCKETS};
 use crate::members::{Id, Members, Pace, Standing, Wanted};
 use crate::orders::{Desk, Refusal, Settled};
 use crate::seal::{Head, Kind, Refused, Sealer, Window, PAYLOAD};
@@ -119,20 +119,20 @@
 pub enum Output {
     /// A datagram for the member of this place in [`Settings::others`].
     Send(usize, Vec<u8>),
-    /// To be kept; [`Peers::kept`] once it is.
-    Keep(u64, Vec<Record>),
+    /// To be kept; [`Peers::persisted`] once it is.
+    Persist(u64, Vec<Record>),
     /// What holds for a subject may have changed.
-    Changed(Subject),
+    SubjectChanged(Subject),
     /// A fact that was alive here is dropped: others have dropped it beyond the horizon.
-    Aside(Fact),
+    Discarded(Fact),
     /// What has been granted, to be written before what follows is sent.
-    KeepClaims(Vec<Kept>),
+    PersistClaims(Vec<Kept>),
     /// Another has been told to wait by a partner: nothing is to be sent to it until then.
-    Hold(u32, u64),
+    HoldPartner(u32, u64),
     /// Whether the log of what was granted has all of it.
-    ClaimsWhole(bool),
+    ClaimLogComplete(bool),
     /// What has come of the claim of an id.
-    Claim(Key, claims::Verdict),
+    Claim(Key, claims::ClaimResult),
     /// What an order has come to.
     Settled(u64, Result<Settled, Refusal>),
     /// For the operators.
@@ -141,7 +141,7 @@
 
 /// A member as people are shown it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shown {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// How it stands, and for how long.
@@ -327,7 +327,7 @@
     /// Notes when what was closed for a span is open again: it counts from when this forwarder heard of it, unless `left` tells
     /// how much there is left of it.
     fn span(&mut self, fact: &Fact, left: Option<u64>) {
-        let Word::Close { for_ms: whole @ 1.. } = fact.word else { return };
+        let FactAction::Close { for_ms: whole @ 1.. } = fact.action else { return };
         self.spans.retain(|(_, dot)| *dot != fact.dot);
         let ends = self.now + left.unwrap_or(whole) + self.stand_in(&fact.dot);
         self.spans.insert((ends, fact.dot.clone()));
@@ -345,8 +345,8 @@
     }
 
     /// For how long a subject is closed yet, by this forwarder's clock: the longest of the spans that hold; 0 if no span does.
-    pub fn closed_for(&self, subject: &Subject) -> u64 {
-        let about = self.ledger.about(subject);
+    pub fn remaining_closure_ms(&self, subject: &Subject) -> u64 {
+        let about = self.ledger.live_facts(subject);
         let of = |dot: &Dot| about.iter().find(|f| f.dot == *dot);
         let ends = self.spans.iter().filter_map(|(at, dot)| Some((at, of(dot)?)));
         // Without the time that others wait for its author to say so.
@@ -355,8 +355,8 @@
     }
 
     /// After a start: of what was closed for a span so much is left by another record of it.
-    pub fn left(&mut self, subject: &Subject, left: u64) {
-        for fact in self.ledger.about(subject) {
+    pub fn set_remaining_closure(&mut self, subject: &Subject, left: u64) {
+        for fact in self.ledger.live_facts(subject) {
             self.span(&fact, Some(left));
         }
     }
@@ -369,12 +369,12 @@
             let Some(fact) = self.ledger.get(&dot).filter(|_| self.ledger.is_alive(&dot)).cloned() else {
                 continue;
             };
-            let Word::Close { for_ms } = fact.word else { continue };
-            let about = self.ledger.about(&fact.subject);
-            let opens = about.iter().filter(|f| f.word == Word::Open).map(|f| f.dot.clone());
+            let FactAction::Close { for_ms } = fact.action else { continue };
+            let about = self.ledger.live_facts(&fact.subject);
+            let opens = about.iter().filter(|f| f.action == FactAction::Open).map(|f| f.dot.clone());
             let over = opens.chain([dot]).take(MOST_OVER).collect();
             let at = fact.at + 1000 * for_ms;
-            let open = self.ledger.compose_over(&self.run, at, fact.subject, Word::Open, over);
+            let open = self.ledger.compose_over(&self.run, at, fact.subject, FactAction::Open, over);
             // Where there is no room for it, it is for the others to say.
             let _ = self.put_out(open);
         }
@@ -386,8 +386,8 @@
     }
 
     /// What holds for a subject.
-    pub fn verdict(&self, subject: &Subject) -> Verdict {
-        self.ledger.verdict(subject)
+    pub fn subject_state(&self, subject: &Subject) -> SubjectState {
+        self.ledger.subject_state(subject)
     }
 
     /// This life.
@@ -396,7 +396,7 @@
     }
 
     /// Whether its state folder was found to be an older copy: what it says of what has gone out may be out of date.
-    pub fn is_old_state(&self) -> bool {
+    pub fn has_stale_state(&self) -> bool {
         self.old_state
     }
 
@@ -421,7 +421,7 @@
     }
 
     /// Datagrams that were dropped, by why.
-    pub fn refused(&self) -> &BTreeMap<Refused, u64> {
+    pub fn dropped_datagrams(&self) -> &BTreeMap<Refused, u64> {
         &self.refused
     }
 
@@ -431,10 +431,10 @@
     }
 
     /// The others, as people are shown them.
-    pub fn shown(&self, now: u64) -> Vec<Shown> {
+    pub fn member_statuses(&self, now: u64) -> Vec<MemberStatus> {
         let link = |l: &Link| {
             let (standing, since) = self.members.standing(&l.name);
-            Shown {
+            MemberStatus {
                 name: l.name.clone(),
                 standing,
                 for_ms: if standing == Standing::Unknown { 0 } else { now.saturating_sub(since) },
@@ -447,7 +447,7 @@
     }
 
     /// Members that are there now, this one included, and all of them.
-    pub fn quorum(&self) -> (usize, usize) {
+    pub fn reachable_members(&self) -> (usize, usize) {
         let there = |l: &&Link| matches!(self.members.standing(&l.name).0, Standing::Up | Standing::Suspect);
         (1 + self.links.iter().filter(there).count(), 1 + self.links.len())
     }
@@ -482,7 +482,7 @@
                 self.to_tell.insert(ticket, told);
             }
             self.desk.under(ticket);
-            self.out.push(Output::Keep(ticket, std::mem::take(&mut self.records)));
+            self.out.push(Output::Persist(ticket, std::mem::take(&mut self.records)));
         }
         for (ticket, settled) in self.desk.settled() {
             self.out.push(Output::Settled(ticket, settled));
@@ -499,7 +499,7 @@
     }
 
     /// What was handed out under this ticket is on disk, and all before it.
-    pub fn kept(&mut self, now: u64, ticket: u64) {
+    pub fn persisted(&mut self, now: u64, ticket: u64) {
         self.now = now.max(self.now);
         self.kept_upto = self.kept_upto.max(ticket);
         let later = self.to_tell.split_off(&(ticket + 1));
@@ -522,8 +522,8 @@
     ///
     /// # Errors
     /// There is no room for more facts.
-    pub fn close(
-        &mut self, now: u64, order: u64, at: u64, subject: Subject, word: Word,
+    pub fn order_restrictive(
+        &mut self, now: u64, order: u64, at: u64, subject: Subject, word: FactAction,
     ) -> Result<Dot, Refusal> {
         self.now = now.max(self.now);
         let dot = self.state(at, subject, word)?;
@@ -533,7 +533,7 @@
 
     /// The opposite: it holds once a majority of the members has told what it knows against it. [`Output::Settled`]
     /// tells what has come of it.
-    pub fn open(&mut self, now: u64, order: u64, at: u64, subject: Subject, word: Word) {
+    pub fn order_permissive(&mut self, now: u64, order: u64, at: u64, subject: Subject, word: FactAction) {
         self.now = now.max(self.now);
         let nonce = self.random.random::<u64>();
         self.desk.ask(self.now, order, nonce, at, subject, word);
@@ -545,12 +545,12 @@
     ///
     /// # Errors
     /// There is no room for more facts.
-    pub fn import(&mut self, now: u64, at: u64, subject: Subject, word: Word) -> Result<Dot, Refusal> {
+    pub fn import(&mut self, now: u64, at: u64, subject: Subject, word: FactAction) -> Result<Dot, Refusal> {
         self.now = now.max(self.now);
         self.state(at, subject, word)
     }
 
-    fn state(&mut self, at: u64, subject: Subject, word: Word) -> Result<Dot, Refusal> {
+    fn state(&mut self, at: u64, subject: Subject, word: FactAction) -> Result<Dot, Refusal> {
         let fact = self.ledger.compose(&self.run, at, subject, word);
         self.put_out(fact)
     }
@@ -565,7 +565,7 @@
         }
         self.span(&fact, None);
         self.records.push(Record::Fact(fact, None));
-        self.out.push(Output::Changed(subject));
+        self.out.push(Output::SubjectChanged(subject));
         let missing = (0..self.links.len()).collect();
         self.pushes.insert(dot.clone(), Push { missing, next: self.now, tries: 0 });
         self.step_pushes();
@@ -634,7 +634,7 @@
     fn wants_hello(&self, link: &Link) -> bool {
         let silent = link.heard.is_none_or(|at| self.now > at + SILENT);
         // One that may be new asks all whether it is.
-        let asks = self.fresh && link.new_to_it.is_none() && self.now < self.born + claims::REMEMBERED;
+        let asks = self.fresh && link.new_to_it.is_none() && self.now < self.born + claims::RETENTION_MS;
         !self.displaced && (link.present.is_none() || silent || asks)
     }
 
@@ -986,7 +986,7 @@
                 self.send_paced(link, &messages);
             }
             Message::Query { nonce, subject } => {
-                let facts = self.ledger.about(&subject);
+                let facts = self.ledger.live_facts(&subject);
                 // What does not fit one datagram goes before it by itself.
                 let (few, more) = facts.split_at(facts.len().min(2));
                 let mut messages: Vec<Message> =
@@ -1009,7 +1009,7 @@
             Message::Waits(waits) => {
                 for (partner, left) in waits.into_iter().take(hints::MOST) {
                     let until = self.hints.wait(self.now, link, partner, left.saturating_sub(late));
-                    self.out.extend(until.map(|until| Output::Hold(partner, until)));
+                    self.out.extend(until.map(|until| Output::HoldPartner(partner, until)));
                 }
             }
             Message::Claims(memory, claims) => {
@@ -1080,7 +1080,7 @@
             Taken::New => {
                 self.span(&fact, None);
                 self.records.push(Record::Fact(fact, None));
-                self.out.push(Output::Changed(subject));
+                self.out.push(Output::SubjectChanged(subject));
                 // The subjects of what it supersedes are its own: nothing else has changed.
                 for other in self.any_present(RUMOUR) {
                     if other != link {
@@ -1163,14 +1163,14 @@
         for fact in seen.aside {
             let text = format!(
                 "{} of {} said {} {}, and is laid aside: {} has dropped it, it was superseded while this forwarder was away",
-                fact.dot, fact.dot.run.name, fact.word.name(), fact.subject, self.links[link].name
+                fact.dot, fact.dot.run.name, fact.action.name(), fact.subject, self.links[link].name
             );
             self.event("laid_aside", text);
             self.records.push(Record::Drop(fact.dot.clone()));
             changed.insert(fact.subject.clone());
-            self.out.push(Output::Aside(fact));
+            self.out.push(Output::Discarded(fact));
         }
-        self.out.extend(changed.into_iter().map(Output::Changed));
+        self.out.extend(changed.into_iter().map(Output::SubjectChanged));
         if seen.advanced {
             self.records.push(Record::Extent(self.ledger.extent()));
         }
@@ -1187,7 +1187,7 @@
 
     /// A partner has told this forwarder to wait for so many milliseconds. The others hear of it once: one that does not is
     /// told by the partner itself.
-    pub fn told_to_wait(&mut self, now: u64, partner: u32, left: u64) {
+    pub fn share_wait(&mut self, now: u64, partner: u32, left: u64) {
         self.now = now.max(self.now);
         if left < hints::LEAST || !self.settings.share_waits {
             return;
@@ -1211,30 +1211,32 @@
     }
 
     /// A message of this forwarder has ended, or was not taken on after all.
-    pub fn ended(&mut self, now: u64, key: Key, word: claims::Word) {
+    pub fn message_ended(&mut self, now: u64, key: Key, word: claims::ClaimOutcome) {
         self.now = now.max(self.now);
         self.claims.tell(self.now, key, word);
     }
 
     /// A message of this forwarder has been taken on.
-    pub fn taken(&mut self, key: Key) {
+    pub fn message_accepted(&mut self, key: Key) {
         self.claims.taken(key);
     }
 
     /// After a start: see [`Claims::recheck`].
-    pub fn recheck(&mut self, now: u64, held: &[Key], ended: &[(Key, claims::Word)], whole: bool) {
+    pub fn reconcile_claims(
+        &mut self, now: u64, held: &[Key], ended: &[(Key, claims::ClaimOutcome)], whole: bool,
+    ) {
         self.now = now.max(self.now);
         // A folder that was empty does not tell what was held before.
         self.claims.recheck(self.now, held, ended, whole && !self.old_state && !self.from_empty);
     }
 
     /// Whether all that this forwarder has granted is known to it: only then its word on ids counts.
-    pub fn knows_ids(&self, now: u64) -> bool {
+    pub fn knows_all_claims(&self, now: u64) -> bool {
         self.claims.is_sure(now)
     }
 
     /// Who holds, or held, a message, and how it ended; as far as it is known here.
-    pub fn known_id(&self, key: Key) -> Option<(&str, Option<claims::Word>)> {
+    pub fn known_id(&self, key: Key) -> Option<(&str, Option<claims::ClaimOutcome>)> {
         self.claims.known(key).map(|(holder, word)| (holder.name.as_str(), word))
     }
 
@@ -1245,12 +1247,12 @@
     }
 
     /// Everything granted that stands, for a log that is written anew.
-    pub fn standing_claims(&self) -> Vec<Kept> {
+    pub fn claim_snapshot(&self) -> Vec<Kept> {
         self.claims.standing()
     }
 
     /// Ids that are known.
-    pub fn ids(&self) -> usize {
+    pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
@@ -1278,7 +1280,7 @@
             self.outgoing.extend(parts);
         }
         if let Some(sure) = self.claims.turned_sure() {
-            self.out.push(Output::ClaimsWhole(sure));
+            self.out.push(Output::ClaimLogComplete(sure));
             if sure {
                 let text =
                     "all ids that this forwarder had let in are known to it again: its word on them counts";
@@ -1288,7 +1290,7 @@
         let records = self.claims.records();
         if !records.is_empty() {
             // Before the answers that rest on them.
-            self.out.insert(0, Output::KeepClaims(records));
+            self.out.insert(0, Output::PersistClaims(records));
         }
         let mut by_link: BTreeMap<usize, Vec<Message>> = BTreeMap::new();
         for (link, message) in std::mem::take(&mut self.outgoing) {
@@ -1337,7 +1339,7 @@
 
     fn put(&mut self, fact: Fact) {
         let before = self.ledger.get(&fact.dot).map(|f| f.subject.clone());
-        self.out.extend(before.into_iter().chain([fact.subject.clone()]).map(Output::Changed));
+        self.out.extend(before.into_iter().chain([fact.subject.clone()]).map(Output::SubjectChanged));
         self.records.push(Record::Fact(fact.clone(), None));
         self.ledger.replace(fact, self.now);
     }
--- a/crates/peers/src/orders.rs
+++ b/crates/peers/src/orders.rs
@@ -1,6 +1,6 @@
 //! Orders under way: what each still waits for before its operator is answered.
 
-use crate::fact::{Dot, Subject, Word};
+use crate::fact::{Dot, FactAction, Subject};
 use std::collections::BTreeSet;
 use std::fmt;
 
@@ -69,14 +69,14 @@
     nonce: u64,
     at: u64,
     subject: Subject,
-    word: Word,
+    word: FactAction,
     answered: BTreeSet<usize>,
     ask_at: u64,
     by: u64,
 }
 
 /// An order whose question a majority has answered: its number, time, subject and word.
-pub type Answered = (u64, u64, Subject, Word);
+pub type Answered = (u64, u64, Subject, FactAction);
 
 /// The orders under way.
 #[derive(Debug)]
@@ -129,7 +129,7 @@
     }
 
     /// Begins to ask what is known of a subject.
-    pub fn ask(&mut self, now: u64, order: u64, nonce: u64, at: u64, subject: Subject, word: Word) {
+    pub fn ask(&mut self, now: u64, order: u64, nonce: u64, at: u64, subject: Subject, word: FactAction) {
         let (answered, by) = (BTreeSet::new(), now + ANSWERS_WITHIN);
         self.queries.push(Query { order, nonce, at, subject, word, answered, ask_at: now, by });
     }
--- a/crates/peers/src/regain.rs
+++ b/crates/peers/src/regain.rs
@@ -8,7 +8,7 @@
 //! Where all have lost it at once (the power went), nobody's word counts. Then each holder's own journal has to have
 //! outlived it, and *all* others must tell.
 
-use crate::claims::{self, Holder, Key, Word};
+use crate::claims::{self, ClaimOutcome, Holder, Key};
 use serde::{Deserialize, Serialize};
 
 /// After its beginning nothing is asked for so long: a claim's life, and what clocks differ by in it.
@@ -33,7 +33,7 @@
     /// For how many milliseconds.
     pub age: u64,
     /// How it has ended, and how long ago.
-    pub end: Option<(Word, u64)>,
+    pub end: Option<(ClaimOutcome, u64)>,
 }
 
 impl Item {
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -378,7 +378,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::fact::{Run, Subject, Word};
+    use crate::fact::{FactAction, Run, Subject};
     use crate::ledger::Ledger;
     use std::sync::{Arc, Mutex};
 
@@ -387,7 +387,7 @@
         let mut ledger = Ledger::default();
         let state = |n: usize| {
             let subject = Subject::Endpoint(format!("e{n}"));
-            let fact = ledger.compose(&run, 0, subject, Word::Close { for_ms: 0 });
+            let fact = ledger.compose(&run, 0, subject, FactAction::Close { for_ms: 0 });
             ledger.take(fact.clone(), 0, None);
             fact
         };
@@ -434,8 +434,8 @@
             lamport: n,
             at: n,
             subject: Subject::Endpoint(format!("{name}{n}")),
-            word: Word::Open,
-            over: dots.clone(),
+            action: FactAction::Open,
+            supersedes: dots.clone(),
         };
         for batch in 0..16u64 {
             let records: Vec<Record> =
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -60,7 +60,7 @@
     /// What the sender answers to claims.
     Claimed(Vec<(Key, u64, Answer)>),
     /// How messages of the sender's memory have ended.
-    Ended(u64, Vec<(Key, u64, claims::Word)>),
+    Ended(u64, Vec<(Key, u64, claims::ClaimOutcome)>),
     /// These ends are known to the sender.
     EndKnown(Vec<Key>),
     /// Does the receiver hold this message?
--- a/crates/peers/tests/cluster.rs
+++ b/crates/peers/tests/cluster.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use foldtrack_peers::fact::{Fact, Subject, Word};
+use foldtrack_peers::fact::{Fact, FactAction, Subject};
 use foldtrack_peers::members::Standing;
 use foldtrack_peers::orders::Refusal;
 use foldtrack_peers::seal::{Refused, LONGEST};
@@ -52,7 +52,7 @@
     world.link = Box::new(|_, _| true);
     world.until(20_000, World::agree).expect("they agree after the cut");
     for n in 0..5 {
-        let verdict = world.peers(n).verdict(&endpoint("e"));
+        let verdict = world.peers(n).subject_state(&endpoint("e"));
         assert!(verdict.closed.is_some() && verdict.contested, "{n}: {verdict:?}");
         assert!(world.closed(n, "f"));
     }
@@ -239,7 +239,7 @@
         for output in out {
             match output {
                 foldtrack_peers::Output::Send(link, bytes) => world.deliver(link + 1, &bytes),
-                foldtrack_peers::Output::Keep(ticket, _) => peers.kept(world.now, ticket),
+                foldtrack_peers::Output::Persist(ticket, _) => peers.persisted(world.now, ticket),
                 _ => {}
             }
         }
@@ -268,7 +268,7 @@
     let tape = world.tape.take().unwrap();
     let to_2: Vec<&Vec<u8>> = tape.iter().filter(|(_, to, _)| *to == 2).map(|(.., b)| b).collect();
     let before = world.peers(2).traffic().0;
-    let count = |w: &World, why| w.peers(2).refused().get(&why).copied().unwrap_or(0);
+    let count = |w: &World, why| w.peers(2).dropped_datagrams().get(&why).copied().unwrap_or(0);
     let replayed = count(&world, Refused::Replayed);
     for bytes in &to_2 {
         let mut forged = bytes.to_vec();
@@ -357,7 +357,7 @@
         let name = World::name(of);
         let shown = (0..5).filter(|n| *n != of && w.nodes[*n].peers.is_some());
         shown
-            .map(|n| w.peers(n).shown(w.clock(n)).iter().find(|s| s.name == name).unwrap().standing)
+            .map(|n| w.peers(n).member_statuses(w.clock(n)).iter().find(|s| s.name == name).unwrap().standing)
             .collect()
     };
     world.kill(3);
@@ -372,7 +372,7 @@
     world.go_on(3);
     world.until(15_000, |w| standing(w, 3).iter().all(|s| *s == Standing::Up)).expect("it is back");
     assert!(world.closed(3, "e"));
-    assert_eq!(world.peers(3).quorum(), (5, 5));
+    assert_eq!(world.peers(3).reachable_members(), (5, 5));
 }
 
 /// No span of the failure detector takes a lossy network for a dead member too easily; the figure stands in the note.
@@ -441,11 +441,13 @@
     world.link = Box::new(|a, b| a != 2 && b != 2);
     world.until(20_000, |w| w.told(0, "peer_down") > 0 && w.told(1, "peer_down") > 0).unwrap();
     world.link = Box::new(|_, _| true);
-    world.until(15_000, |w| (0..3).all(|n| w.peers(n).quorum() == (3, 3))).expect("all hold all to be there");
+    world
+        .until(15_000, |w| (0..3).all(|n| w.peers(n).reachable_members() == (3, 3)))
+        .expect("all hold all to be there");
     assert!(world.told(2, "rejoined") > 0 || world.told(0, "rejoined") > 0);
     // And it stays so: nobody goes by what was said of its earlier turn.
     world.run(60_000);
-    assert!((0..3).all(|n| world.peers(n).quorum() == (3, 3)));
+    assert!((0..3).all(|n| world.peers(n).reachable_members() == (3, 3)));
 }
 
 /// The defect of a hint that is taken as a reason to send: whatever hints come, they only ever lengthen a hold.
@@ -472,17 +474,17 @@
 fn what_is_closed_for_a_span_is_open_after_it() {
     let mut world = World::started(3, 20);
     let network = Subject::Network("192.0.2.0/24".into());
-    let closed = |w: &World, n: usize| w.peers(n).verdict(&network).closed.is_some();
-    world.say(0, network.clone(), Word::Close { for_ms: 20_000 });
+    let closed = |w: &World, n: usize| w.peers(n).subject_state(&network).closed.is_some();
+    world.say(0, network.clone(), FactAction::Close { for_ms: 20_000 });
     world.run(100);
     assert!((0..3).all(|n| closed(&world, n)));
-    let left = world.peers(2).closed_for(&network);
+    let left = world.peers(2).remaining_closure_ms(&network);
     assert!((19_000..=20_000).contains(&left), "{left}");
     world.run(18_000);
     assert!((0..3).all(|n| closed(&world, n)));
     world.until(3_000, |w| (0..3).all(|n| !closed(w, n))).expect("it is over");
     // Its author dies; one who was away and has lost its disk hears of the block late, and of its end in time.
-    world.say(0, network.clone(), Word::Close { for_ms: 20_000 });
+    world.say(0, network.clone(), FactAction::Close { for_ms: 20_000 });
     world.run(100);
     world.kill(0);
     world.run(10_000);
@@ -495,12 +497,12 @@
     world.start(0);
     world.run(5_000);
     world.link = Box::new(|a, b| (a == 0) == (b == 0));
-    world.say(0, network.clone(), Word::Close { for_ms: 10_000 });
-    world.say(1, network.clone(), Word::Close { for_ms: 60_000 });
+    world.say(0, network.clone(), FactAction::Close { for_ms: 10_000 });
+    world.say(1, network.clone(), FactAction::Close { for_ms: 60_000 });
     world.link = Box::new(|_, _| true);
     world.run(15_000);
     assert!((0..3).all(|n| closed(&world, n)));
-    assert!((40_000..50_000).contains(&world.peers(0).closed_for(&network)));
+    assert!((40_000..50_000).contains(&world.peers(0).remaining_closure_ms(&network)));
     world.until(60_000, |w| (0..3).all(|n| !closed(w, n))).expect("both are over");
 }
 
--- a/crates/peers/tests/ids.rs
+++ b/crates/peers/tests/ids.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use foldtrack_peers::claims::{key, Effect, Verdict, Word};
+use foldtrack_peers::claims::{message_key, ClaimOutcome, ClaimResult, Effect};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use world::{Net, World};
@@ -18,82 +18,82 @@
 
 fn an_id_is_known(seed: u64) {
     let mut world = World::started(5, seed);
-    assert_eq!(world.claim(0, "m", ONCE), Verdict::Granted(0));
-    assert_eq!(world.claim(3, "m", ONCE), Verdict::Held);
-    world.ended(0, "m", Word::Delivered);
+    assert_eq!(world.claim(0, "m", ONCE), ClaimResult::Granted(0));
+    assert_eq!(world.claim(3, "m", ONCE), ClaimResult::Held);
+    world.ended(0, "m", ClaimOutcome::Delivered);
     world.run(500);
     world.kill(0);
     for n in 1..5 {
-        assert_eq!(world.claim(n, "m", ONCE), Verdict::Delivered);
+        assert_eq!(world.claim(n, "m", ONCE), ClaimResult::Delivered);
     }
     // One that was given up is over; one that was refused, or handed back, may come again anywhere.
-    assert_eq!(world.claim(1, "over", ONCE), Verdict::Granted(0));
-    world.ended(1, "over", Word::Over);
+    assert_eq!(world.claim(1, "over", ONCE), ClaimResult::Granted(0));
+    world.ended(1, "over", ClaimOutcome::Final);
     world.run(500);
-    assert_eq!(world.claim(2, "over", ONCE), Verdict::Over);
-    assert_eq!(world.claim(1, "back", ONCE), Verdict::Granted(0));
-    world.ended(1, "back", Word::Back(0));
+    assert_eq!(world.claim(2, "over", ONCE), ClaimResult::Final);
+    assert_eq!(world.claim(1, "back", ONCE), ClaimResult::Granted(0));
+    world.ended(1, "back", ClaimOutcome::HandedBack(0));
     world.run(500);
-    assert_eq!(world.claim(2, "back", ONCE), Verdict::Granted(0));
-    assert_eq!(world.claim(1, "back", ONCE), Verdict::Held);
+    assert_eq!(world.claim(2, "back", ONCE), ClaimResult::Granted(0));
+    assert_eq!(world.claim(1, "back", ONCE), ClaimResult::Held);
     // Where an attempt may have run it may come again only as long as that does no harm.
-    assert_eq!(world.claim(3, "until", KEYED), Verdict::Granted(0));
-    world.ended(3, "until", Word::Back(5_000));
+    assert_eq!(world.claim(3, "until", KEYED), ClaimResult::Granted(0));
+    world.ended(3, "until", ClaimOutcome::HandedBack(5_000));
     world.run(2_000);
-    let Verdict::Granted(left) = world.claim(4, "until", KEYED) else { panic!() };
+    let ClaimResult::Granted(left) = world.claim(4, "until", KEYED) else { panic!() };
     assert!((2_000..3_100).contains(&left), "{left}");
-    assert_eq!(world.claim(2, "until-2", KEYED), Verdict::Granted(0));
-    world.ended(2, "until-2", Word::Back(1_000));
+    assert_eq!(world.claim(2, "until-2", KEYED), ClaimResult::Granted(0));
+    world.ended(2, "until-2", ClaimOutcome::HandedBack(1_000));
     world.run(2_000);
-    assert_eq!(world.claim(4, "until-2", KEYED), Verdict::Over);
+    assert_eq!(world.claim(4, "until-2", KEYED), ClaimResult::Final);
 }
 
 /// Its holder is killed with the call out: a payment is not sent again, a keyed message as long as its partner remembers.
 #[test]
 fn what_a_dead_forwarder_holds_is_decided_by_class() {
     let mut world = World::started(5, 2);
-    assert_eq!(world.claim(0, "pay", ONCE), Verdict::Granted(0));
-    assert_eq!(world.claim(0, "update", KEYED), Verdict::Granted(0));
+    assert_eq!(world.claim(0, "pay", ONCE), ClaimResult::Granted(0));
+    assert_eq!(world.claim(0, "update", KEYED), ClaimResult::Granted(0));
     world.kill(0);
-    assert!(matches!(world.claim(1, "pay", ONCE), Verdict::Later(_)));
-    let Verdict::Granted(left) = world.claim(1, "update", KEYED) else { panic!() };
+    assert!(matches!(world.claim(1, "pay", ONCE), ClaimResult::RetryAfter(_)));
+    let ClaimResult::Granted(left) = world.claim(1, "update", KEYED) else { panic!() };
     assert!((17_000..19_500).contains(&left), "{left}");
     // The second holder is killed as well: the span still counts from the first.
     world.run(5_000);
     world.kill(1);
-    let Verdict::Granted(less) = world.claim(2, "update", KEYED) else { panic!() };
+    let ClaimResult::Granted(less) = world.claim(2, "update", KEYED) else { panic!() };
     assert!(less + 4_500 < left, "{less} of {left}");
     world.run(10_000);
     world.start(1);
     world.run(4_000);
-    assert_eq!(world.claim(3, "pay", ONCE), Verdict::Over);
+    assert_eq!(world.claim(3, "pay", ONCE), ClaimResult::Final);
     world.kill(2);
     world.run(10_000);
-    assert_eq!(world.claim(3, "update", KEYED), Verdict::Over);
+    assert_eq!(world.claim(3, "update", KEYED), ClaimResult::Final);
     // Back on its folder, the first one answers for what it has.
     world.start(0);
     world.run(8_000);
-    assert_eq!(world.claim(4, "pay", ONCE), Verdict::Held);
+    assert_eq!(world.claim(4, "pay", ONCE), ClaimResult::Held);
 }
 
 #[test]
 fn a_holder_that_has_lost_its_memory_is_another_one() {
     let mut world = World::started(3, 3);
-    assert_eq!(world.claim(0, "pay", ONCE), Verdict::Granted(0));
+    assert_eq!(world.claim(0, "pay", ONCE), ClaimResult::Granted(0));
     world.run(100);
     world.lose(0);
     world.start(0);
     world.run(3_000);
-    assert!(matches!(world.claim(0, "pay", ONCE), Verdict::Later(_)));
+    assert!(matches!(world.claim(0, "pay", ONCE), ClaimResult::RetryAfter(_)));
     // It does not know what it had granted, and does not count: two others are a majority of three.
-    assert_eq!(world.claim(1, "new", ONCE), Verdict::Granted(0));
+    assert_eq!(world.claim(1, "new", ONCE), ClaimResult::Granted(0));
     world.kill(2);
-    assert!(matches!(world.claim(1, "newer", ONCE), Verdict::Later(_)));
+    assert!(matches!(world.claim(1, "newer", ONCE), ClaimResult::RetryAfter(_)));
     world.start(2);
     world.run(14_000);
-    assert_eq!(world.claim(0, "pay", ONCE), Verdict::Over);
+    assert_eq!(world.claim(0, "pay", ONCE), ClaimResult::Final);
     world.kill(2);
-    assert_eq!(world.claim(1, "newest", ONCE), Verdict::Granted(0));
+    assert_eq!(world.claim(1, "newest", ONCE), ClaimResult::Granted(0));
 }
 
 /// What it had let in comes back from a majority of the others, once all claims of before are settled; then it counts again.
@@ -101,33 +101,33 @@
 fn what_a_member_has_lost_it_has_again_from_the_others() {
     let mut world = World::started(3, 6);
     for n in 0..200 {
-        assert_eq!(world.claim(0, &format!("m{n}"), ONCE), Verdict::Granted(0));
+        assert_eq!(world.claim(0, &format!("m{n}"), ONCE), ClaimResult::Granted(0));
     }
     for n in 0..100 {
-        world.ended(0, &format!("m{n}"), Word::Delivered);
+        world.ended(0, &format!("m{n}"), ClaimOutcome::Delivered);
     }
     world.run(500);
     world.kill(1);
     world.lose_claims(1);
     world.start(1);
     world.run(3_000);
-    assert!(!world.knows_ids(1));
+    assert!(!world.knows_all_claims(1));
     world.run(12_000);
-    assert!(world.knows_ids(1) && world.nodes[1].disk.claims_whole);
+    assert!(world.knows_all_claims(1) && world.nodes[1].disk.claims_whole);
     // Its word now counts, and it knows what it let in.
     world.kill(0);
-    assert_eq!(world.claim(2, "new", ONCE), Verdict::Granted(0));
-    assert_eq!(world.claim(1, "m7", ONCE), Verdict::Delivered);
-    assert!(matches!(world.claim(1, "m107", ONCE), Verdict::Over | Verdict::Later(_)));
+    assert_eq!(world.claim(2, "new", ONCE), ClaimResult::Granted(0));
+    assert_eq!(world.claim(1, "m7", ONCE), ClaimResult::Delivered);
+    assert!(matches!(world.claim(1, "m107", ONCE), ClaimResult::Final | ClaimResult::RetryAfter(_)));
 }
 
 /// The power of all goes: what each has in its own journal is told, and after seconds payments are taken on again.
 #[test]
 fn where_all_have_lost_what_they_let_in_their_journals_tell() {
     let mut world = World::started(3, 7);
-    assert_eq!(world.claim(0, "held", ONCE), Verdict::Granted(0));
-    assert_eq!(world.claim(0, "over", ONCE), Verdict::Granted(0));
-    world.ended(0, "over", Word::Delivered);
+    assert_eq!(world.claim(0, "held", ONCE), ClaimResult::Granted(0));
+    assert_eq!(world.claim(0, "over", ONCE), ClaimResult::Granted(0));
+    world.ended(0, "over", ClaimOutcome::Delivered);
     world.run(500);
     (0..3).for_each(|n| world.kill(n));
     (0..3).for_each(|n| world.lose_claims(n));
@@ -135,13 +135,13 @@
     world.start(2);
     world.run(20_000);
     // Nobody knows what the third holds.
-    assert!(matches!(world.claim(1, "new", ONCE), Verdict::Later(_)));
+    assert!(matches!(world.claim(1, "new", ONCE), ClaimResult::RetryAfter(_)));
     world.start(0);
     world.run(20_000);
-    assert!((0..3).all(|n| world.knows_ids(n)));
-    assert_eq!(world.claim(1, "new", ONCE), Verdict::Granted(0));
-    assert_eq!(world.claim(2, "over", ONCE), Verdict::Delivered);
-    assert_eq!(world.claim(2, "held", ONCE), Verdict::Held);
+    assert!((0..3).all(|n| world.knows_all_claims(n)));
+    assert_eq!(world.claim(1, "new", ONCE), ClaimResult::Granted(0));
+    assert_eq!(world.claim(2, "over", ONCE), ClaimResult::Delivered);
+    assert_eq!(world.claim(2, "held", ONCE), ClaimResult::Held);
 }
 
 /// Of a claim that is not settled nobody is told that it is held: its client would take that for taken on.
@@ -150,37 +150,37 @@
     let mut world = World::started(3, 8);
     world.link = Box::new(|a, b| (a < 2) == (b < 2));
     let now = world.clock(2);
-    world.nodes[2].peers.as_mut().unwrap().claim(now, key("m"), ONCE);
+    world.nodes[2].peers.as_mut().unwrap().claim(now, message_key("m"), ONCE);
     world.run(100);
     world.link = Box::new(|_, _| true);
     let verdict = world.claim(0, "m", ONCE);
-    assert!(matches!(verdict, Verdict::Granted(0) | Verdict::Later(_)), "{verdict:?}");
+    assert!(matches!(verdict, ClaimResult::Granted(0) | ClaimResult::RetryAfter(_)), "{verdict:?}");
 }
 
 #[test]
 fn a_minority_takes_no_payment_and_what_partners_drop_if_repeated() {
     let mut world = World::started(5, 4);
     world.link = Box::new(|a, b| (a < 2) == (b < 2));
-    assert!(matches!(world.claim(0, "pay", ONCE), Verdict::Later(_)));
-    assert!(matches!(world.claim(0, "update", KEYED), Verdict::Granted(19_000)));
-    assert_eq!(world.claim(2, "pay", ONCE), Verdict::Granted(0));
+    assert!(matches!(world.claim(0, "pay", ONCE), ClaimResult::RetryAfter(_)));
+    assert!(matches!(world.claim(0, "update", KEYED), ClaimResult::Granted(19_000)));
+    assert_eq!(world.claim(2, "pay", ONCE), ClaimResult::Granted(0));
     world.link = Box::new(|_, _| true);
     world.run(2_000);
-    assert_eq!(world.claim(0, "pay", ONCE), Verdict::Held);
+    assert_eq!(world.claim(0, "pay", ONCE), ClaimResult::Held);
 }
 
 #[test]
 fn what_was_granted_outlives_the_processes_that_granted_it() {
     let mut world = World::started(3, 5);
-    assert_eq!(world.claim(0, "pay", ONCE), Verdict::Granted(0));
+    assert_eq!(world.claim(0, "pay", ONCE), ClaimResult::Granted(0));
     world.run(50);
     (0..3).for_each(|n| world.kill(n));
     for n in 1..3 {
         world.start(n);
     }
     world.run(5_000);
-    assert!(matches!(world.claim(1, "pay", ONCE), Verdict::Later(_)));
-    assert_eq!(world.claim(2, "other", ONCE), Verdict::Granted(0));
+    assert!(matches!(world.claim(1, "pay", ONCE), ClaimResult::RetryAfter(_)));
+    assert_eq!(world.claim(2, "other", ONCE), ClaimResult::Granted(0));
 }
 
 proptest! {
@@ -198,9 +198,9 @@
         let (mut granted, mut asking): (BTreeSet<usize>, BTreeSet<usize>) = Default::default();
         let settle = |world: &mut World, granted: &mut BTreeSet<usize>, asking: &mut BTreeSet<usize>| {
             for n in 0..5 {
-                if let Some((_, verdict)) = world.nodes[n].claims.remove(&key("m")) {
+                if let Some((_, verdict)) = world.nodes[n].claims.remove(&message_key("m")) {
                     asking.remove(&n);
-                    if verdict == Verdict::Granted(0) {
+                    if verdict == ClaimResult::Granted(0) {
                         granted.insert(n);
                     }
                 }
@@ -214,7 +214,7 @@
             // A forwarder knows by itself what it holds, and asks once for what it does not.
             if !granted.contains(&n) && asking.insert(n) {
                 let now = world.clock(n);
-                world.nodes[n].peers.as_mut().unwrap().claim(now, key("m"), ONCE);
+                world.nodes[n].peers.as_mut().unwrap().claim(now, message_key("m"), ONCE);
             }
             world.run(pause);
             settle(&mut world, &mut granted, &mut asking);
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -1,8 +1,8 @@
 //! Members in simulated time: clocks of their own, a network with seeded faults, stores that outlive processes.
 #![allow(dead_code)]
 
-use foldtrack_peers::claims::{self, key, Effect, Kept, Key, Verdict};
-use foldtrack_peers::fact::{Dot, Fact, Subject, Word};
+use foldtrack_peers::claims::{self, message_key, ClaimResult, Effect, Kept, Key};
+use foldtrack_peers::fact::{Dot, Fact, FactAction, Subject};
 use foldtrack_peers::ledger::Extent;
 use foldtrack_peers::orders::{Refusal, Settled};
 use foldtrack_peers::seal::Sealer;
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-pub const CLOSE: Word = Word::Close { for_ms: 0 };
+pub const CLOSE: FactAction = FactAction::Close { for_ms: 0 };
 /// A commit takes so long.
 const DISK: u64 = 3;
 
@@ -39,7 +39,7 @@
     pub claims: Vec<Kept>,
     pub claims_whole: bool,
     /// Messages that it has taken on, and how they ended: what the journal and the list of ends have.
-    pub journal: BTreeMap<Key, Option<claims::Word>>,
+    pub journal: BTreeMap<Key, Option<claims::ClaimOutcome>>,
 }
 
 impl Disk {
@@ -69,7 +69,7 @@
     pub aside: Vec<Fact>,
     pub settled: BTreeMap<u64, (u64, Result<Settled, Refusal>)>,
     /// Stopped: datagrams wait for it, as in a socket's buffer, and time goes on.
-    pub claims: BTreeMap<Key, (u64, Verdict)>,
+    pub claims: BTreeMap<Key, (u64, ClaimResult)>,
     /// Partners that were to be held, and until when by its own clock.
     pub holds: Vec<(u32, u64)>,
     pub stopped: bool,
@@ -197,7 +197,7 @@
         let held: Vec<Key> =
             disk.journal.iter().filter(|(_, end)| end.is_none()).map(|(key, _)| *key).collect();
         let ended: Vec<_> = disk.journal.iter().filter_map(|(key, end)| end.map(|end| (*key, end))).collect();
-        peers.recheck(now, &held, &ended, true);
+        peers.reconcile_claims(now, &held, &ended, true);
         self.nodes[n].peers = Some(peers);
         self.outputs(n);
     }
@@ -254,23 +254,23 @@
                         self.at(when, Happening::Datagram { to, bytes: bytes.clone() });
                     }
                 }
-                Output::Keep(ticket, records) => {
+                Output::Persist(ticket, records) => {
                     let life = self.nodes[n].life;
                     self.at(self.now + DISK, Happening::Kept { node: n, life, ticket, records });
                 }
-                Output::ClaimsWhole(whole) => self.nodes[n].disk.claims_whole = whole,
-                Output::Changed(_) => {}
-                Output::Hold(partner, until) => self.nodes[n].holds.push((partner, until)),
-                Output::KeepClaims(records) => self.nodes[n].disk.claims.extend(records),
+                Output::ClaimLogComplete(whole) => self.nodes[n].disk.claims_whole = whole,
+                Output::SubjectChanged(_) => {}
+                Output::HoldPartner(partner, until) => self.nodes[n].holds.push((partner, until)),
+                Output::PersistClaims(records) => self.nodes[n].disk.claims.extend(records),
                 Output::Claim(key, verdict) => {
                     let node = &mut self.nodes[n];
                     node.claims.insert(key, (self.now, verdict));
-                    if matches!(verdict, Verdict::Granted(_)) {
+                    if matches!(verdict, ClaimResult::Granted(_)) {
                         node.disk.journal.insert(key, None);
-                        node.peers.iter_mut().for_each(|p| p.taken(key));
+                        node.peers.iter_mut().for_each(|p| p.message_accepted(key));
                     }
                 }
-                Output::Aside(fact) => self.nodes[n].aside.push(fact),
+                Output::Discarded(fact) => self.nodes[n].aside.push(fact),
                 Output::Settled(order, result) => {
                     drop(self.nodes[n].settled.insert(order, (self.now, result)))
                 }
@@ -310,7 +310,7 @@
                         self.nodes[node].disk.keep(&records);
                         let now = self.clock(node);
                         if let Some(peers) = &mut self.nodes[node].peers {
-                            peers.kept(now, ticket);
+                            peers.persisted(now, ticket);
                             self.outputs(node);
                         }
                     }
@@ -338,10 +338,10 @@
     }
 
     /// States what makes things safer.
-    pub fn say(&mut self, n: usize, subject: Subject, word: Word) -> u64 {
+    pub fn say(&mut self, n: usize, subject: Subject, word: FactAction) -> u64 {
         let (now, order) = (self.clock(n), self.next_order);
         self.next_order += 1;
-        self.nodes[n].peers.as_mut().unwrap().close(now, order, 0, subject, word).unwrap();
+        self.nodes[n].peers.as_mut().unwrap().order_restrictive(now, order, 0, subject, word).unwrap();
         self.outputs(n);
         order
     }
@@ -349,7 +349,13 @@
     pub fn open(&mut self, n: usize, name: &str) -> u64 {
         let (now, order) = (self.clock(n), self.next_order);
         self.next_order += 1;
-        self.nodes[n].peers.as_mut().unwrap().open(now, order, 0, endpoint(name), Word::Open);
+        self.nodes[n].peers.as_mut().unwrap().order_permissive(
+            now,
+            order,
+            0,
+            endpoint(name),
+            FactAction::Open,
+        );
         self.outputs(n);
         order
     }
@@ -373,36 +379,37 @@
         disk.claims_whole = false;
     }
 
-    pub fn knows_ids(&self, n: usize) -> bool {
-        self.peers(n).knows_ids(self.clock(n))
+    pub fn knows_all_claims(&self, n: usize) -> bool {
+        self.peers(n).knows_all_claims(self.clock(n))
     }
 
     /// A partner has told one to wait.
     pub fn told_to_wait(&mut self, n: usize, partner: u32, left: u64) {
         let now = self.clock(n);
-        self.nodes[n].peers.as_mut().unwrap().told_to_wait(now, partner, left);
+        self.nodes[n].peers.as_mut().unwrap().share_wait(now, partner, left);
         self.outputs(n);
     }
 
     /// Claims an id at one, and waits for what comes of it.
-    pub fn claim(&mut self, n: usize, id: &str, effect: Effect) -> Verdict {
+    pub fn claim(&mut self, n: usize, id: &str, effect: Effect) -> ClaimResult {
         let now = self.clock(n);
-        self.nodes[n].claims.remove(&key(id));
-        self.nodes[n].peers.as_mut().unwrap().claim(now, key(id), effect);
+        self.nodes[n].claims.remove(&message_key(id));
+        self.nodes[n].peers.as_mut().unwrap().claim(now, message_key(id), effect);
         self.outputs(n);
-        self.until(5_000, |w| w.nodes[n].claims.contains_key(&key(id))).expect("the claim is settled");
-        self.nodes[n].claims[&key(id)].1
+        self.until(5_000, |w| w.nodes[n].claims.contains_key(&message_key(id)))
+            .expect("the claim is settled");
+        self.nodes[n].claims[&message_key(id)].1
     }
 
-    pub fn ended(&mut self, n: usize, id: &str, word: foldtrack_peers::claims::Word) {
+    pub fn ended(&mut self, n: usize, id: &str, word: foldtrack_peers::claims::ClaimOutcome) {
         let now = self.clock(n);
-        self.nodes[n].disk.journal.insert(key(id), Some(word));
-        self.nodes[n].peers.as_mut().unwrap().ended(now, key(id), word);
+        self.nodes[n].disk.journal.insert(message_key(id), Some(word));
+        self.nodes[n].peers.as_mut().unwrap().message_ended(now, message_key(id), word);
         self.outputs(n);
     }
 
     pub fn closed(&self, n: usize, name: &str) -> bool {
-        self.peers(n).verdict(&endpoint(name)).closed.is_some()
+        self.peers(n).subject_state(&endpoint(name)).closed.is_some()
     }
 
     /// Whether all that are up have the same, by their digests.
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -5,7 +5,7 @@
 use crate::descriptors::{half, Descriptors};
 use crate::list::ServerList;
 use crate::membership::Membership;
-use crate::peers::Setup;
+use crate::peers::PeerSetup;
 use crate::places::Places;
 use crate::platform::Agent;
 use crate::speech::Speeches;
@@ -51,7 +51,7 @@
     pub site: Site,
     pub ends: Store,
     /// The other forwarders, if it has any.
-    pub peers: Option<Setup>,
+    pub peers: Option<PeerSetup>,
 }
 
 #[derive(Deserialize)]
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -150,7 +150,7 @@
         Some(setup) => Some(setup.start(config.seed, clock.now() / 1000, &inputs)?),
         None => None,
     };
-    let ready = others.as_ref().map(|(_, hands)| hands.ready.clone());
+    let ready = others.as_ref().map(|(_, io)| io.ready.clone());
     let (ends_seen, fronts) = fronts(&config);
     let settings = Arc::new(config.settings);
     let max_attempts = settings.settings.max_attempts;
@@ -185,7 +185,7 @@
         membership: config.membership,
         discovery: config.discovery,
         site: site.map(Box::new),
-        peers: others.map(|(peers, hands)| peers::Side::new(peers, hands)),
+        peers: others.map(|(peers, io)| peers::Side::new(peers, io)),
         durable: durable::Durable::new(config.durable),
         scan: picture::Scan::default(),
         lists: 0,
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -5,12 +5,12 @@
 use crate::door::{Answer, Ask, Input};
 use crate::list::ServerList;
 use crate::message::Message;
-use crate::peers::Hands;
+use crate::peers::PeerIo;
 use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
 use foldtrack_ends::{End, Result as EndResult};
 use foldtrack_membership::{Change, EndpointState, Order, Trouble};
-use foldtrack_peers::claims::{key, Effect, Key, Verdict, Word as EndWord, REMEMBERED};
-use foldtrack_peers::fact::{Aspect, Fact, Subject, Word};
+use foldtrack_peers::claims::{message_key, ClaimOutcome, ClaimResult, Effect, Key, RETENTION_MS};
+use foldtrack_peers::fact::{Aspect, Fact, FactAction, Subject};
 use foldtrack_peers::ledger::Presence;
 use foldtrack_peers::orders::{Refusal, Settled};
 use foldtrack_peers::{Output, Peers};
@@ -36,7 +36,7 @@
 /// The other forwarders, as the loop has them.
 pub(super) struct Side {
     peers: Peers,
-    hands: Hands,
+    io: PeerIo,
     orders: HashMap<u64, Pending>,
     next_order: u64,
     /// Messages whose ids are being claimed, and their clients.
@@ -58,23 +58,23 @@
 }
 
 impl Side {
-    pub fn new(peers: Peers, hands: Hands) -> Box<Side> {
-        Box::new(Side { peers, hands, orders: HashMap::new(), next_order: 1, claiming: HashMap::new() })
+    pub fn new(peers: Peers, io: PeerIo) -> Box<Side> {
+        Box::new(Side { peers, io, orders: HashMap::new(), next_order: 1, claiming: HashMap::new() })
     }
 }
 
 /// An order as a statement.
-fn stated(order: &Order) -> (Subject, Word) {
+fn stated(order: &Order) -> (Subject, FactAction) {
     let endpoint = |name: &String| Subject::Endpoint(name.clone());
     let partner = |name: &String| Subject::Partner(name.clone());
     match order {
-        Order::Drain { endpoint: name } => (endpoint(name), Word::Close { for_ms: 0 }),
-        Order::Resume { endpoint: name } => (endpoint(name), Word::Open),
-        Order::PausePartner { partner: name } => (partner(name), Word::Close { for_ms: 0 }),
-        Order::ResumePartner { partner: name } => (partner(name), Word::Open),
-        Order::Remove { endpoint: name } => (endpoint(name), Word::Remove),
+        Order::Drain { endpoint: name } => (endpoint(name), FactAction::Close { for_ms: 0 }),
+        Order::Resume { endpoint: name } => (endpoint(name), FactAction::Open),
+        Order::PausePartner { partner: name } => (partner(name), FactAction::Close { for_ms: 0 }),
+        Order::ResumePartner { partner: name } => (partner(name), FactAction::Open),
+        Order::Remove { endpoint: name } => (endpoint(name), FactAction::Remove),
         Order::Add { partner, endpoint: name, address } => {
-            (endpoint(name), Word::Add { partner: partner.clone(), address: *address })
+            (endpoint(name), FactAction::Add { partner: partner.clone(), address: *address })
         }
     }
 }
@@ -96,13 +96,13 @@
         let imports = self.own_statements();
         let Some(side) = &mut self.peers else { return };
         // Of a block that outlived the process its own record tells what is left.
-        for (network, left) in side.hands.blocks.standing() {
-            side.peers.left(&Subject::Network(network.to_string()), left);
+        for (network, left) in side.io.blocks.standing() {
+            side.peers.set_remaining_closure(&Subject::Network(network.to_string()), left);
         }
         if side.peers.ledger().is_empty() {
             for (subject, word) in imports {
                 if let Err(refusal) = side.peers.import(now, at, subject, word) {
-                    side.hands.tell("not_stated", &refusal.to_string());
+                    side.io.report("not_stated", &refusal.to_string());
                 }
             }
         }
@@ -119,7 +119,7 @@
     pub(super) async fn join_peers(
         &mut self, receiver: &mut UnboundedReceiver<Input>, later: &mut Vec<Input>,
     ) {
-        while self.peers.as_ref().is_some_and(|s| !s.hands.ready.load(Ordering::Relaxed)) {
+        while self.peers.as_ref().is_some_and(|s| !s.io.ready.load(Ordering::Relaxed)) {
             let due = self.peers_due().unwrap_or_else(Instant::now);
             tokio::select! {
                 input = receiver.recv() => match input {
@@ -145,33 +145,36 @@
 
     /// Whether this forwarder runs on an older copy of its folder.
     pub(super) fn has_old_state(&self) -> bool {
-        self.peers.as_ref().is_some_and(|s| s.peers.is_old_state())
+        self.peers.as_ref().is_some_and(|s| s.peers.has_stale_state())
     }
 
     /// What orders have made of this forwarder's list, beside what its site file says.
-    fn own_statements(&self) -> Vec<(Subject, Word)> {
+    fn own_statements(&self) -> Vec<(Subject, FactAction)> {
         let Some(state) = self.membership.state() else { return Vec::new() };
         let mut statements = Vec::new();
         for (name, endpoint) in state.endpoints() {
             let subject = Subject::Endpoint(name.clone());
             let listed = state.site().endpoints.get(name);
             if listed.is_none_or(|l| l.address != endpoint.address || l.partner != endpoint.partner) {
-                let word = Word::Add { partner: endpoint.partner.clone(), address: endpoint.address };
+                let word = FactAction::Add { partner: endpoint.partner.clone(), address: endpoint.address };
                 statements.push((subject.clone(), word));
             }
             if endpoint.state == EndpointState::Draining {
-                statements.push((subject, Word::Close { for_ms: 0 }));
+                statements.push((subject, FactAction::Close { for_ms: 0 }));
             }
         }
         let removed = state.site().endpoints.keys().filter(|name| !state.endpoints().contains_key(*name));
-        statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), Word::Remove)));
+        statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), FactAction::Remove)));
         let paused = state.partners().iter().filter(|(_, p)| p.paused);
-        let blocks = self.peers.iter().flat_map(|side| side.hands.blocks.standing());
+        let blocks = self.peers.iter().flat_map(|side| side.io.blocks.standing());
         let blocks = blocks.filter(|(_, left)| *left > 0);
         statements.extend(
-            blocks.map(|(network, for_ms)| (Subject::Network(network.to_string()), Word::Close { for_ms })),
+            blocks.map(|(network, for_ms)| {
+                (Subject::Network(network.to_string()), FactAction::Close { for_ms })
+            }),
         );
-        statements.extend(paused.map(|(n, _)| (Subject::Partner(n.clone()), Word::Close { for_ms: 0 })));
+        statements
+            .extend(paused.map(|(n, _)| (Subject::Partner(n.clone()), FactAction::Close { for_ms: 0 })));
         statements
     }
 
@@ -179,14 +182,14 @@
     pub(super) fn datagram(&mut self, bytes: &[u8]) {
         let now = self.ms();
         let Some(side) = &mut self.peers else { return };
-        side.hands.taken_out();
+        side.io.datagram_dequeued();
         side.peers.datagram(now, bytes);
     }
 
     pub(super) fn peers_kept(&mut self, ticket: u64) {
         let now = self.ms();
         if let Some(side) = &mut self.peers {
-            side.peers.kept(now, ticket);
+            side.peers.persisted(now, ticket);
         }
     }
 
@@ -213,23 +216,25 @@
             side.peers.tick(now);
         }
         let ready = side.peers.is_ready(now);
-        side.hands.ready.store(ready, Ordering::Relaxed);
+        side.io.ready.store(ready, Ordering::Relaxed);
         for output in side.peers.outputs() {
             let Some(side) = &mut self.peers else { return };
             match output {
-                Output::Send(to, bytes) => side.hands.send(to, &bytes),
-                Output::Keep(ticket, records) => side.hands.keep(ticket, records),
-                Output::Changed(subject) => self.project(&subject),
-                Output::KeepClaims(records) => {
-                    let (peers, hands) = (&side.peers, &mut side.hands);
-                    hands.keep_claims(&records, || peers.standing_claims());
+                Output::Send(to, bytes) => side.io.send(to, &bytes),
+                Output::Persist(ticket, records) => side.io.persist(ticket, records),
+                Output::SubjectChanged(subject) => self.project(&subject),
+                Output::PersistClaims(records) => {
+                    let (peers, io) = (&side.peers, &mut side.io);
+                    io.persist_claims(&records, || peers.claim_snapshot());
+                }
+                Output::ClaimLogComplete(whole) => {
+                    side.io.set_claim_log_complete(whole, &side.peers.claim_snapshot())
                 }
-                Output::ClaimsWhole(whole) => side.hands.claims_whole(whole, &side.peers.standing_claims()),
-                Output::Hold(partner, until) => self.hold(partner, until * 1000),
+                Output::HoldPartner(partner, until) => self.hold(partner, until * 1000),
                 Output::Claim(key, verdict) => self.claimed(key, verdict),
-                Output::Aside(fact) => self.lay_aside(&fact),
+                Output::Discarded(fact) => self.lay_aside(&fact),
                 Output::Settled(number, result) => self.settled(number, result),
-                Output::Event(event) => side.hands.tell(event.kind, &event.text),
+                Output::Event(event) => side.io.report(event.kind, &event.text),
             }
         }
     }
@@ -251,17 +256,17 @@
 
     /// States a word for an operator who waits; `order` is none for one about a network, which is no member's.
     fn state_among_peers(
-        &mut self, subject: Subject, word: Word, order: Option<(Order, Change)>,
+        &mut self, subject: Subject, word: FactAction, order: Option<(Order, Change)>,
         reply: oneshot::Sender<Result<Done, Error>>,
     ) {
         let (now, at) = (self.ms(), self.clock.unix(self.clock.now()));
         let Some(side) = &mut self.peers else { return };
         let number = side.next_order;
         side.next_order += 1;
-        let stated = if word.is_safer() {
-            side.peers.close(now, number, at, subject, word).map(drop)
+        let stated = if word.is_restrictive() {
+            side.peers.order_restrictive(now, number, at, subject, word).map(drop)
         } else {
-            side.peers.open(now, number, at, subject, word);
+            side.peers.order_permissive(now, number, at, subject, word);
             Ok(())
         };
         match stated {
@@ -287,11 +292,11 @@
         let Some(side) = &self.peers else { return drop(reply.send(Ok(Done::default()))) };
         let subject = Subject::Network(network);
         let word = match for_ms {
-            Some(for_ms) => Word::Close { for_ms },
-            None if side.peers.verdict(&subject).closed.is_none() => {
+            Some(for_ms) => FactAction::Close { for_ms },
+            None if side.peers.subject_state(&subject).closed.is_none() => {
                 return drop(reply.send(Ok(Done::default())));
             }
-            None => Word::Open,
+            None => FactAction::Open,
         };
         self.state_among_peers(subject, word, None, reply);
     }
@@ -300,20 +305,20 @@
     fn project_network(&mut self, subject: &Subject) {
         let Some(side) = &self.peers else { return };
         let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
-        let verdict = side.peers.verdict(subject);
+        let verdict = side.peers.subject_state(subject);
         if verdict.closed.is_none() {
-            if verdict.opened && side.hands.blocks.lift(&network) {
-                side.hands.blocks.keep_later();
+            if verdict.opened && side.io.blocks.lift(&network) {
+                side.io.blocks.keep_later();
             }
             return;
         }
-        let left = side.peers.closed_for(subject);
-        let standing = side.hands.blocks.standing();
+        let left = side.peers.remaining_closure_ms(subject);
+        let standing = side.io.blocks.standing();
         if standing.iter().any(|(known, for_ms)| *known == network && for_ms.abs_diff(left) < SAME_SPAN_MS) {
             return;
         }
-        match side.hands.blocks.hold(network, left) {
-            Ok(()) => side.hands.blocks.keep_later(),
+        match side.io.blocks.hold(network, left) {
+            Ok(()) => side.io.blocks.keep_later(),
             Err(problem) => self.tell("no_effect", &format!("{network} is not blocked here: {problem}")),
         }
     }
@@ -351,7 +356,7 @@
     /// Brings about here what holds for a subject by all facts.
     fn project(&mut self, subject: &Subject) {
         let Some(side) = &self.peers else { return };
-        let verdict = side.peers.verdict(subject);
+        let verdict = side.peers.subject_state(subject);
         match subject {
             Subject::Endpoint(name) => {
                 self.project_presence(name, verdict.presence.as_ref());
@@ -383,8 +388,8 @@
         let there = there.map(|e| (e.partner.clone(), e.address));
         let endpoint = name.to_string();
         match (presence, there) {
-            (Some(Presence::Gone), Some(_)) => self.carry_out_order(&Order::Remove { endpoint }),
-            (Some(Presence::At { partner, address }), there) => {
+            (Some(Presence::Removed), Some(_)) => self.carry_out_order(&Order::Remove { endpoint }),
+            (Some(Presence::Added { partner, address }), there) => {
                 if there.as_ref() == Some(&(partner.clone(), *address)) {
                     return;
                 }
@@ -406,7 +411,7 @@
 
     fn tell(&self, kind: &str, text: &str) {
         if let Some(side) = &self.peers {
-            side.hands.tell(kind, text);
+            side.io.report(kind, text);
         }
     }
 
@@ -432,7 +437,7 @@
     pub(super) fn told_to_wait(&mut self, partner: u32, wait: hatchline::Micros) {
         let now = self.ms();
         if let Some(side) = self.peers.as_mut().filter(|_| wait > 0) {
-            side.peers.told_to_wait(now, partner, wait / 1000);
+            side.peers.share_wait(now, partner, wait / 1000);
         }
     }
 
@@ -461,7 +466,7 @@
             hatchline::Effect::Unsafe => Effect::Once(class.deadline / 1000),
         };
         let Some(side) = &mut self.peers else { return Some((message, reply)) };
-        let id = key(&message.id);
+        let id = message_key(&message.id);
         if side.claiming.contains_key(&id) {
             // Handed in on two connections at once: the other one is answered by what comes of it.
             let _ = reply.send(Answer::Refused { retry_in_ms: CLAIMING_WAIT_MS });
@@ -473,11 +478,11 @@
     }
 
     /// What has come of a claim.
-    fn claimed(&mut self, id: Key, verdict: Verdict) {
+    fn claimed(&mut self, id: Key, verdict: ClaimResult) {
         let Some(claiming) = self.peers.as_mut().and_then(|s| s.claiming.remove(&id)) else { return };
         let Claiming { message, known, reply } = claiming;
         let answer = match verdict {
-            Verdict::Granted(left) => {
+            ClaimResult::Granted(left) => {
                 let expires = self.clock.now() + 1000 * left;
                 let message = if left > 0 && expires < message.expires {
                     Arc::new(Message { expires, ..Message::clone(&message) })
@@ -486,9 +491,9 @@
                 };
                 return self.take_on(message, known, reply);
             }
-            Verdict::Held | Verdict::Delivered => Answer::Known { over: false },
-            Verdict::Over => Answer::Known { over: true },
-            Verdict::Later(wait) => match &mut self.site {
+            ClaimResult::Held | ClaimResult::Delivered => Answer::Known { over: false },
+            ClaimResult::Final => Answer::Known { over: true },
+            ClaimResult::RetryAfter(wait) => match &mut self.site {
                 Some(site) => site.full(wait),
                 None => Answer::Refused { retry_in_ms: wait },
             },
@@ -499,7 +504,7 @@
 
     /// A message was not taken on after all: its client may hand it in anywhere.
     pub(super) fn let_go_of_id(&mut self, id: &str) {
-        self.tell_end(id, EndWord::Back(0));
+        self.tell_end(id, ClaimOutcome::HandedBack(0));
     }
 
     /// A message has ended.
@@ -511,22 +516,24 @@
         self.tell_end(id, word);
     }
 
-    fn end_word(&self, result: EndResult) -> EndWord {
+    fn end_word(&self, result: EndResult) -> ClaimOutcome {
         match result {
-            EndResult::Delivered => EndWord::Delivered,
-            EndResult::GivenUp | EndResult::InDoubt => EndWord::Over,
-            EndResult::HandedBack { .. } => EndWord::Back(0),
+            EndResult::Delivered => ClaimOutcome::Delivered,
+            EndResult::GivenUp | EndResult::InDoubt => ClaimOutcome::Final,
+            EndResult::HandedBack { .. } => ClaimOutcome::HandedBack(0),
             EndResult::HandedBackUntil { until, .. } => {
                 // 0 stands for without bound.
-                EndWord::Back((until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1))
+                ClaimOutcome::HandedBack(
+                    (until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1),
+                )
             }
         }
     }
 
-    fn tell_end(&mut self, id: &str, word: EndWord) {
+    fn tell_end(&mut self, id: &str, word: ClaimOutcome) {
         let now = self.ms();
         if let Some(side) = &mut self.peers {
-            side.peers.ended(now, key(id), word);
+            side.peers.message_ended(now, message_key(id), word);
         }
     }
 
@@ -544,28 +551,28 @@
             let class = names.iter().position(|name| name == class);
             class.is_none_or(|n| classes[n].effect != hatchline::Effect::Repeatable)
         };
-        let held: Vec<Key> = held.map(|h| key(&h.message.id)).collect();
-        let mut ended: Vec<(Key, EndWord)> = Vec::new();
+        let held: Vec<Key> = held.map(|h| message_key(&h.message.id)).collect();
+        let mut ended: Vec<(Key, ClaimOutcome)> = Vec::new();
         let mut cursor = 0;
         while let Some(fetched) = self.site.as_mut().and_then(|s| s.ends.fetch(cursor, ENDS_AT_ONCE).ok()) {
             if fetched.ends.is_empty() || fetched.cursor <= cursor {
                 break;
             }
             cursor = fetched.cursor;
-            let remembered = |end: &End| end.ended + 1000 * REMEMBERED > unix;
+            let remembered = |end: &End| end.ended + 1000 * RETENTION_MS > unix;
             let told = fetched.ends.iter().filter(|(_, end)| remembered(end) && is_claimed(&end.class));
-            ended.extend(told.map(|(_, end)| (key(&end.id), self.end_word(end.result))));
+            ended.extend(told.map(|(_, end)| (message_key(&end.id), self.end_word(end.result))));
         }
         let (now, whole) = (self.ms(), self.durable.syncs);
         if let Some(side) = &mut self.peers {
-            side.peers.recheck(now, &held, &ended, whole);
+            side.peers.reconcile_claims(now, &held, &ended, whole);
         }
     }
 
     /// A message is this forwarder's: whoever asks for it hears so.
     pub(super) fn id_taken(&mut self, id: &str) {
         if let Some(side) = &mut self.peers {
-            side.peers.taken(key(id));
+            side.peers.message_accepted(message_key(id));
         }
     }
 
@@ -581,18 +588,18 @@
     fn show_peers(&self) -> Option<Shown> {
         let side = self.peers.as_ref()?;
         let (now, p) = (self.ms(), &side.peers);
-        let (there, members) = p.quorum();
+        let (there, members) = p.reachable_members();
         let ((sent, sent_bytes), (received, received_bytes)) = p.traffic();
         let mut dropped: std::collections::BTreeMap<String, u64> =
-            p.refused().iter().map(|(why, n)| (why.name().to_string(), *n)).collect();
-        dropped.extend((side.hands.crowded() > 0).then(|| ("crowded".into(), side.hands.crowded())));
+            p.dropped_datagrams().iter().map(|(why, n)| (why.name().to_string(), *n)).collect();
+        dropped.extend((side.io.queue_drops() > 0).then(|| ("crowded".into(), side.io.queue_drops())));
         let mode = match () {
             () if p.is_displaced() => "displaced",
             () if p.is_caught_up() => "caught_up",
             () if p.is_ready(now) => "alone",
             () => "catching_up",
         };
-        let others = p.shown(now).into_iter().map(|o| Peer {
+        let others = p.member_statuses(now).into_iter().map(|o| Peer {
             name: o.name,
             standing: o.standing.name().into(),
             for_ms: o.for_ms,
@@ -613,9 +620,9 @@
             received,
             received_bytes,
             dropped,
-            ids: p.ids() as u32,
-            ids_known: p.knows_ids(now),
-            unkept: side.hands.unkept(),
+            ids: p.claim_count() as u32,
+            ids_known: p.knows_all_claims(now),
+            unkept: side.io.persist_error(),
         })
     }
 
@@ -625,15 +632,15 @@
         let digest = ledger.digest().iter().fold(0u64, |sum, n| sum.rotate_left(5) ^ n);
         let mut statements = Vec::new();
         for subject in ledger.subjects() {
-            let verdict = ledger.verdict(&subject);
-            for fact in ledger.about(&subject) {
-                let holds = match (fact.word.aspect(), &fact.word) {
-                    (Aspect::Flow, word) => word.is_safer() == verdict.closed.is_some(),
-                    (Aspect::Presence, Word::Add { partner, address }) => {
-                        let at = Presence::At { partner: partner.clone(), address: *address };
+            let verdict = ledger.subject_state(&subject);
+            for fact in ledger.live_facts(&subject) {
+                let holds = match (fact.action.aspect(), &fact.action) {
+                    (Aspect::Flow, word) => word.is_restrictive() == verdict.closed.is_some(),
+                    (Aspect::Presence, FactAction::Add { partner, address }) => {
+                        let at = Presence::Added { partner: partner.clone(), address: *address };
                         verdict.presence == Some(at)
                     }
-                    (Aspect::Presence, _) => verdict.presence == Some(Presence::Gone),
+                    (Aspect::Presence, _) => verdict.presence == Some(Presence::Removed),
                 };
                 statements.push(statement(&fact, holds));
             }
@@ -649,19 +656,19 @@
         Subject::Partner(_) => "partner",
         Subject::Network(_) => "network",
     };
-    let detail = match &fact.word {
-        Word::Add { partner, address } => format!("{partner} {address}"),
-        Word::Close { for_ms: for_ms @ 1.. } => format!("for {} s", for_ms.div_ceil(1000)),
+    let detail = match &fact.action {
+        FactAction::Add { partner, address } => format!("{partner} {address}"),
+        FactAction::Close { for_ms: for_ms @ 1.. } => format!("for {} s", for_ms.div_ceil(1000)),
         _ => String::new(),
     };
     Statement {
         kind: kind.into(),
         subject: fact.subject.name().into(),
-        word: fact.word.name().into(),
+        word: fact.action.name().into(),
         holds,
         id: fact.dot.to_string(),
         at: fact.at,
-        over: fact.over.iter().map(ToString::to_string).collect(),
+        over: fact.supersedes.iter().map(ToString::to_string).collect(),
         detail,
     }
 }
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -24,7 +24,7 @@
 const READ_PAUSE: Duration = Duration::from_millis(10);
 
 /// What is there before the loop runs.
-pub(crate) struct Setup {
+pub(crate) struct PeerSetup {
     said: Said,
     sealer: Sealer,
     store: Store,
@@ -33,12 +33,12 @@
     blocks: Arc<Blocks>,
 }
 
-impl Setup {
+impl PeerSetup {
     /// Reads the secret and opens the store.
     ///
     /// # Errors
     /// There is no secret that is one.
-    pub fn open(said: &Said, state: &Path, blocks: Arc<Blocks>) -> Result<Setup, String> {
+    pub fn open(said: &Said, state: &Path, blocks: Arc<Blocks>) -> Result<PeerSetup, String> {
         let told = |e: &dyn std::fmt::Display| format!("{}: {e}", said.secret.display());
         let secret = std::fs::read(&said.secret).map_err(|e| told(&e))?;
         let sealer = Sealer::new(secret.trim_ascii()).map_err(|e| told(&e))?;
@@ -52,14 +52,14 @@
         for line in told {
             eprintln!("peers: {line}");
         }
-        Ok(Setup { said: said.clone(), sealer, store, restored, log, blocks })
+        Ok(PeerSetup { said: said.clone(), sealer, store, restored, log, blocks })
     }
 
     /// Binds the socket and starts what reads it and what keeps records; gives the module, and the hands that it has.
     ///
     /// # Errors
     /// The address can't be had, or there is no thread left.
-    pub fn start(self, seed: u64, now: u64, inputs: &Inputs) -> std::io::Result<(Peers, Hands)> {
+    pub fn start(self, seed: u64, now: u64, inputs: &Inputs) -> std::io::Result<(Peers, PeerIo)> {
         let said = self.said;
         let named =
             |e: std::io::Error| std::io::Error::new(e.kind(), format!("peers.listen {}: {e}", said.listen));
@@ -90,7 +90,7 @@
         let ready = Arc::new(AtomicBool::new(false));
         Ok((
             peers,
-            Hands {
+            PeerIo {
                 socket,
                 addresses,
                 records,
@@ -106,7 +106,7 @@
 }
 
 /// What the loop needs to carry out what the module says.
-pub(crate) struct Hands {
+pub(crate) struct PeerIo {
     socket: Arc<UdpSocket>,
     addresses: Vec<SocketAddr>,
     records: mpsc::Sender<(u64, Vec<Record>)>,
@@ -119,49 +119,49 @@
     pub blocks: Arc<Blocks>,
 }
 
-impl Hands {
+impl PeerIo {
     /// Sends a datagram; one that the system has no room for is lost like any other.
     pub fn send(&self, to: usize, bytes: &[u8]) {
         let _ = self.socket.try_send_to(bytes, self.addresses[to]);
     }
 
     /// Has records kept; [`Input::PeersKept`] tells when they are.
-    pub fn keep(&self, ticket: u64, records: Vec<Record>) {
+    pub fn persist(&self, ticket: u64, records: Vec<Record>) {
         // The thread ends only with the process.
         let _ = self.records.send((ticket, records));
     }
 
     /// Writes what has been granted to others, before they hear of it.
-    pub fn keep_claims(&mut self, records: &[Kept], standing: impl FnOnce() -> Vec<Kept>) {
+    pub fn persist_claims(&mut self, records: &[Kept], standing: impl FnOnce() -> Vec<Kept>) {
         if let Err(error) = self.claims.append(records, standing) {
             eprintln!("peers: who holds which message is not kept, and not known after a restart: {error}");
         }
     }
 
     /// The log of what was granted has all of it from now on, or has not.
-    pub fn claims_whole(&mut self, whole: bool, standing: &[Kept]) {
+    pub fn set_claim_log_complete(&mut self, whole: bool, standing: &[Kept]) {
         if let Err(error) = self.claims.is_whole(whole, standing) {
             eprintln!("peers: who holds which message is not kept, and not known after a restart: {error}");
         }
     }
 
     /// A datagram has been taken out of the queue.
-    pub fn taken_out(&self) {
+    pub fn datagram_dequeued(&self) {
         self.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// Datagrams that were dropped since the loop was too far behind.
-    pub fn crowded(&self) -> u64 {
+    pub fn queue_drops(&self) -> u64 {
         self.crowded.load(Ordering::Relaxed) as u64
     }
 
     /// Why records are not kept, if they are not.
-    pub fn unkept(&self) -> String {
+    pub fn persist_error(&self) -> String {
         crate::lock::locked(&self.unkept).clone()
     }
 
     /// Tells operators.
-    pub fn tell(&self, kind: &str, text: &str) {
+    pub fn report(&self, kind: &str, text: &str) {
         eprintln!("peers: {kind}: {text}");
         self.blocks.tell(kind, text);
     }
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -7,7 +7,7 @@
 use crate::descriptors::{allowed, Descriptors, OTHER_SOCKETS};
 use crate::door;
 use crate::membership::SiteMembership;
-use crate::peers::Setup;
+use crate::peers::PeerSetup;
 use crate::places::Places;
 use crate::{logs, runtime, serve_until_told, speech};
 use foldtrack_admission::descriptors::{self, Kept};
@@ -64,7 +64,7 @@
     let places = Places::new(admission(&site, places), Clock::new(), ledger.clone());
     let blocks = Blocks::open(&site.state, places.clone(), site.listen.port())?;
     let peers = match &site.peers {
-        Some(said) => Some(Setup::open(said, &site.state, blocks.clone())?),
+        Some(said) => Some(PeerSetup::open(said, &site.state, blocks.clone())?),
         None => None,
     };
     let socket = control::bind(&site.control_socket())?;
