--- a/crates/peers/src/claims.rs
+++ b/crates/peers/src/claims.rs
@@ -1,82 +1,93 @@
-//! Which forwarder holds or ended which message, so that one that is handed in again elsewhere under its id is not sent a
-//! second time while the first may be alive.
+//! Ownership of messages: which forwarder owns, or has finished, which message. A message that is submitted
+//! again under its id at another forwarder is not sent a second time while the first copy may still be
+//! active.
 //!
-//! A message that must not be repeated at will is claimed before it is taken on: a majority of the members must have no other
-//! holder for its id. Two majorities share a member, and each member lets the first claim stand: of two forwarders one is
-//! granted at most. What a member has granted outlives its process (the owner keeps the records before answers leave);
-//! a member that has lost what it granted says that it is not sure, and does not count before it has it again ([`regain`]).
+//! A message whose repetition is not harmless is claimed before it is accepted: a quorum (a majority of all members)
+//! must know no other owner for its id. Any two quorums have a member in common, and each member grants
+//! the first claim it sees, so at most one of two forwarders is granted the claim. Grants outlive the
+//! process of the member that gave them (the caller persists the records before replies leave). A member that
+//! has lost its grants abstains, and its reply does not count until it has recovered them
+//! ([`recovery`](crate::recovery)).
 //!
-//! Only as many are asked at first as a majority needs, drawn by the id: everyone who would be asked for it next meets one of
-//! them. All are asked where one of those does not answer soon.
+//! At first only as many members are asked as a quorum needs, chosen by the id, so that every forwarder
+//! that asks for the same id next meets one of them. If one of those does not answer soon, all members are
+//! asked.
 //!
-//! An id is claimed for a holder: a name and the *memory* that it has of its messages. Whoever comes back on an empty folder,
-//! or on an old copy of it, has another memory, and is another holder.
+//! A claim is made for an owner: a name and the store id of its messages. A forwarder that comes back with
+//! an empty state folder, or with an old copy of it, has another store id and is another owner.
 
-use crate::regain::{Item, Piece, Place, Regain};
+use crate::recovery::{Cursor, RecoveredClaim, Recovery, RecoveryPage};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
 
-/// An id, as it is told: the first 16 bytes of its SHA-256.
+/// A message id as it is sent between forwarders: the first 16 bytes of its SHA-256.
 pub type Key = u128;
 
-/// The key of an id.
+/// The key of a message id.
 pub fn message_key(id: &str) -> Key {
     let hash = Sha256::digest(id.as_bytes());
     u128::from_le_bytes(std::array::from_fn(|n| hash[n]))
 }
 
-/// How long a claim is asked for, from its beginning and again from when it is taken over, in milliseconds. Clients wait
-/// 400 ms for an answer.
-pub const WITHIN: u64 = 250;
-/// Who has not answered is asked again after this span.
-const AGAIN: u64 = 40;
-/// A claim whose client was told to come again goes on for so long: what was answered meanwhile counts when he does.
-const KEPT_ON: u64 = 4_000;
-/// And who has not answered it is asked again after this span.
-const AGAIN_KEPT_ON: u64 = 300;
-/// Ids are remembered for so long, in milliseconds; and so many at most, the oldest going first.
+/// How long a claim collects replies, in milliseconds, from its start and again from when it takes over from
+/// another owner. Clients wait 400 ms for an answer.
+pub const REPLY_TIMEOUT_MS: u64 = 250;
+/// A claim request without an answer is repeated after this many milliseconds.
+const RESEND_INTERVAL_MS: u64 = 40;
+/// How long a claim continues after its client was told to retry, in milliseconds. Votes received in that
+/// time count when the client retries.
+const DETACHED_LIFETIME_MS: u64 = 4_000;
+/// Interval at which such a claim is repeated, in milliseconds.
+const DETACHED_RESEND_INTERVAL_MS: u64 = 300;
+/// How long ids are remembered, in milliseconds.
 pub const RETENTION_MS: u64 = 600_000;
-/// See [`RETENTION_MS`].
-pub const MOST: usize = 100_000;
-/// A partner's memory of a key counts as shorter by this.
-const MARGIN: u64 = 1_000;
-/// A claim lives for so long at most, whatever is answered to it: a member that has lost what it granted knows by then which of
-/// them have come to something.
-pub const LIFE: u64 = 10_000;
-/// Ends wait for so long for others, to be told together.
-const GATHER: u64 = 20;
-/// After a claim that the first few did not answer in time all are asked at once for so long.
-const TROUBLED: u64 = 1_000;
-/// What a client is told to wait where it is not known yet who holds its message, or nobody can say.
-const SOON: u64 = 300;
-const LATER: u64 = 1_000;
-/// An end is told again to whoever has not acknowledged it, so often and each time twice as late.
-const TELLINGS: u32 = 8;
-/// Said of a claim that came to nothing.
-const FREE: ClaimOutcome = ClaimOutcome::HandedBack(0);
-/// Items in one message on the wire.
-pub const ITEMS: usize = 24;
-
-/// Who holds a message.
+/// Maximum number of ids remembered; beyond it the oldest are forgotten first.
+pub const MAX_IDS: usize = 100_000;
+/// Subtracted from the time for which a partner remembers an idempotency key, in milliseconds.
+const KEY_MEMORY_MARGIN_MS: u64 = 1_000;
+/// Maximum lifetime of a claim in milliseconds, whatever replies it gets. After that time a member that has
+/// lost its grants can learn which of them succeeded.
+pub const CLAIM_LIFETIME_MS: u64 = 10_000;
+/// Outcomes wait this many milliseconds for others, to be sent in one batch.
+const OUTCOME_BATCH_DELAY_MS: u64 = 20;
+/// After a claim that the first members asked did not answer in time, new claims ask all members at once
+/// for this many milliseconds.
+const FULL_FANOUT_MS: u64 = 1_000;
+/// Retry delay for a client while the owner of its message is not known yet, in milliseconds.
+const RETRY_SOON_MS: u64 = 300;
+/// Retry delay for a client if no member can tell whether its message may be accepted, in milliseconds.
+const RETRY_LATER_MS: u64 = 1_000;
+/// Maximum number of times that an outcome is sent to a member that has not acknowledged it; the interval
+/// doubles each time.
+const MAX_OUTCOME_SENDS: u32 = 8;
+/// Outcome of a claim that was abandoned: the id is free again.
+const RELEASED: ClaimOutcome = ClaimOutcome::HandedBack(0);
+/// Maximum number of items in one message on the wire.
+pub const MAX_ITEMS_PER_MESSAGE: usize = 24;
+
+/// The owner of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holder {
-    /// Its name.
+pub struct Owner {
+    /// Name of the forwarder.
     pub name: String,
-    /// Which memory of its messages it has.
-    pub memory: u64,
+    /// Identifies the message store of the forwarder; a new one is drawn for an empty or outdated state
+    /// folder.
+    #[serde(rename = "memory")]
+    pub store_id: u64,
 }
 
-/// What a holder tells of a message of its own.
+/// Outcome of a message, as its owner reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// It was delivered.
+    /// The message was delivered.
     Delivered,
-    /// It ended otherwise, and must not be handed in again.
+    /// The message ended otherwise and must not be submitted again.
     #[serde(rename = "Over")]
     Final,
-    /// It was handed back, and may be handed in anywhere again for so long; 0 without bound.
+    /// The message was handed back. It may be submitted again anywhere for this many milliseconds; 0 means
+    /// without limit.
     #[serde(rename = "Back")]
     HandedBack(u64),
 }
@@ -84,769 +95,811 @@
 /// A claim on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Of which id.
+    /// Key of the message.
     pub key: Key,
-    /// Grows with each claim of its holder: what is late does not count against what came after it.
-    pub turn: u64,
-    /// From this holder, who can't be reached, and whose message may be repeated.
-    pub over: Option<Holder>,
+    /// Increases with each claim of the owner, so that a late datagram does not affect a newer claim.
+    #[serde(rename = "turn")]
+    pub seq: u64,
+    /// The unreachable owner from which the claim takes over a message that may be repeated.
+    #[serde(rename = "over")]
+    pub takeover_from: Option<Owner>,
 }
 
-/// What a member answers to a claim.
+/// A member's reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    /// No other holder is known here, and none will be let in before this one. It was handed back, and may run only for so
-    /// long; 0 without bound.
-    Yours(u64),
-    /// Another holds it, since so many milliseconds.
-    Held(Holder, u64),
-    /// It has ended: true if it must not be handed in again.
+pub enum ClaimReply {
+    /// Granted: this member knows no other owner and will grant the id to no other. If the message was
+    /// handed back and may run only for a limited time, the remaining milliseconds; 0 means without limit.
+    #[serde(rename = "Yours")]
+    Granted(u64),
+    /// Another owner holds the message, for this many milliseconds so far.
+    Held(Owner, u64),
+    /// The message has ended; true if it must not be submitted again.
     Ended(bool),
-    /// This member has lost what it granted before.
-    Unsure,
+    /// This member has lost its earlier grants and abstains.
+    #[serde(rename = "Unsure")]
+    Abstain,
 }
 
-/// What a holder answers when it is asked for a message.
+/// An owner's answer when it is asked about a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Status {
-    /// It holds it.
+pub enum OwnerStatus {
+    /// It has accepted the message.
     Held,
-    /// It claims it, and has not taken it on yet: nobody knows what comes of that.
+    /// It is still claiming the message; the result is not known.
     Claiming,
-    /// It has ended so.
+    /// The message has ended with this outcome.
     Ended(ClaimOutcome),
-    /// It has refused it, or never had it.
+    /// It has refused the message or never had it.
     Unknown,
 }
 
-/// What a repeat of a message does, and so what its claim needs.
+/// The effect of repeating a message, which decides what its claim requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It must never take effect twice. Its deadline, in milliseconds: no longer is it out anywhere.
+    /// The message must never take effect twice. Holds its deadline in milliseconds, after which no attempt
+    /// is in flight anywhere.
     Once(u64),
-    /// Partners drop repeats for so long, in milliseconds.
+    /// Partners drop repetitions within this many milliseconds.
     Keyed(u64),
 }
 
-/// What has come of a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// It may be taken on here, and go out for so long; 0 without bound.
+    /// The message may be accepted here and attempted for this many milliseconds; 0 means without limit.
     Granted(u64),
-    /// Another has taken it on, and has it.
+    /// Another forwarder has accepted the message and owns it.
     Held,
-    /// It was delivered.
+    /// The message was delivered.
     Delivered,
-    /// It has ended otherwise, or nobody will ever know.
+    /// The message ended otherwise, or its outcome can't be known.
     Final,
-    /// Come again after so many milliseconds.
+    /// The client should retry after this many milliseconds.
     RetryAfter(u64),
 }
 
-/// What a member has granted, as it is kept.
+/// What a member has granted, as written to the claim log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kept {
-    /// A claim.
-    Claimed(Key, Holder, u64),
-    /// An end that its holder has told.
+pub enum ClaimRecord {
+    /// A granted claim: key, owner and sequence number.
+    Claimed(Key, Owner, u64),
+    /// An outcome reported by the owner.
     Ended(Key, ClaimOutcome),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Entry {
-    holder: Holder,
-    turn: u64,
+    owner: Owner,
+    seq: u64,
     since: u64,
     end: Option<(ClaimOutcome, u64)>,
-    /// Of this forwarder's own: it has been taken on.
-    firm: bool,
-    /// Of this forwarder's own: who was asked for it, and is to hear of its end. None where that is not known any more.
-    asked: Option<Box<[usize]>>,
+    /// For this forwarder's own messages: the message has been accepted.
+    accepted: bool,
+    /// For this forwarder's own messages: the members that were asked for a reply and must be told the
+    /// outcome. `None` if that is no longer known.
+    asked_members: Option<Box<[usize]>>,
 }
 
 impl Entry {
-    /// What is answered where it must not, or need not, be handed in any more.
-    fn over(&self) -> Option<Answer> {
+    /// The reply to any claim for a message that must not, or need not, be submitted again.
+    fn final_reply(&self) -> Option<ClaimReply> {
         match self.end {
-            Some((ClaimOutcome::Delivered, _)) => Some(Answer::Ended(false)),
-            Some((ClaimOutcome::Final, _)) => Some(Answer::Ended(true)),
+            Some((ClaimOutcome::Delivered, _)) => Some(ClaimReply::Ended(false)),
+            Some((ClaimOutcome::Final, _)) => Some(ClaimReply::Ended(true)),
             Some((ClaimOutcome::HandedBack(_), _)) | None => None,
         }
     }
 }
 
 #[derive(Debug)]
-struct Asked {
+struct PendingClaim {
     effect: Effect,
-    turn: u64,
-    /// When it was begun.
-    began: u64,
-    /// Who has been asked so far.
-    of: BTreeSet<usize>,
-    yours: BTreeSet<usize>,
+    seq: u64,
+    /// When the claim started.
+    started: u64,
+    /// Members asked so far.
+    asked: BTreeSet<usize>,
+    granted_by: BTreeSet<usize>,
     answered: BTreeSet<usize>,
-    /// The least span that was answered for it to run.
-    left: u64,
-    held: Option<(Holder, u64)>,
-    over: Option<Holder>,
-    again: u64,
-    by: u64,
-    /// Its client was told to come again.
-    kept_on: bool,
+    /// The shortest time limit among the granting replies, in milliseconds; 0 means without limit.
+    limit_ms: u64,
+    held: Option<(Owner, u64)>,
+    takeover_from: Option<Owner>,
+    resend_at: u64,
+    deadline: u64,
+    /// The client was told to retry, and the claim continues without it.
+    detached: bool,
 }
 
 #[derive(Debug)]
-struct Telling {
-    word: ClaimOutcome,
-    turn: u64,
-    missing: BTreeSet<usize>,
-    next: u64,
-    tries: u32,
+struct OutcomeNotice {
+    outcome: ClaimOutcome,
+    seq: u64,
+    unacknowledged: BTreeSet<usize>,
+    send_at: u64,
+    attempts: u32,
 }
 
-/// Ids as one member knows them.
+/// The claim table of one member.
 #[derive(Debug)]
 pub struct Claims {
-    own: Holder,
-    /// The turn of the last claim.
-    turn: u64,
+    own: Owner,
+    /// Sequence number of the last claim.
+    last_seq: u64,
     others: usize,
     known: HashMap<Key, Entry>,
-    ages: BTreeSet<(u64, Key)>,
-    /// From when on what was granted is known in full, or is forgotten everywhere.
-    sure_from: u64,
-    /// What was granted is being asked for, since it is not known.
-    regain: Option<Regain>,
-    /// What this forwarder itself held is all known, by a journal that outlives machines.
-    whole: bool,
-    /// Whether what was granted has come to be known, or not to be; for the log.
-    turned_sure: Option<bool>,
-    /// All members are asked at once until then.
-    troubled: u64,
-    /// Nothing is to be asked, or told, before these.
-    asking_at: u64,
-    telling_at: u64,
-    asked: BTreeMap<Key, Asked>,
-    tellings: BTreeMap<Key, Telling>,
-    done: Vec<(Key, ClaimResult)>,
-    records: Vec<Kept>,
+    by_age: BTreeSet<(u64, Key)>,
+    /// From this time on all grants of this member are known, or have expired everywhere.
+    complete_from: u64,
+    /// The recovery of lost grants, while they are not known.
+    recovery: Option<Recovery>,
+    /// Everything that this forwarder itself owned is known, from a journal that survives a machine
+    /// failure.
+    owner_complete: bool,
+    /// A change of whether all grants are known, to be recorded in the claim log.
+    completeness_change: Option<bool>,
+    /// Until then new claims ask all members at once.
+    full_fanout_until: u64,
+    /// The earliest times at which a claim or an outcome is to be sent.
+    next_claim_send: u64,
+    next_outcome_send: u64,
+    pending: BTreeMap<Key, PendingClaim>,
+    notices: BTreeMap<Key, OutcomeNotice>,
+    settled: Vec<(Key, ClaimResult)>,
+    records: Vec<ClaimRecord>,
 }
 
 impl Claims {
-    /// A member beside so many others. Where it may have lost what it granted (`sure` is false) it does not count until what it
-    /// lost is forgotten everywhere.
-    pub fn new(now: u64, own: Holder, start: u64, others: usize, sure: bool, kept: Vec<Kept>) -> Claims {
+    /// Creates the table of a member with this many others. If it may have lost its grants (`complete` is
+    /// false), its replies do not count until it has recovered them or they have expired everywhere.
+    pub fn new(
+        now: u64, own: Owner, start: u64, others: usize, complete: bool, records: Vec<ClaimRecord>,
+    ) -> Claims {
         let mut claims = Claims {
             own,
-            turn: start << 32,
+            last_seq: start << 32,
             others,
             known: HashMap::new(),
-            ages: BTreeSet::new(),
-            sure_from: if sure { now } else { now + RETENTION_MS },
-            regain: (!sure).then(|| Regain::new(now, others)),
-            whole: false,
-            turned_sure: None,
-            troubled: 0,
-            asking_at: u64::MAX,
-            telling_at: u64::MAX,
-            asked: BTreeMap::new(),
-            tellings: BTreeMap::new(),
-            done: Vec::new(),
+            by_age: BTreeSet::new(),
+            complete_from: if complete { now } else { now + RETENTION_MS },
+            recovery: (!complete).then(|| Recovery::new(now, others)),
+            owner_complete: false,
+            completeness_change: None,
+            full_fanout_until: 0,
+            next_claim_send: u64::MAX,
+            next_outcome_send: u64::MAX,
+            pending: BTreeMap::new(),
+            notices: BTreeMap::new(),
+            settled: Vec::new(),
             records: Vec::new(),
         };
-        for kept in kept {
-            match kept {
-                Kept::Claimed(key, holder, turn) => claims.put(now, key, holder, turn),
-                Kept::Ended(key, word) => claims.end(now, key, word),
+        for record in records {
+            match record {
+                ClaimRecord::Claimed(key, owner, seq) => claims.store(now, key, owner, seq),
+                ClaimRecord::Ended(key, outcome) => claims.record_outcome(now, key, outcome),
             }
         }
         claims.records.clear();
         claims
     }
 
-    /// This forwarder has lost what it held: it is another holder from now on, and not sure.
-    pub fn forget_own(&mut self, now: u64, memory: u64, start: u64) {
-        (self.own.memory, self.turn) = (memory, start << 32);
-        self.sure_from = now + RETENTION_MS;
-        self.regain = Some(Regain::new(now, self.others));
-        (self.whole, self.turned_sure) = (false, Some(false));
+    /// This forwarder has lost what it owned: from now on it is another owner, and it does not know its
+    /// grants.
+    pub fn reset_store(&mut self, now: u64, store_id: u64, start: u64) {
+        (self.own.store_id, self.last_seq) = (store_id, start << 32);
+        self.complete_from = now + RETENTION_MS;
+        self.recovery = Some(Recovery::new(now, self.others));
+        (self.owner_complete, self.completeness_change) = (false, Some(false));
     }
 
-    /// Nobody has ever heard of an earlier life of this forwarder: it has granted nothing that it could have lost.
-    pub fn is_new(&mut self, now: u64) {
-        self.be_sure(now);
+    /// No member has heard of an earlier run of this forwarder, so there are no grants that it could have
+    /// lost.
+    pub fn confirm_new(&mut self, now: u64) {
+        self.mark_complete(now);
     }
 
-    fn be_sure(&mut self, now: u64) {
-        if self.regain.take().is_some() {
-            self.sure_from = self.sure_from.min(now);
-            self.turned_sure = Some(true);
+    fn mark_complete(&mut self, now: u64) {
+        if self.recovery.take().is_some() {
+            self.complete_from = self.complete_from.min(now);
+            self.completeness_change = Some(true);
         }
     }
 
-    /// Whether what was granted has come to be known, or not to be, since this was asked last.
-    pub fn turned_sure(&mut self) -> Option<bool> {
-        self.turned_sure.take()
+    /// Returns and clears the last change of whether all grants are known.
+    pub fn take_completeness_change(&mut self) -> Option<bool> {
+        self.completeness_change.take()
     }
 
-    /// Ids that are remembered.
+    /// Number of ids remembered.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none is.
+    /// Whether no ids are remembered.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    fn put(&mut self, now: u64, key: Key, holder: Holder, turn: u64) {
+    fn store(&mut self, now: u64, key: Key, owner: Owner, seq: u64) {
         if let Some(old) = self.known.get(&key) {
-            self.ages.remove(&(old.since, key));
-        }
-        self.records.push(Kept::Claimed(key, holder.clone(), turn));
-        self.known.insert(key, Entry { holder, turn, since: now, end: None, firm: false, asked: None });
-        self.ages.insert((now, key));
-        while self.ages.len() > MOST {
-            let Some((_, oldest)) = self.ages.pop_first() else { break };
+            self.by_age.remove(&(old.since, key));
+        }
+        self.records.push(ClaimRecord::Claimed(key, owner.clone(), seq));
+        self.known
+            .insert(key, Entry { owner, seq, since: now, end: None, accepted: false, asked_members: None });
+        self.by_age.insert((now, key));
+        while self.by_age.len() > MAX_IDS {
+            let Some((_, oldest)) = self.by_age.pop_first() else { break };
             self.known.remove(&oldest);
         }
     }
 
-    fn end(&mut self, now: u64, key: Key, word: ClaimOutcome) {
+    fn record_outcome(&mut self, now: u64, key: Key, outcome: ClaimOutcome) {
         let Some(entry) = self.known.get_mut(&key) else { return };
-        if entry.end.map(|(word, _)| word) != Some(word) {
-            entry.end = Some((word, now));
-            self.records.push(Kept::Ended(key, word));
+        if entry.end.map(|(outcome, _)| outcome) != Some(outcome) {
+            entry.end = Some((outcome, now));
+            self.records.push(ClaimRecord::Ended(key, outcome));
         }
     }
 
-    /// So many of all members, this one counted, are a majority.
-    pub fn majority(&self) -> usize {
+    /// Number of members, including this one, that form a quorum.
+    pub fn quorum(&self) -> usize {
         let members = self.others + 1;
         members / 2 + 1
     }
 
-    /// Whether all that was granted is known.
-    pub fn is_sure(&self, now: u64) -> bool {
-        now >= self.sure_from
+    /// Whether all grants of this member are known.
+    pub fn is_complete(&self, now: u64) -> bool {
+        now >= self.complete_from
     }
 
-    /// What a member says that may have lost what it granted: what it knows of others, and nothing that counts.
-    fn unsure(&self, now: u64, from: &Holder, key: Key) -> Answer {
-        let Some(entry) = self.known.get(&key) else { return Answer::Unsure };
-        let held = entry.end.is_none() && entry.holder != *from;
-        let held = held.then(|| Answer::Held(entry.holder.clone(), now.saturating_sub(entry.since)));
-        entry.over().or(held).unwrap_or(Answer::Unsure)
+    /// The reply of a member that may have lost grants: it reports what it knows of other owners, but grants
+    /// nothing.
+    fn incomplete_reply(&self, now: u64, from: &Owner, key: Key) -> ClaimReply {
+        let Some(entry) = self.known.get(&key) else { return ClaimReply::Abstain };
+        let held = entry.end.is_none() && entry.owner != *from;
+        let held = held.then(|| ClaimReply::Held(entry.owner.clone(), now.saturating_sub(entry.since)));
+        entry.final_reply().or(held).unwrap_or(ClaimReply::Abstain)
     }
 
-    /// Another member's claim.
-    pub fn answer(&mut self, now: u64, from: &Holder, claim: &Claim) -> Answer {
-        if !self.is_sure(now) {
-            return self.unsure(now, from, claim.key);
+    /// Answers a claim.
+    pub fn reply(&mut self, now: u64, from: &Owner, claim: &Claim) -> ClaimReply {
+        if !self.is_complete(now) {
+            return self.incomplete_reply(now, from, claim.key);
         }
         let Some(entry) = self.known.get(&claim.key) else {
-            self.put(now, claim.key, from.clone(), claim.turn);
-            return Answer::Yours(0);
+            self.store(now, claim.key, from.clone(), claim.seq);
+            return ClaimReply::Granted(0);
         };
-        let again = entry.holder == *from;
-        if again && (claim.turn < entry.turn || claim.turn == entry.turn && entry.end.is_some()) {
-            // Late: it has been given back since.
-            return Answer::Unsure;
+        let same_owner = entry.owner == *from;
+        if same_owner && (claim.seq < entry.seq || claim.seq == entry.seq && entry.end.is_some()) {
+            // The request is late: the claim has been given back since.
+            return ClaimReply::Abstain;
         }
-        if let Some(answer) = entry.over() {
-            return answer;
+        if let Some(reply) = entry.final_reply() {
+            return reply;
         }
         if let Some((ClaimOutcome::HandedBack(span), at)) = entry.end {
             let left = if span == 0 { 0 } else { span.saturating_sub(now - at) };
             if span > 0 && left == 0 {
-                return Answer::Ended(true);
+                return ClaimReply::Ended(true);
             }
-            self.put(now, claim.key, from.clone(), claim.turn);
-            return Answer::Yours(left);
+            self.store(now, claim.key, from.clone(), claim.seq);
+            return ClaimReply::Granted(left);
         }
-        if again {
-            if claim.turn > entry.turn {
+        if same_owner {
+            if claim.seq > entry.seq {
                 let since = entry.since;
-                self.put(since, claim.key, from.clone(), claim.turn);
+                self.store(since, claim.key, from.clone(), claim.seq);
             }
-            return Answer::Yours(0);
+            return ClaimReply::Granted(0);
         }
-        if claim.over.as_ref() == Some(&entry.holder) {
-            // The partner remembers it since the first holder: how long ago that was stays.
+        if claim.takeover_from.as_ref() == Some(&entry.owner) {
+            // The partner remembers the key since the first owner's claim, so its age is kept.
             let since = entry.since;
-            self.put(since, claim.key, from.clone(), claim.turn);
-            return Answer::Yours(0);
+            self.store(since, claim.key, from.clone(), claim.seq);
+            return ClaimReply::Granted(0);
         }
-        Answer::Held(entry.holder.clone(), now.saturating_sub(entry.since))
+        ClaimReply::Held(entry.owner.clone(), now.saturating_sub(entry.since))
     }
 
-    /// Begins to claim an id for this forwarder. [`Claims::done`] tells what has come of it.
+    /// Starts to claim an id for this forwarder. [`Claims::take_settled`] returns the result.
     pub fn claim(&mut self, now: u64, key: Key, effect: Effect) {
-        let majority = self.majority();
-        if let Some(asked) = self.asked.get_mut(&key) {
-            (asked.kept_on, asked.by) = (false, now + WITHIN);
-            if asked.yours.len() >= majority {
+        let quorum = self.quorum();
+        if let Some(pending) = self.pending.get_mut(&key) {
+            (pending.detached, pending.deadline) = (false, now + REPLY_TIMEOUT_MS);
+            if pending.granted_by.len() >= quorum {
                 self.grant(now, key);
             }
             return;
         }
-        self.turn += 1;
-        let turn = self.turn;
-        let asked = Asked {
+        self.last_seq += 1;
+        let seq = self.last_seq;
+        let pending = PendingClaim {
             effect,
-            turn,
-            began: now,
-            of: BTreeSet::new(),
-            yours: BTreeSet::new(),
+            seq,
+            started: now,
+            asked: BTreeSet::new(),
+            granted_by: BTreeSet::new(),
             answered: BTreeSet::new(),
-            left: 0,
+            limit_ms: 0,
             held: None,
-            over: None,
-            again: now,
-            by: now + WITHIN,
-            kept_on: false,
+            takeover_from: None,
+            resend_at: now,
+            deadline: now + REPLY_TIMEOUT_MS,
+            detached: false,
         };
-        self.asked.insert(key, asked);
-        self.asking_at = now;
+        self.pending.insert(key, pending);
+        self.next_claim_send = now;
         let own = self.own.clone();
-        let answer = self.answer(now, &own, &Claim { key, turn, over: None });
-        // One's own vote stands in a place that no other has.
-        self.answered(now, self.others, key, turn, answer);
-    }
-
-    /// A member has answered a claim.
-    pub fn answered(&mut self, now: u64, from: usize, key: Key, turn: u64, answer: Answer) {
-        let majority = self.majority();
-        // A process that was stopped meanwhile finds what was answered to claims whose life is over.
-        let alive = |a: &&mut Asked| a.turn == turn && now < a.began + LIFE;
-        let Some(asked) = self.asked.get_mut(&key).filter(alive) else { return };
-        asked.answered.insert(from);
-        match answer {
-            Answer::Yours(left) => {
+        let reply = self.reply(now, &own, &Claim { key, seq, takeover_from: None });
+        // The reply of this member is counted under an index that no other member has.
+        self.record_reply(now, self.others, key, seq, reply);
+    }
+
+    /// Counts a member's reply.
+    pub fn record_reply(&mut self, now: u64, from: usize, key: Key, seq: u64, reply: ClaimReply) {
+        let quorum = self.quorum();
+        // A process that was suspended reads replies on claims whose lifetime is over.
+        let is_current = |a: &&mut PendingClaim| a.seq == seq && now < a.started + CLAIM_LIFETIME_MS;
+        let Some(pending) = self.pending.get_mut(&key).filter(is_current) else { return };
+        pending.answered.insert(from);
+        match reply {
+            ClaimReply::Granted(left) => {
                 if left > 0 {
-                    asked.left = if asked.left == 0 { left } else { asked.left.min(left) };
+                    pending.limit_ms = if pending.limit_ms == 0 { left } else { pending.limit_ms.min(left) };
                 }
-                asked.yours.insert(from);
-                if asked.yours.len() >= majority && !asked.kept_on {
+                pending.granted_by.insert(from);
+                if pending.granted_by.len() >= quorum && !pending.detached {
                     self.grant(now, key);
                 }
             }
-            Answer::Ended(over) => {
-                if over {
-                    self.give_up(now, key, ClaimResult::Final, ClaimOutcome::Final);
+            ClaimReply::Ended(is_final) => {
+                if is_final {
+                    self.abandon(now, key, ClaimResult::Final, ClaimOutcome::Final);
                 } else {
-                    self.give_up(now, key, ClaimResult::Delivered, ClaimOutcome::Delivered);
+                    self.abandon(now, key, ClaimResult::Delivered, ClaimOutcome::Delivered);
                 }
             }
-            Answer::Held(holder, age) => {
-                if asked.over.is_none() && asked.held.as_ref().is_none_or(|(_, known)| *known < age) {
-                    asked.held = Some((holder, age));
+            ClaimReply::Held(owner, age) => {
+                if pending.takeover_from.is_none()
+                    && pending.held.as_ref().is_none_or(|(_, known)| *known < age)
+                {
+                    pending.held = Some((owner, age));
                 }
             }
-            // Another one is to be asked in its place.
-            Answer::Unsure => {
-                asked.again = asked.again.min(now);
-                self.asking_at = self.asking_at.min(now);
+            // Another member must be asked instead.
+            ClaimReply::Abstain => {
+                pending.resend_at = pending.resend_at.min(now);
+                self.next_claim_send = self.next_claim_send.min(now);
             }
         }
     }
 
-    /// Who else is found to hold an id that is claimed here, and is to be asked for it.
-    pub fn held_by(&self, key: Key) -> Option<&Holder> {
-        let asked = self.asked.get(&key).filter(|a| a.over.is_none())?;
-        asked.held.as_ref().map(|(holder, _)| holder)
+    /// The other owner of an id that is being claimed here; it must be asked about the message.
+    pub fn held_by(&self, key: Key) -> Option<&Owner> {
+        let pending = self.pending.get(&key).filter(|a| a.takeover_from.is_none())?;
+        pending.held.as_ref().map(|(owner, _)| owner)
     }
 
-    /// A holder has answered for a message.
-    pub fn status(&mut self, now: u64, from: &Holder, key: Key, status: Status) {
-        let Some(asked) = self.asked.get(&key) else { return };
-        if asked.held.as_ref().is_none_or(|(holder, _)| holder != from) {
+    /// Handles an owner's answer about a message.
+    pub fn owner_replied(&mut self, now: u64, from: &Owner, key: Key, status: OwnerStatus) {
+        let Some(pending) = self.pending.get(&key) else { return };
+        if pending.held.as_ref().is_none_or(|(owner, _)| owner != from) {
             return;
         }
         match status {
-            Status::Held => self.give_up(now, key, ClaimResult::Held, FREE),
-            Status::Ended(word @ ClaimOutcome::Delivered) => {
-                self.give_up(now, key, ClaimResult::Delivered, word)
+            OwnerStatus::Held => self.abandon(now, key, ClaimResult::Held, RELEASED),
+            OwnerStatus::Ended(outcome @ ClaimOutcome::Delivered) => {
+                self.abandon(now, key, ClaimResult::Delivered, outcome)
+            }
+            OwnerStatus::Ended(outcome @ ClaimOutcome::Final) => {
+                self.abandon(now, key, ClaimResult::Final, outcome)
             }
-            Status::Ended(word @ ClaimOutcome::Final) => self.give_up(now, key, ClaimResult::Final, word),
-            // It tells all who believe that it has it.
-            Status::Ended(ClaimOutcome::HandedBack(_)) | Status::Unknown | Status::Claiming => {
-                self.give_up(now, key, ClaimResult::RetryAfter(SOON), FREE);
+            // The owner sends that outcome to every member that still counts it as owner.
+            OwnerStatus::Ended(ClaimOutcome::HandedBack(_))
+            | OwnerStatus::Unknown
+            | OwnerStatus::Claiming => {
+                self.abandon(now, key, ClaimResult::RetryAfter(RETRY_SOON_MS), RELEASED);
             }
         }
     }
 
-    /// The holder of a claimed message can't be reached, or it has another memory now: what is left to do is by the class.
-    pub fn out_of_reach(&mut self, now: u64, key: Key) {
-        let Some(asked) = self.asked.get_mut(&key) else { return };
-        let Some((holder, age)) = asked.held.clone() else { return };
-        match asked.effect {
+    /// The owner of a claimed message can't be reached or has another store id now. What happens depends on
+    /// the class.
+    pub fn owner_unreachable(&mut self, now: u64, key: Key) {
+        let Some(pending) = self.pending.get_mut(&key) else { return };
+        let Some((owner, age)) = pending.held.clone() else { return };
+        match pending.effect {
             Effect::Once(deadline) if age < deadline => {
-                self.give_up(now, key, ClaimResult::RetryAfter(LATER), FREE);
+                self.abandon(now, key, ClaimResult::RetryAfter(RETRY_LATER_MS), RELEASED);
             }
-            Effect::Once(_) => self.give_up(now, key, ClaimResult::Final, FREE),
+            Effect::Once(_) => self.abandon(now, key, ClaimResult::Final, RELEASED),
             Effect::Keyed(window) => {
-                let left = window.saturating_sub(age + MARGIN);
+                let left = window.saturating_sub(age + KEY_MEMORY_MARGIN_MS);
                 if left == 0 {
-                    return self.give_up(now, key, ClaimResult::Final, FREE);
+                    return self.abandon(now, key, ClaimResult::Final, RELEASED);
                 }
-                asked.left = left;
-                asked.over = Some(holder);
-                asked.yours.clear();
-                asked.answered.clear();
-                (asked.again, asked.by) = (now, now + WITHIN);
-                self.asking_at = now;
-                let (own, over, turn) = (self.own.clone(), asked.over.clone(), asked.turn);
-                let answer = self.answer(now, &own, &Claim { key, turn, over });
-                self.answered(now, self.others, key, turn, answer);
+                pending.limit_ms = left;
+                pending.takeover_from = Some(owner);
+                pending.granted_by.clear();
+                pending.answered.clear();
+                (pending.resend_at, pending.deadline) = (now, now + REPLY_TIMEOUT_MS);
+                self.next_claim_send = now;
+                let (own, takeover_from, seq) =
+                    (self.own.clone(), pending.takeover_from.clone(), pending.seq);
+                let reply = self.reply(now, &own, &Claim { key, seq, takeover_from });
+                self.record_reply(now, self.others, key, seq, reply);
             }
         }
     }
 
-    fn finish(&mut self, key: Key, verdict: ClaimResult) {
-        self.asked.remove(&key);
-        self.done.push((key, verdict));
+    fn settle(&mut self, key: Key, result: ClaimResult) {
+        self.pending.remove(&key);
+        self.settled.push((key, result));
     }
 
-    /// It is this forwarder's.
+    /// Settles a claim as granted to this forwarder.
     fn grant(&mut self, now: u64, key: Key) {
-        let Some(asked) = self.asked.get(&key) else { return };
-        let (turn, left) = (asked.turn, asked.left);
-        let of = asked.of.iter().copied().collect();
-        if self.known.get(&key).is_none_or(|e| e.holder != self.own) {
-            // Its own vote did not count.
-            self.put(now, key, self.own.clone(), turn);
+        let Some(pending) = self.pending.get(&key) else { return };
+        let (seq, left) = (pending.seq, pending.limit_ms);
+        let members = pending.asked.iter().copied().collect();
+        if self.known.get(&key).is_none_or(|e| e.owner != self.own) {
+            // This member's own reply did not count.
+            self.store(now, key, self.own.clone(), seq);
         }
         if let Some(entry) = self.known.get_mut(&key) {
-            entry.asked = Some(of);
+            entry.asked_members = Some(members);
         }
-        self.finish(key, ClaimResult::Granted(left));
+        self.settle(key, ClaimResult::Granted(left));
     }
 
-    /// A claim that comes to nothing: others may have let it in, and are told what is known, or that it is free.
-    fn give_up(&mut self, now: u64, key: Key, verdict: ClaimResult, word: ClaimOutcome) {
-        if self.known.get(&key).is_some_and(|e| e.holder == self.own && e.end.is_none()) {
-            self.end(now, key, word);
+    /// Settles a claim as not granted. Members may have granted it; they are told the known outcome, or
+    /// that the id is free.
+    fn abandon(&mut self, now: u64, key: Key, result: ClaimResult, outcome: ClaimOutcome) {
+        if self.known.get(&key).is_some_and(|e| e.owner == self.own && e.end.is_none()) {
+            self.record_outcome(now, key, outcome);
         }
-        if let Some(asked) = self.asked.get(&key) {
-            let (turn, of) = (asked.turn, asked.of.clone());
-            self.begin_telling(now, key, turn, word, of);
+        if let Some(pending) = self.pending.get(&key) {
+            let (seq, members) = (pending.seq, pending.asked.clone());
+            self.queue_outcome(now, key, seq, outcome, members);
         }
-        self.finish(key, verdict);
+        self.settle(key, result);
     }
 
-    fn begin_telling(&mut self, at: u64, key: Key, turn: u64, word: ClaimOutcome, missing: BTreeSet<usize>) {
-        if missing.is_empty() {
+    fn queue_outcome(
+        &mut self, at: u64, key: Key, seq: u64, outcome: ClaimOutcome, unacknowledged: BTreeSet<usize>,
+    ) {
+        if unacknowledged.is_empty() {
             return;
         }
-        self.telling_at = self.telling_at.min(at);
-        self.tellings.insert(key, Telling { word, turn, missing, next: at, tries: 0 });
+        self.next_outcome_send = self.next_outcome_send.min(at);
+        self.notices.insert(key, OutcomeNotice { outcome, seq, unacknowledged, send_at: at, attempts: 0 });
     }
 
-    /// A message that another asks for is not here: whoever believes that it is hears so.
-    pub fn deny(&mut self, now: u64, key: Key) {
-        if !self.tellings.contains_key(&key) {
-            self.begin_telling(now, key, self.turn, FREE, (0..self.others).collect());
+    /// This forwarder does not own a message that another asks about: every member is told so.
+    pub fn disown(&mut self, now: u64, key: Key) {
+        if !self.notices.contains_key(&key) {
+            self.queue_outcome(now, key, self.last_seq, RELEASED, (0..self.others).collect());
         }
     }
 
-    /// A message of this forwarder has been taken on: whoever asks hears that it holds it.
-    pub fn taken(&mut self, key: Key) {
-        if let Some(entry) = self.known.get_mut(&key).filter(|e| e.holder == self.own) {
-            entry.firm = true;
+    /// A message has been accepted here; members that ask are told that it is owned here.
+    pub fn message_accepted(&mut self, key: Key) {
+        if let Some(entry) = self.known.get_mut(&key).filter(|e| e.owner == self.own) {
+            entry.accepted = true;
         }
     }
 
-    /// After a start: what this forwarder has by its journal, and how its messages ended. What others, or the log, hold to be its
-    /// own and is neither was never taken on. `whole` if the journal outlives machines.
-    pub fn recheck(&mut self, now: u64, held: &[Key], ended: &[(Key, ClaimOutcome)], whole: bool) {
-        let mut open: BTreeSet<Key> = self
+    /// Compares the claims with the journal after a start. `held` and `ended` are the messages in the
+    /// journal. Claims of this forwarder that are in neither list were never accepted and are given back.
+    /// `durable` says whether the journal survives a machine failure.
+    pub fn reconcile(&mut self, now: u64, held: &[Key], ended: &[(Key, ClaimOutcome)], durable: bool) {
+        let mut unresolved: BTreeSet<Key> = self
             .known
             .iter()
-            .filter(|(_, e)| e.holder == self.own && e.end.is_none())
+            .filter(|(_, e)| e.owner == self.own && e.end.is_none())
             .map(|(k, _)| *k)
             .collect();
         for key in held {
-            open.remove(key);
-            self.own_again(now, *key);
-            self.taken(*key);
-        }
-        for (key, word) in ended {
-            self.own_again(now, *key);
-            if open.remove(key) {
-                self.tell(now, *key, *word);
-            } else if self.known.get(key).is_some_and(|e| e.holder == self.own) {
-                self.end(now, *key, *word);
+            unresolved.remove(key);
+            self.restore_own(now, *key);
+            self.message_accepted(*key);
+        }
+        for (key, outcome) in ended {
+            self.restore_own(now, *key);
+            if unresolved.remove(key) {
+                self.message_ended(now, *key, *outcome);
+            } else if self.known.get(key).is_some_and(|e| e.owner == self.own) {
+                self.record_outcome(now, *key, *outcome);
             }
         }
-        for key in open {
-            self.tell(now, key, FREE);
+        for key in unresolved {
+            self.message_ended(now, key, RELEASED);
         }
-        self.whole = whole;
+        self.owner_complete = durable;
     }
 
-    /// One of its own that its log has lost.
-    fn own_again(&mut self, now: u64, key: Key) {
-        if !self.is_sure(now) && !self.known.contains_key(&key) {
-            self.turn += 1;
-            self.put(now, key, self.own.clone(), self.turn);
+    /// Claims a message of this forwarder again whose claim is missing from the log.
+    fn restore_own(&mut self, now: u64, key: Key) {
+        if !self.is_complete(now) && !self.known.contains_key(&key) {
+            self.last_seq += 1;
+            self.store(now, key, self.own.clone(), self.last_seq);
         }
     }
 
-    /// A message of this forwarder has ended, or was not taken on after all.
-    pub fn tell(&mut self, now: u64, key: Key, word: ClaimOutcome) {
-        let Some(entry) = self.known.get(&key).filter(|e| e.holder == self.own) else { return };
-        let turn = entry.turn;
-        let missing = match &entry.asked {
-            Some(asked) => asked.iter().copied().collect(),
+    /// Records that a message of this forwarder has ended, or was not accepted after all, and tells the
+    /// members that were asked.
+    pub fn message_ended(&mut self, now: u64, key: Key, outcome: ClaimOutcome) {
+        let Some(entry) = self.known.get(&key).filter(|e| e.owner == self.own) else { return };
+        let seq = entry.seq;
+        let unacknowledged = match &entry.asked_members {
+            Some(members) => members.iter().copied().collect(),
             None => (0..self.others).collect(),
         };
-        self.end(now, key, word);
-        self.begin_telling(now + GATHER, key, turn, word, missing);
+        self.record_outcome(now, key, outcome);
+        self.queue_outcome(now + OUTCOME_BATCH_DELAY_MS, key, seq, outcome, unacknowledged);
     }
 
-    /// Another tells how a message of its own has ended.
-    pub fn told(&mut self, now: u64, from: &Holder, key: Key, turn: u64, word: ClaimOutcome) {
-        // It may overtake the claim that it is about, which must not be let in after it.
+    /// Applies an outcome that an owner has sent.
+    pub fn apply_outcome(&mut self, now: u64, from: &Owner, key: Key, seq: u64, outcome: ClaimOutcome) {
+        // The outcome may overtake its claim, which must not be granted after it.
         if !self.known.contains_key(&key) {
-            self.put(now, key, from.clone(), turn);
+            self.store(now, key, from.clone(), seq);
         }
-        if let Some(entry) = self.known.get_mut(&key).filter(|e| e.holder == *from && e.turn <= turn) {
-            entry.turn = turn;
-            self.end(now, key, word);
+        if let Some(entry) = self.known.get_mut(&key).filter(|e| e.owner == *from && e.seq <= seq) {
+            entry.seq = seq;
+            self.record_outcome(now, key, outcome);
         }
     }
 
-    /// Another has taken an end in.
-    pub fn acknowledged(&mut self, from: usize, key: Key) {
-        if let Some(telling) = self.tellings.get_mut(&key) {
-            telling.missing.remove(&from);
-            if telling.missing.is_empty() {
-                self.tellings.remove(&key);
+    /// A member has acknowledged an outcome.
+    pub fn acknowledge_outcome(&mut self, from: usize, key: Key) {
+        if let Some(notice) = self.notices.get_mut(&key) {
+            notice.unacknowledged.remove(&from);
+            if notice.unacknowledged.is_empty() {
+                self.notices.remove(&key);
             }
         }
     }
 
-    /// What this forwarder has of a message that it is asked for.
-    pub fn own_status(&self, key: Key) -> Status {
-        match self.known.get(&key).filter(|e| e.holder == self.own) {
-            Some(Entry { end: Some((word, _)), .. }) => Status::Ended(*word),
-            Some(Entry { firm: true, .. }) => Status::Held,
-            Some(_) => Status::Claiming,
-            None => Status::Unknown,
+    /// This forwarder's answer when another asks about a message.
+    pub fn own_status(&self, key: Key) -> OwnerStatus {
+        match self.known.get(&key).filter(|e| e.owner == self.own) {
+            Some(Entry { end: Some((outcome, _)), .. }) => OwnerStatus::Ended(*outcome),
+            Some(Entry { accepted: true, .. }) => OwnerStatus::Held,
+            Some(_) => OwnerStatus::Claiming,
+            None => OwnerStatus::Unknown,
         }
     }
 
-    /// Who holds, or held, a message, and how it ended; as far as it is known here.
-    pub fn known(&self, key: Key) -> Option<(&Holder, Option<ClaimOutcome>)> {
-        self.known.get(&key).map(|e| (&e.holder, e.end.map(|(word, _)| word)))
+    /// The owner, present or past, of a message and its outcome, as far as they are known here.
+    pub fn lookup(&self, key: Key) -> Option<(&Owner, Option<ClaimOutcome>)> {
+        self.known.get(&key).map(|e| (&e.owner, e.end.map(|(outcome, _)| outcome)))
     }
 
-    /// What is to be asked of whom now, by member. Those that are `there` come first.
-    pub fn asking(&mut self, now: u64, there: impl Fn(usize) -> bool) -> BTreeMap<usize, Vec<Claim>> {
+    /// Claims to send now, by member. Members for which `responsive` is true are preferred.
+    pub fn due_claims(
+        &mut self, now: u64, responsive: impl Fn(usize) -> bool,
+    ) -> BTreeMap<usize, Vec<Claim>> {
         let mut by_member: BTreeMap<usize, Vec<Claim>> = BTreeMap::new();
-        if now < self.asking_at {
+        if now < self.next_claim_send {
             return by_member;
         }
-        let (majority, others) = (self.majority(), self.others);
-        for (key, asked) in self.asked.iter_mut().filter(|(_, a)| a.again <= now) {
-            asked.again = now + if asked.kept_on { AGAIN_KEPT_ON } else { AGAIN };
-            let turn = |n: usize| (n + (*key % others.max(1) as u128) as usize) % others;
-            let first = asked.of.is_empty();
+        let (quorum, others) = (self.quorum(), self.others);
+        for (key, pending) in self.pending.iter_mut().filter(|(_, a)| a.resend_at <= now) {
+            pending.resend_at =
+                now + if pending.detached { DETACHED_RESEND_INTERVAL_MS } else { RESEND_INTERVAL_MS };
+            let rotated = |n: usize| (n + (*key % others.max(1) as u128) as usize) % others;
+            let first_round = pending.asked.is_empty();
             let mut chosen: Vec<usize> =
-                (0..others).map(turn).filter(|m| !asked.answered.contains(m)).collect();
-            if first && now >= self.troubled {
-                let needed = majority.saturating_sub(asked.yours.len());
-                let near: Vec<usize> = chosen.iter().copied().filter(|m| there(*m)).take(needed).collect();
-                if near.len() == needed {
-                    chosen = near;
+                (0..others).map(rotated).filter(|m| !pending.answered.contains(m)).collect();
+            if first_round && now >= self.full_fanout_until {
+                let needed = quorum.saturating_sub(pending.granted_by.len());
+                let responsive_members: Vec<usize> =
+                    chosen.iter().copied().filter(|m| responsive(*m)).take(needed).collect();
+                if responsive_members.len() == needed {
+                    chosen = responsive_members;
                 }
-            } else if !first && !asked.kept_on && asked.of.iter().any(|m| !asked.answered.contains(m)) {
-                self.troubled = now + TROUBLED;
+            } else if !first_round
+                && !pending.detached
+                && pending.asked.iter().any(|m| !pending.answered.contains(m))
+            {
+                self.full_fanout_until = now + FULL_FANOUT_MS;
             }
             for member in chosen {
-                asked.of.insert(member);
-                let (turn, over) = (asked.turn, asked.over.clone());
-                by_member.entry(member).or_default().push(Claim { key: *key, turn, over });
+                pending.asked.insert(member);
+                let (seq, takeover_from) = (pending.seq, pending.takeover_from.clone());
+                by_member.entry(member).or_default().push(Claim { key: *key, seq, takeover_from });
             }
         }
-        self.asking_at = self.asked.values().map(|a| a.again).min().unwrap_or(u64::MAX);
+        self.next_claim_send = self.pending.values().map(|a| a.resend_at).min().unwrap_or(u64::MAX);
         by_member
     }
 
-    /// What is to be told to whom now, by member.
-    pub fn telling(&mut self, now: u64) -> BTreeMap<usize, Vec<(Key, u64, ClaimOutcome)>> {
+    /// Outcomes to send now, by member.
+    pub fn due_outcomes(&mut self, now: u64) -> BTreeMap<usize, Vec<(Key, u64, ClaimOutcome)>> {
         let mut by_member: BTreeMap<usize, Vec<(Key, u64, ClaimOutcome)>> = BTreeMap::new();
-        if now < self.telling_at {
+        if now < self.next_outcome_send {
             return by_member;
         }
-        self.tellings.retain(|_, t| t.tries < TELLINGS);
-        for (key, telling) in self.tellings.iter_mut().filter(|(_, t)| t.next <= now) {
-            telling.next = now + ((2 * AGAIN) << telling.tries);
-            telling.tries += 1;
-            for member in &telling.missing {
-                by_member.entry(*member).or_default().push((*key, telling.turn, telling.word));
+        self.notices.retain(|_, t| t.attempts < MAX_OUTCOME_SENDS);
+        for (key, notice) in self.notices.iter_mut().filter(|(_, t)| t.send_at <= now) {
+            notice.send_at = now + ((2 * RESEND_INTERVAL_MS) << notice.attempts);
+            notice.attempts += 1;
+            for member in &notice.unacknowledged {
+                by_member.entry(*member).or_default().push((*key, notice.seq, notice.outcome));
             }
         }
-        self.telling_at = self.tellings.values().map(|t| t.next).min().unwrap_or(u64::MAX);
+        self.next_outcome_send = self.notices.values().map(|t| t.send_at).min().unwrap_or(u64::MAX);
         by_member
     }
 
-    // ---- what was granted, and is lost ----
+    // ---- recovery of lost grants ----
 
-    /// A piece of what is known here, for a member that has lost what it granted.
-    pub fn piece(&self, now: u64, after: Option<Place>) -> Piece {
+    /// Builds a page of this claim table for a member that has lost its grants.
+    pub fn recovery_page(&self, now: u64, after: Option<Cursor>) -> RecoveryPage {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let mut piece =
-            Piece { after, items: Vec::new(), next: None, sure: self.is_sure(now), whole: self.whole };
-        let (mut room, mut last) = (Piece::ROOM, None);
-        for place in self.ages.range((from, Bound::Unbounded)) {
-            let Some(entry) = self.known.get(&place.1) else { continue };
+        let mut page = RecoveryPage {
+            after,
+            items: Vec::new(),
+            next: None,
+            complete: self.is_complete(now),
+            owner_complete: self.owner_complete,
+        };
+        let (mut remaining, mut last) = (RecoveryPage::MAX_ITEM_BYTES, None);
+        for cursor in self.by_age.range((from, Bound::Unbounded)) {
+            let Some(entry) = self.known.get(&cursor.1) else { continue };
             let age = |at: u64| now.saturating_sub(at);
-            let item = Item {
-                key: place.1,
-                holder: entry.holder.clone(),
-                turn: entry.turn,
-                age: age(entry.since),
-                end: entry.end.map(|(word, at)| (word, age(at))),
+            let item = RecoveredClaim {
+                key: cursor.1,
+                owner: entry.owner.clone(),
+                seq: entry.seq,
+                age_ms: age(entry.since),
+                end: entry.end.map(|(outcome, at)| (outcome, age(at))),
             };
             let size = item.size();
-            if size > room {
-                piece.next = last;
+            if size > remaining {
+                page.next = last;
                 break;
             }
-            room -= size;
-            piece.items.push(item);
-            last = Some(*place);
+            remaining -= size;
+            page.items.push(item);
+            last = Some(*cursor);
         }
-        piece
+        page
     }
 
-    /// Whom to ask for the next piece of what it knows, and after which place.
-    pub fn recalls(&mut self, now: u64) -> Vec<(usize, Option<Place>)> {
-        self.regain.as_mut().map(|r| r.asking(now)).unwrap_or_default()
+    /// The members to ask for their next page, each with its cursor.
+    pub fn due_recovery_requests(&mut self, now: u64) -> Vec<(usize, Option<Cursor>)> {
+        self.recovery.as_mut().map(|r| r.due_requests(now)).unwrap_or_default()
     }
 
-    /// A member has told a piece of what it knows. True if another is to be asked for at once.
-    pub fn recalled(&mut self, now: u64, from: usize, piece: Piece) -> bool {
-        let majority = self.majority();
-        let Some(regain) = &mut self.regain else { return false };
-        if !regain.takes(now, from, &piece) {
+    /// Applies a page from another member. Returns true if the next page should be requested at once.
+    pub fn apply_recovery_page(&mut self, now: u64, from: usize, page: RecoveryPage) -> bool {
+        let quorum = self.quorum();
+        let Some(recovery) = &mut self.recovery else { return false };
+        if !recovery.accept(now, from, &page) {
             return false;
         }
-        let more = piece.next.is_some();
-        let enough = regain.is_enough(majority, self.whole);
-        for item in piece.items {
-            self.learn(now, item);
+        let more = page.next.is_some();
+        let enough = recovery.is_sufficient(quorum, self.owner_complete);
+        for item in page.items {
+            self.merge_recovered(now, item);
         }
         if enough {
-            self.be_sure(now);
+            self.mark_complete(now);
         }
         more
     }
 
-    /// A member is another process than before: its places are others.
-    pub fn restarted(&mut self, from: usize) {
-        if let Some(regain) = &mut self.regain {
-            regain.restart(from);
+    /// A member has restarted as a new process, so cursors into its table are no longer valid.
+    pub fn member_restarted(&mut self, from: usize) {
+        if let Some(recovery) = &mut self.recovery {
+            recovery.restart(from);
         }
     }
 
-    fn learn(&mut self, now: u64, item: Item) {
-        let Item { key, holder, turn, age, end } = item;
-        let end = end.map(|(word, age)| (word, now.saturating_sub(age)));
-        let over = |end: Option<(ClaimOutcome, u64)>| {
+    fn merge_recovered(&mut self, now: u64, item: RecoveredClaim) {
+        let RecoveredClaim { key, owner, seq, age_ms, end } = item;
+        let end = end.map(|(outcome, age)| (outcome, now.saturating_sub(age)));
+        let is_final = |end: Option<(ClaimOutcome, u64)>| {
             matches!(end, Some((ClaimOutcome::Delivered | ClaimOutcome::Final, _)))
         };
-        let fresh = match self.known.get(&key) {
+        let newer = match self.known.get(&key) {
             None => true,
-            Some(known) if known.holder == self.own => false,
-            Some(known) if known.holder == holder => {
-                known.turn < turn || known.turn == turn && known.end.is_none()
-            }
-            // Of two holders the one that may still have it counts; what is over stays so.
+            Some(known) if known.owner == self.own => false,
+            Some(known) if known.owner == owner => known.seq < seq || known.seq == seq && known.end.is_none(),
+            // Of two owners the one that may still have the message counts; a final outcome is kept.
             Some(known) => {
-                over(end) && !over(known.end)
+                is_final(end) && !is_final(known.end)
                     || end.is_none() && matches!(known.end, Some((ClaimOutcome::HandedBack(_), _)))
             }
         };
-        if !fresh {
+        if !newer {
             return;
         }
-        self.put(now.saturating_sub(age), key, holder, turn);
+        self.store(now.saturating_sub(age_ms), key, owner, seq);
         if let (Some(end), Some(entry)) = (end, self.known.get_mut(&key)) {
             entry.end = Some(end);
-            self.records.push(Kept::Ended(key, end.0));
+            self.records.push(ClaimRecord::Ended(key, end.0));
         }
     }
 
-    /// Ends what has been asked for long enough, and forgets what is old.
+    /// Settles claims whose deadline has passed, and forgets old ids.
     pub fn expire(&mut self, now: u64) {
-        if self.is_sure(now) {
-            self.be_sure(now);
+        if self.is_complete(now) {
+            self.mark_complete(now);
         }
-        let due: Vec<Key> = self.asked.iter().filter(|(_, a)| a.by <= now).map(|(key, _)| *key).collect();
+        let due: Vec<Key> =
+            self.pending.iter().filter(|(_, a)| a.deadline <= now).map(|(key, _)| *key).collect();
         for key in due {
-            let Some(asked) = self.asked.get(&key) else { continue };
-            if asked.kept_on || now >= asked.began + LIFE {
-                // Its client has not come again; or it is too old for its votes to count.
-                self.give_up(now, key, ClaimResult::RetryAfter(LATER), FREE);
+            let Some(pending) = self.pending.get(&key) else { continue };
+            if pending.detached || now >= pending.started + CLAIM_LIFETIME_MS {
+                // The client has not retried, or the claim is too old for its replies to count.
+                self.abandon(now, key, ClaimResult::RetryAfter(RETRY_LATER_MS), RELEASED);
                 continue;
             }
-            match (&asked.held, &asked.over, asked.effect) {
-                // Its holder has not answered in this time: it can't be reached.
-                (Some(_), None, _) => self.out_of_reach(now, key),
-                // Too few are there to say whether another has it. What its partner drops if it is a repeat may go; the other
-                // may not.
+            match (&pending.held, &pending.takeover_from, pending.effect) {
+                // The owner did not answer within the timeout and counts as unreachable.
+                (Some(_), None, _) => self.owner_unreachable(now, key),
+                // Too few members answered to rule out another owner. A message whose repetition its
+                // partner drops may go; the other kind may not.
                 (_, _, Effect::Keyed(window)) => {
-                    let left = if asked.left == 0 { window.saturating_sub(MARGIN) } else { asked.left };
-                    if let Some(asked) = self.asked.get_mut(&key) {
-                        asked.left = left;
+                    let left = if pending.limit_ms == 0 {
+                        window.saturating_sub(KEY_MEMORY_MARGIN_MS)
+                    } else {
+                        pending.limit_ms
+                    };
+                    if let Some(pending) = self.pending.get_mut(&key) {
+                        pending.limit_ms = left;
                     }
                     self.grant(now, key);
                 }
                 (_, _, Effect::Once(_)) => {
-                    if let Some(asked) = self.asked.get_mut(&key) {
-                        (asked.kept_on, asked.by) = (true, (now + KEPT_ON).min(asked.began + LIFE));
+                    if let Some(pending) = self.pending.get_mut(&key) {
+                        (pending.detached, pending.deadline) =
+                            (true, (now + DETACHED_LIFETIME_MS).min(pending.started + CLAIM_LIFETIME_MS));
                     }
-                    self.done.push((key, ClaimResult::RetryAfter(LATER)));
+                    self.settled.push((key, ClaimResult::RetryAfter(RETRY_LATER_MS)));
                 }
             }
         }
         while let Some((since, key)) =
-            self.ages.first().copied().filter(|(since, _)| since + RETENTION_MS <= now)
+            self.by_age.first().copied().filter(|(since, _)| since + RETENTION_MS <= now)
         {
-            self.ages.remove(&(since, key));
+            self.by_age.remove(&(since, key));
             self.known.remove(&key);
         }
     }
 
-    /// When something is due.
+    /// When the next timeout or resend is due.
     pub fn due(&self) -> Option<u64> {
-        let asked = self.asked.values().map(|a| a.again.min(a.by));
-        let regain = self.regain.as_ref().and_then(Regain::due).map(|due| due.min(self.sure_from));
-        let told = Some(self.telling_at).filter(|_| !self.tellings.is_empty());
-        asked.chain(told).chain(regain).min()
+        let pending = self.pending.values().map(|a| a.resend_at.min(a.deadline));
+        let recovery = self.recovery.as_ref().and_then(Recovery::due).map(|due| due.min(self.complete_from));
+        let outcomes = Some(self.next_outcome_send).filter(|_| !self.notices.is_empty());
+        pending.chain(outcomes).chain(recovery).min()
     }
 
-    /// Claims that are settled.
-    pub fn done(&mut self) -> Vec<(Key, ClaimResult)> {
-        std::mem::take(&mut self.done)
+    /// Removes and returns the results of claims.
+    pub fn take_settled(&mut self) -> Vec<(Key, ClaimResult)> {
+        std::mem::take(&mut self.settled)
     }
 
-    /// What is to be kept before answers leave.
-    pub fn records(&mut self) -> Vec<Kept> {
+    /// Removes and returns the records that must be persisted before replies are sent.
+    pub fn take_records(&mut self) -> Vec<ClaimRecord> {
         std::mem::take(&mut self.records)
     }
 
-    /// Everything that stands, for a log that is written anew.
-    pub fn standing(&self) -> Vec<Kept> {
-        let mut kept = Vec::with_capacity(2 * self.known.len());
-        for (_, key) in &self.ages {
+    /// All current grants, for rewriting the claim log.
+    pub fn snapshot(&self) -> Vec<ClaimRecord> {
+        let mut records = Vec::with_capacity(2 * self.known.len());
+        for (_, key) in &self.by_age {
             let Some(entry) = self.known.get(key) else { continue };
-            kept.push(Kept::Claimed(*key, entry.holder.clone(), entry.turn));
-            kept.extend(entry.end.map(|(word, _)| Kept::Ended(*key, word)));
+            records.push(ClaimRecord::Claimed(*key, entry.owner.clone(), entry.seq));
+            records.extend(entry.end.map(|(outcome, _)| ClaimRecord::Ended(*key, outcome)));
         }
-        kept
+        records
     }
 }
--- a/crates/peers/src/fact.rs
+++ b/crates/peers/src/fact.rs
@@ -1,24 +1,27 @@
-//! Facts: what was ordered, once and for all. A fact never changes; what holds follows from all of them.
+//! Facts: the immutable statements that orders are replicated as. A fact never changes; the state of a
+//! subject is derived from all facts about it.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Facts that one names as superseded at most. What is left out stays alive beside it, and the safer word holds.
-pub const MOST_OVER: usize = 16;
-/// Longest name of anything in a fact, in bytes: the site file's own bound.
-pub const LONGEST_NAME: usize = 64;
+/// Maximum number of facts that one fact names as superseded. Any others stay live beside it, and the most
+/// restrictive one applies.
+pub const MAX_SUPERSEDED: usize = 16;
+/// Maximum length of any name in a fact, in bytes; the same limit as in the site file.
+pub const MAX_NAME_LEN: usize = 64;
 
-/// One life of one forwarder. Start numbers grow; the salt tells two lives apart that took the same number, as two
-/// processes under one name do, or one whose state folder came back from an older copy.
+/// One run of one forwarder process. Start numbers increase with each start. The salt tells apart two runs
+/// that took the same number: two processes under one name, or a process whose state folder was restored
+/// from an older copy.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Run {
     /// The forwarder's name in `[peers]`.
     pub name: String,
-    /// Its start number.
+    /// The start number of the run.
     pub start: u64,
-    /// Drawn at the start.
+    /// Random number drawn when the process starts.
     pub salt: u64,
 }
 
@@ -28,12 +31,12 @@
     }
 }
 
-/// The name of a fact: the life that stated it, and its place in that life, from 1.
+/// The identifier of a fact: the run that stated it and its sequence number in that run, starting at 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Dot {
-    /// Who stated it.
+    /// The run that stated the fact.
     pub run: Run,
-    /// Its place.
+    /// Sequence number within the run.
     pub seq: u64,
 }
 
@@ -43,7 +46,7 @@
     }
 }
 
-/// What a fact is about.
+/// The subject of a fact.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// An endpoint, by its name.
@@ -55,7 +58,7 @@
 }
 
 impl Subject {
-    /// Its name.
+    /// The name of the endpoint, partner or network.
     pub fn name(&self) -> &str {
         let (Subject::Endpoint(name) | Subject::Partner(name) | Subject::Network(name)) = self;
         name
@@ -73,38 +76,38 @@
     }
 }
 
-/// What is said of a subject.
+/// What a fact says about its subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FactAction {
-    /// Nothing new goes there, or comes from there: a drain, a pause, a block.
+    /// Stops traffic to or from the subject: a drain, a pause or a block.
     Close {
-        /// For so long from when it was stated, in milliseconds; 0 until it is opened.
+        /// Duration in milliseconds from when the fact was stated; 0 means until it is opened again.
         for_ms: u64,
     },
-    /// The opposite.
+    /// Allows traffic to or from the subject again.
     Open,
-    /// The endpoint is no more.
+    /// Removes the endpoint.
     Remove,
-    /// The endpoint is there.
+    /// Adds the endpoint.
     Add {
-        /// Whose it is.
+        /// The partner that the endpoint belongs to.
         partner: String,
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
     },
 }
 
-/// What of a subject a word is about: the two are independent of one another.
+/// The aspect of a subject that a fact is about. The two aspects are independent of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Aspect {
-    /// Whether anything goes there.
+    /// Whether traffic flows to or from the subject.
     Flow,
-    /// Whether it exists.
+    /// Whether the subject exists.
     Presence,
 }
 
 impl FactAction {
-    /// What it is about.
+    /// The aspect of the subject that this is about.
     pub fn aspect(&self) -> Aspect {
         match self {
             FactAction::Close { .. } | FactAction::Open => Aspect::Flow,
@@ -112,13 +115,13 @@
         }
     }
 
-    /// Whether it makes things safer: such a word may be said by any forwarder alone, and holds against its opposite
-    /// that was said without knowledge of it.
+    /// Whether this stops or removes something. Any forwarder may state that on its own, and it prevails
+    /// over the opposite if that was stated without knowledge of it.
     pub fn is_restrictive(&self) -> bool {
         matches!(self, FactAction::Close { .. } | FactAction::Remove)
     }
 
-    /// In a word, for people.
+    /// Name for display and for the control protocol.
     pub fn name(&self) -> &'static str {
         match self {
             FactAction::Close { .. } => "close",
@@ -129,57 +132,62 @@
     }
 }
 
-/// A statement by one forwarder, with what it knew to stand against it.
+/// A statement by one forwarder, with the earlier facts that it supersedes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// Its name.
+    /// The identifier of the fact.
     pub dot: Dot,
-    /// Greater than that of every fact that its author knew: sorts concurrent ones for display, and settles ties.
+    /// Lamport timestamp: greater than that of every fact that the author knew. It orders concurrent facts
+    /// for display and breaks ties.
     pub lamport: u64,
-    /// When, by the author's wall clock, Unix time in microseconds. For people alone: clocks may be hours apart.
+    /// Wall clock of the author, in microseconds of Unix time. For display only: clocks may be hours apart.
     pub at: u64,
-    /// What it is about.
+    /// The subject of the fact.
     pub subject: Subject,
-    /// What it says.
+    /// What the fact says about its subject.
     #[serde(rename = "word")]
     pub action: FactAction,
-    /// The facts that it supersedes: those its author knew to hold.
+    /// The facts that this one supersedes: those that the author knew to be live.
     #[serde(rename = "over")]
     pub supersedes: Vec<Dot>,
 }
 
 impl Fact {
-    /// The first 8 bytes of the SHA-256 of its encoding: what digests are made of.
-    pub fn sum(&self) -> u64 {
-        // Encoding into memory fails for no value of these types; an empty one would be told as damage.
+    /// The first 8 bytes of the SHA-256 of the encoded fact. Ledger digests are computed from it.
+    pub fn short_hash(&self) -> u64 {
+        // Encoding into memory can't fail for these types; an empty encoding would be reported as a
+        // conflicting copy.
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
         let hash = Sha256::digest(bytes);
         u64::from_le_bytes(std::array::from_fn(|n| hash[n]))
     }
 
-    /// Whether it is within its bounds, as everything must be that comes from elsewhere.
-    pub fn is_sound(&self) -> bool {
-        let short = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
-        let word = match &self.action {
-            FactAction::Add { partner, .. } => short(partner),
+    /// Whether all lengths and combinations are within bounds. Every fact received from elsewhere must be
+    /// checked.
+    pub fn is_valid(&self) -> bool {
+        let valid_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_LEN;
+        let partner_valid = match &self.action {
+            FactAction::Add { partner, .. } => valid_name(partner),
             _ => true,
         };
-        let subject = match (&self.subject, self.action.aspect()) {
-            (_, Aspect::Flow) | (Subject::Endpoint(_), Aspect::Presence) => short(self.subject.name()),
+        let subject_valid = match (&self.subject, self.action.aspect()) {
+            (_, Aspect::Flow) | (Subject::Endpoint(_), Aspect::Presence) => valid_name(self.subject.name()),
             _ => false,
         };
-        let dots = self.supersedes.iter().all(|d| short(&d.run.name) && d.seq > 0);
-        word && subject
-            && dots
-            && short(&self.dot.run.name)
+        let superseded_valid = self.supersedes.iter().all(|d| valid_name(&d.run.name) && d.seq > 0);
+        partner_valid
+            && subject_valid
+            && superseded_valid
+            && valid_name(&self.dot.run.name)
             && self.dot.seq > 0
-            && self.supersedes.len() <= MOST_OVER
+            && self.supersedes.len() <= MAX_SUPERSEDED
     }
 
-    /// Which of two copies under one name counts while the author can't be asked: the safer one, at a tie the one of
-    /// the lower sum. Every forwarder comes to the same.
-    pub fn counts_over(&self, other: &Fact) -> bool {
-        let rank = |f: &Fact| (!f.action.is_restrictive(), f.sum());
+    /// Whether this copy is used rather than `other` with the same identifier while the author can't be
+    /// asked: the more restrictive copy wins, and on a tie the one with the lower hash. Every forwarder
+    /// comes to the same decision.
+    pub fn wins_over(&self, other: &Fact) -> bool {
+        let rank = |f: &Fact| (!f.action.is_restrictive(), f.short_hash());
         rank(self) < rank(other)
     }
 }
--- a/crates/peers/src/hints.rs
+++ b/crates/peers/src/hints.rs
@@ -1,62 +1,68 @@
-//! What partners have told others: waits. Hints only: a reason to hold off, never one to send.
+//! Wait hints: waits that partners have requested from other forwarders. A hint may only delay sending,
+//! never cause it.
 //!
-//! They are spans, never points in time: what a datagram was under way longer than others of its life comes off. A
-//! forwarder that lies, or is broken, holds a partner off here for half of the time at most: after a hold by its hint it is
-//! not heard on that partner for as long as it has held.
+//! Hints carry durations, never points in time; the time by which a datagram was later than others of its
+//! session is subtracted. A forwarder that is faulty or lies can hold back a partner here for at most half
+//! of the time: after a hold caused by its hint, its hints on that partner are ignored for as long as the
+//! hold lasted.
 
 use std::collections::BTreeMap;
 
 /// Longest hold by one hint, in milliseconds.
-pub const LONGEST: u64 = 10_000;
-/// Hints in one datagram that are looked at.
-pub const MOST: usize = 64;
-/// A hint that holds for less than this is not worth telling.
-pub const LEAST: u64 = 20;
+pub const MAX_HOLD_MS: u64 = 10_000;
+/// Maximum number of hints read from one datagram.
+pub const MAX_HINTS: usize = 64;
+/// Shortest wait that is worth sending, in milliseconds.
+pub const MIN_WAIT_MS: u64 = 20;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
-    /// Held by its hints until then.
-    until: u64,
-    /// Not heard before then.
-    deaf: u64,
+struct HintState {
+    /// Hints of this member hold the partner until then.
+    held_until: u64,
+    /// Hints of this member on the partner are ignored until then.
+    ignored_until: u64,
 }
 
-/// The hints of all others, by member and partner.
+/// Hints from all other members, by member and partner.
 #[derive(Debug, Default)]
-pub struct Hints {
-    heard: BTreeMap<(usize, u32), Heard>,
+pub struct WaitHints {
+    states: BTreeMap<(usize, u32), HintState>,
 }
 
-impl Hints {
-    /// Partners that are remembered of one member at most.
-    const PARTNERS: usize = 2_048;
+impl WaitHints {
+    /// Maximum number of partners remembered per member.
+    const MAX_PARTNERS: usize = 2_048;
 
-    /// A member says that a partner has told it to wait for so long yet. Gives until when to hold off, if that is longer than
-    /// by what it said before.
-    pub fn wait(&mut self, now: u64, from: usize, partner: u32, left: u64) -> Option<u64> {
-        if left < LEAST {
+    /// Applies a hint from a member that a partner has asked it to wait for `left_ms` more. Returns until
+    /// when to hold the partner, if that is later than by this member's earlier hints.
+    pub fn apply(&mut self, now: u64, from: usize, partner: u32, left_ms: u64) -> Option<u64> {
+        if left_ms < MIN_WAIT_MS {
             return None;
         }
-        self.heard.retain(|_, h| h.until.max(h.deaf) > now);
-        let known = self.heard.range((from, 0)..=(from, u32::MAX)).count();
-        if known >= Self::PARTNERS && !self.heard.contains_key(&(from, partner)) {
+        self.states.retain(|_, s| s.held_until.max(s.ignored_until) > now);
+        let known = self.states.range((from, 0)..=(from, u32::MAX)).count();
+        if known >= Self::MAX_PARTNERS && !self.states.contains_key(&(from, partner)) {
             return None;
         }
-        let heard = self.heard.entry((from, partner)).or_default();
-        if now < heard.deaf && now >= heard.until {
+        let state = self.states.entry((from, partner)).or_default();
+        if now < state.ignored_until && now >= state.held_until {
             return None;
         }
-        let until = now + left.min(LONGEST);
-        if until <= heard.until {
+        let until = now + left_ms.min(MAX_HOLD_MS);
+        if until <= state.held_until {
             return None;
         }
-        // A hold that goes on is one hold: its rest is as long as all of it.
-        let begun = if heard.until > now { 2 * heard.until - heard.deaf.max(heard.until) } else { now };
-        if until.saturating_sub(begun) > LONGEST {
+        // Extensions count as one hold: the pause that follows is as long as the whole of it.
+        let started = if state.held_until > now {
+            2 * state.held_until - state.ignored_until.max(state.held_until)
+        } else {
+            now
+        };
+        if until.saturating_sub(started) > MAX_HOLD_MS {
             return None;
         }
-        heard.until = until;
-        heard.deaf = until + (until - begun);
+        state.held_until = until;
+        state.ignored_until = until + (until - started);
         Some(until)
     }
 }
@@ -65,13 +71,13 @@
 mod tests {
     use super::*;
 
-    /// The time in which a partner is held off by one that says all the time that it is to wait.
-    fn held(every: u64, left: u64) -> f64 {
-        let (mut hints, mut until, mut held) = (Hints::default(), 0, 0);
+    /// The share of time for which a partner is held by a member that sends hints all the time.
+    fn share_held(interval_ms: u64, left_ms: u64) -> f64 {
+        let (mut hints, mut until, mut held) = (WaitHints::default(), 0, 0);
         let span = 200_000;
         for now in 0..span {
-            if now % every == 0 {
-                until = hints.wait(now, 1, 7, left).unwrap_or(until).max(until);
+            if now % interval_ms == 0 {
+                until = hints.apply(now, 1, 7, left_ms).unwrap_or(until).max(until);
             }
             held += u64::from(now < until);
         }
@@ -79,25 +85,25 @@
     }
 
     #[test]
-    fn a_member_that_lies_holds_a_partner_off_for_half_of_the_time_at_most() {
-        for (every, left) in
+    fn a_lying_member_holds_a_partner_for_at_most_half_of_the_time() {
+        for (interval_ms, left_ms) in
             [(1, 30), (1, 400), (1, u64::MAX), (50, 400), (500, 400), (1_000, 60_000), (7, 9_999)]
         {
-            let share = held(every, left);
-            assert!(share <= 0.52, "{left} ms every {every} ms: {share}");
-            assert!(share > 0.2, "{left} ms every {every} ms: {share}");
+            let share = share_held(interval_ms, left_ms);
+            assert!(share <= 0.52, "{left_ms} ms every {interval_ms} ms: {share}");
+            assert!(share > 0.2, "{left_ms} ms every {interval_ms} ms: {share}");
         }
     }
 
     #[test]
-    fn hints_of_others_count_beside_and_short_ones_do_not() {
-        let mut hints = Hints::default();
-        assert_eq!(hints.wait(100, 1, 7, 400), Some(500));
-        assert_eq!(hints.wait(200, 1, 7, 100), None, "shorter than what was said");
-        assert_eq!(hints.wait(200, 2, 7, 400), Some(600));
-        assert_eq!(hints.wait(200, 1, 8, 400), Some(600));
-        assert_eq!(hints.wait(200, 1, 9, LEAST - 1), None);
-        assert_eq!(hints.wait(700, 1, 7, 400), None, "it is not heard for as long as it held");
-        assert_eq!(hints.wait(900, 1, 7, 400), Some(1_300));
+    fn hints_of_members_count_independently_and_short_ones_are_ignored() {
+        let mut hints = WaitHints::default();
+        assert_eq!(hints.apply(100, 1, 7, 400), Some(500));
+        assert_eq!(hints.apply(200, 1, 7, 100), None, "shorter than the earlier hint");
+        assert_eq!(hints.apply(200, 2, 7, 400), Some(600));
+        assert_eq!(hints.apply(200, 1, 8, 400), Some(600));
+        assert_eq!(hints.apply(200, 1, 9, MIN_WAIT_MS - 1), None);
+        assert_eq!(hints.apply(700, 1, 7, 400), None, "ignored for as long as the hold lasted");
+        assert_eq!(hints.apply(900, 1, 7, 400), Some(1_300));
     }
 }
--- a/crates/peers/src/ledger.rs
+++ b/crates/peers/src/ledger.rs
@@ -1,129 +1,139 @@
-//! All facts that this forwarder knows, and what follows from them.
+//! The replicated ledger: all facts that this forwarder knows and the state derived from them.
 //!
-//! Facts are a set that only grows, so that merging is the union and the order in which they come is nothing. A fact
-//! is *alive* until one comes that names it as superseded. What holds for a subject follows from the facts that are
-//! alive; of several that were stated without knowledge of one another the safer holds.
+//! Facts form a grow-only set, so merging is set union and the order of arrival does not matter. A fact is
+//! *live* until a fact arrives that names it as superseded. The state of a subject follows from its live
+//! facts; of several that were stated concurrently, the most restrictive one applies.
 //!
-//! Dead facts are dropped after a horizon. That one was there is still known: of each life the ledger has the place
-//! up to which it has seen everything (`upto`) and the highest place that it has dropped (`floor`). Whoever brings
-//! such a fact back has been away beyond the horizon: his copy is laid aside.
+//! Superseded facts are dropped after a horizon. The ledger still knows that they existed: for each run it
+//! keeps the sequence number up to which it has seen every fact (`complete_to`) and the highest one that it
+//! has dropped (`dropped_to`). A forwarder that presents a dropped fact again has been away beyond the
+//! horizon, and its copy is discarded.
 
-use crate::fact::{Aspect, Dot, Fact, FactAction, Run, Subject, MOST_OVER};
+use crate::fact::{Aspect, Dot, Fact, FactAction, Run, Subject, MAX_SUPERSEDED};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Groups of lives by which digests are compared.
+/// Number of buckets into which runs are grouped for comparing digests.
 pub const BUCKETS: usize = 16;
-/// Facts that a ledger holds at most: some megabytes. Beyond that new orders are refused until old ones are dropped.
-pub const MOST_FACTS: usize = 16_384;
-/// Lives of one forwarder that are remembered one by one; of older ones only that they are over.
-const MOST_RUNS: usize = 32;
-
-/// A fact as it is kept.
+/// Maximum number of facts in a ledger, some megabytes. Beyond it new orders are refused until old facts
+/// are dropped.
+pub const MAX_FACTS: usize = 16_384;
+/// Runs of one forwarder that are tracked individually. For older ones only the fact that they are over is
+/// kept.
+const MAX_TRACKED_RUNS: usize = 32;
+
+/// A fact as stored in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Kept {
+struct StoredFact {
     fact: Fact,
-    sum: u64,
-    /// Since when it has been dead here, on the local monotonic clock, less the age that it had at the start.
-    dead_since: Option<i64>,
+    hash: u64,
+    /// When it was superseded, by the local monotonic clock; facts restored from disk count the time before
+    /// the start as well.
+    superseded_since: Option<i64>,
 }
 
-/// One life's facts.
+/// The facts of one run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Line {
-    upto: u64,
-    floor: u64,
-    facts: BTreeMap<u64, Kept>,
+struct RunFacts {
+    complete_to: u64,
+    dropped_to: u64,
+    facts: BTreeMap<u64, StoredFact>,
 }
 
-/// A life as one forwarder tells another of it: a stretch of places, and what there is in it.
+/// A range of one run as a forwarder summarizes it for another: sequence numbers and the facts that exist
+/// in the range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stretch {
-    /// Whose.
+pub struct RunRange {
+    /// The run.
     pub run: Run,
-    /// The first place that is told of, and the last one that is known in full; the life may have gone on.
+    /// First sequence number of the range. `to` is the last one up to which the sender has seen every fact;
+    /// the run may have gone on.
     pub from: u64,
     /// See `from`.
     pub to: u64,
-    /// The highest place up to which facts were dropped.
-    pub floor: u64,
-    /// Places where there is a fact, with the low half of its sum and whether it is alive.
-    pub there: Vec<(u64, u32, bool)>,
+    /// The highest sequence number up to which facts were dropped.
+    #[serde(rename = "floor")]
+    pub dropped_to: u64,
+    /// Facts in the range: sequence number, low half of the hash, and whether the fact is live.
+    #[serde(rename = "there")]
+    pub facts: Vec<(u64, u32, bool)>,
 }
 
-/// What came of a fact that was taken in.
+/// Result of inserting a fact.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It is new.
+pub enum InsertResult {
+    /// The fact was new.
     New,
-    /// It was known.
-    Known,
-    /// It was known once, and has been dropped: not taken.
-    Dropped,
-    /// Another content stands under its name: neither is merged until its author has been asked.
-    Damaged,
-    /// There is no room.
+    /// The fact was already known.
+    Duplicate,
+    /// The fact was known before and has been dropped; it was not inserted.
+    AlreadyDropped,
+    /// Another content is stored under the same identifier. The fact is not merged until its author has
+    /// been asked.
+    Conflict,
+    /// The ledger is full.
     Full,
 }
 
-/// What a comparison with another ledger has shown.
+/// Result of comparing with the summary of another ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Compared {
-    /// Facts that are lacking here.
-    pub lacking: Vec<Dot>,
+pub struct Comparison {
+    /// Facts that are missing here.
+    pub missing: Vec<Dot>,
     /// Facts whose content differs.
-    pub damaged: Vec<Dot>,
-    /// Facts that are laid aside: the other has dropped them as dead, and they were alive here.
-    pub aside: Vec<Fact>,
-    /// Subjects of facts that were alive here, and have been found to be superseded.
-    pub died: BTreeSet<Subject>,
-    /// What is known in full has grown.
+    pub conflicting: Vec<Dot>,
+    /// Facts that were live here but that the other forwarder has dropped as superseded; they are
+    /// discarded.
+    pub discarded: Vec<Fact>,
+    /// Subjects of facts that were live here and turned out to be superseded.
+    pub superseded_subjects: BTreeSet<Subject>,
+    /// Whether the range of fully known sequence numbers has grown.
     pub advanced: bool,
 }
 
-/// Whether anything goes to a subject.
+/// The state of a subject by its live facts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubjectState {
-    /// It is closed by this fact.
+    /// The fact that closes it, if any.
     pub closed: Option<Fact>,
-    /// An order has opened it, and none that did not know of that has closed it.
+    /// An order has opened it, and no concurrent order has closed it.
     pub opened: bool,
-    /// An order has said that it is gone, or where it is; none if only site files tell of it.
+    /// Whether an order has removed or added it; `None` if only the site files mention it.
     pub presence: Option<Presence>,
-    /// Facts that contradict each other are alive: they were stated without knowledge of one another.
+    /// Live facts contradict each other: they were stated without knowledge of one another.
     pub contested: bool,
 }
 
-/// Whether an endpoint exists.
+/// Whether an endpoint exists, by the orders given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It has been removed.
+    /// The endpoint was removed.
     Removed,
-    /// It has been added.
+    /// The endpoint was added.
     Added {
-        /// Whose it is.
+        /// The partner that the endpoint belongs to.
         partner: String,
-        /// Where it listens.
+        /// The address on which it listens.
         address: std::net::SocketAddr,
     },
 }
 
-/// Everything that a ledger knows, as a store keeps it.
+/// The ledger's bookkeeping apart from the facts themselves, as written to the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Extent {
-    /// By life: known in full up to, dropped up to.
+pub struct Watermarks {
+    /// For each run: all facts are known up to this number, and facts were dropped up to that one.
     pub runs: Vec<(Run, u64, u64)>,
-    /// By forwarder: lives up to this start number are over and forgotten.
+    /// For each forwarder: runs up to this start number are over and no longer tracked.
     pub retired: Vec<(String, u64)>,
 }
 
-/// The facts. See the module's page.
+/// The set of facts; see the module documentation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
-    runs: BTreeMap<Run, Line>,
-    /// Facts by what they are about.
+    runs: BTreeMap<Run, RunFacts>,
+    /// Identifiers of facts by subject and aspect.
     subjects: BTreeMap<(Subject, Aspect), BTreeSet<Dot>>,
-    /// Named as superseded by some fact that is or was known.
+    /// Facts named as superseded by any fact that is or was known.
     superseded: BTreeSet<Dot>,
     retired: BTreeMap<String, u64>,
     lamport: u64,
@@ -131,105 +141,109 @@
 }
 
 impl Ledger {
-    /// Facts that it holds.
+    /// The number of facts.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether it holds none.
+    /// Whether the ledger has no facts.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// What it knows, beside the facts.
-    pub fn extent(&self) -> Extent {
-        Extent {
-            runs: self.runs.iter().map(|(run, l)| (run.clone(), l.upto, l.floor)).collect(),
+    /// The bookkeeping to store beside the facts.
+    pub fn watermarks(&self) -> Watermarks {
+        Watermarks {
+            runs: self.runs.iter().map(|(run, l)| (run.clone(), l.complete_to, l.dropped_to)).collect(),
             retired: self.retired.iter().map(|(name, start)| (name.clone(), *start)).collect(),
         }
     }
 
-    /// Takes an extent up that a store has kept. Places whose facts did not come back with it are wanted again.
+    /// Restores bookkeeping from a store. Facts that are missing although it covers them are requested
+    /// again from others.
     ///
-    /// Call it after [`Ledger::take`] of every fact that was kept. `lost` are names of facts that were kept and could
-    /// not be read.
-    pub fn restore(&mut self, extent: Extent, lost: &[Dot]) {
-        for (run, upto, floor) in extent.runs {
-            let least = lost.iter().filter(|d| d.run == run).map(|d| d.seq).min();
-            let line = self.runs.entry(run).or_default();
-            line.upto = line.upto.max(least.map_or(upto, |seq| upto.min(seq - 1)));
-            line.floor = line.floor.max(floor.min(line.upto));
+    /// Call this after [`Ledger::take`] of every stored fact. `unreadable` lists facts that were stored but
+    /// could not be read.
+    pub fn restore(&mut self, watermarks: Watermarks, unreadable: &[Dot]) {
+        for (run, complete_to, dropped_to) in watermarks.runs {
+            let first_unreadable = unreadable.iter().filter(|d| d.run == run).map(|d| d.seq).min();
+            let entry = self.runs.entry(run).or_default();
+            entry.complete_to =
+                entry.complete_to.max(first_unreadable.map_or(complete_to, |seq| complete_to.min(seq - 1)));
+            entry.dropped_to = entry.dropped_to.max(dropped_to.min(entry.complete_to));
         }
-        self.retired.extend(extent.retired);
+        self.retired.extend(watermarks.retired);
     }
 
-    /// The next fact of a life, not taken in yet. It supersedes what is known to hold.
-    pub fn compose(&self, run: &Run, at: u64, subject: Subject, word: FactAction) -> Fact {
-        let over = self.alive(&subject, word.aspect()).map(|k| k.fact.dot.clone()).take(MOST_OVER).collect();
-        self.compose_over(run, at, subject, word, over)
+    /// Creates the next fact of a run without inserting it. It supersedes all live facts known here.
+    pub fn compose(&self, run: &Run, at: u64, subject: Subject, action: FactAction) -> Fact {
+        let superseded =
+            self.live(&subject, action.aspect()).map(|k| k.fact.dot.clone()).take(MAX_SUPERSEDED).collect();
+        self.compose_superseding(run, at, subject, action, superseded)
     }
 
-    /// The same, with what it supersedes named.
-    pub fn compose_over(
-        &self, run: &Run, at: u64, subject: Subject, word: FactAction, over: Vec<Dot>,
+    /// Like [`Ledger::compose`], with the superseded facts given.
+    pub fn compose_superseding(
+        &self, run: &Run, at: u64, subject: Subject, action: FactAction, superseded: Vec<Dot>,
     ) -> Fact {
         let seq =
-            self.runs.get(run).map_or(0, |l| l.facts.keys().last().copied().unwrap_or(0).max(l.upto)) + 1;
+            self.runs.get(run).map_or(0, |l| l.facts.keys().last().copied().unwrap_or(0).max(l.complete_to))
+                + 1;
         Fact {
             dot: Dot { run: run.clone(), seq },
             lamport: self.lamport + 1,
             at,
             subject,
-            action: word,
-            supersedes: over,
+            action,
+            supersedes: superseded,
         }
     }
 
-    /// A fact by its name.
+    /// Looks up a fact by its identifier.
     pub fn get(&self, dot: &Dot) -> Option<&Fact> {
         self.kept(dot).map(|k| &k.fact)
     }
 
-    fn kept(&self, dot: &Dot) -> Option<&Kept> {
+    fn kept(&self, dot: &Dot) -> Option<&StoredFact> {
         self.runs.get(&dot.run)?.facts.get(&dot.seq)
     }
 
-    /// Whether a fact holds its subject: nobody has superseded it.
-    pub fn is_alive(&self, dot: &Dot) -> bool {
+    /// Whether a fact is known and not superseded.
+    pub fn is_live(&self, dot: &Dot) -> bool {
         !self.superseded.contains(dot) && self.kept(dot).is_some()
     }
 
-    /// Whether some fact that is or was known names it as superseded.
+    /// Whether any fact that is or was known names this one as superseded.
     pub fn is_superseded(&self, dot: &Dot) -> bool {
         self.superseded.contains(dot)
     }
 
-    fn alive(&self, subject: &Subject, aspect: Aspect) -> impl Iterator<Item = &Kept> {
+    fn live(&self, subject: &Subject, aspect: Aspect) -> impl Iterator<Item = &StoredFact> {
         let dots = self.subjects.get(&(subject.clone(), aspect)).into_iter().flatten();
         dots.filter(|d| !self.superseded.contains(d)).filter_map(|d| self.kept(d))
     }
 
-    /// The facts about a subject that hold.
+    /// The live facts about a subject.
     pub fn live_facts(&self, subject: &Subject) -> Vec<Fact> {
         let both = [Aspect::Flow, Aspect::Presence];
-        both.iter().flat_map(|aspect| self.alive(subject, *aspect)).map(|k| k.fact.clone()).collect()
+        both.iter().flat_map(|aspect| self.live(subject, *aspect)).map(|k| k.fact.clone()).collect()
     }
 
-    /// Every subject that something is known of.
+    /// Every subject that any fact is about.
     pub fn subjects(&self) -> BTreeSet<Subject> {
         self.subjects.keys().map(|(subject, _)| subject.clone()).collect()
     }
 
-    /// Every fact, with the time for which it has been dead.
+    /// Every fact, with the milliseconds since it was superseded.
     pub fn facts(&self, now: u64) -> impl Iterator<Item = (&Fact, Option<u64>)> {
         let kept = self.runs.values().flat_map(|l| l.facts.values());
-        kept.map(move |k| (&k.fact, k.dead_since.map(|since| (now as i64 - since).max(0) as u64)))
+        kept.map(move |k| (&k.fact, k.superseded_since.map(|since| (now as i64 - since).max(0) as u64)))
     }
 
-    /// What holds for a subject.
+    /// The state of a subject.
     pub fn subject_state(&self, subject: &Subject) -> SubjectState {
         let strongest = |aspect| {
-            let mut all: Vec<&Kept> = self.alive(subject, aspect).collect();
+            let mut all: Vec<&StoredFact> = self.live(subject, aspect).collect();
             all.sort_by_key(|k| (!k.fact.action.is_restrictive(), u64::MAX - k.fact.lamport, &k.fact.dot));
             let contested = all.iter().any(|k| k.fact.action != all[0].fact.action);
             (all.first().map(|k| &k.fact), contested)
@@ -249,25 +263,25 @@
         }
     }
 
-    /// Whether a name is of a fact that was known and has been dropped.
-    fn has_dropped(&self, dot: &Dot) -> bool {
+    /// Whether the identifier belongs to a fact that was known and has been dropped.
+    fn was_dropped(&self, dot: &Dot) -> bool {
         match self.runs.get(&dot.run) {
-            Some(line) => dot.seq <= line.upto && !line.facts.contains_key(&dot.seq),
+            Some(entry) => dot.seq <= entry.complete_to && !entry.facts.contains_key(&dot.seq),
             None => self.retired.get(&dot.run.name).is_some_and(|start| dot.run.start <= *start),
         }
     }
 
-    /// Takes a fact in; `dead_ms` is for how long it was dead already, for one that a store gives back.
-    pub fn take(&mut self, fact: Fact, now: u64, dead_ms: Option<u64>) -> Taken {
-        let sum = fact.sum();
+    /// Inserts a fact. `superseded_ms` is how long it had been superseded when a store returned it.
+    pub fn insert(&mut self, fact: Fact, now: u64, superseded_ms: Option<u64>) -> InsertResult {
+        let hash = fact.short_hash();
         if let Some(kept) = self.kept(&fact.dot) {
-            return if kept.sum == sum { Taken::Known } else { Taken::Damaged };
+            return if kept.hash == hash { InsertResult::Duplicate } else { InsertResult::Conflict };
         }
-        if self.has_dropped(&fact.dot) {
-            return Taken::Dropped;
+        if self.was_dropped(&fact.dot) {
+            return InsertResult::AlreadyDropped;
         }
-        if self.count >= MOST_FACTS {
-            return Taken::Full;
+        if self.count >= MAX_FACTS {
+            return InsertResult::Full;
         }
         self.lamport = self.lamport.max(fact.lamport);
         let subject = (fact.subject.clone(), fact.action.aspect());
@@ -275,42 +289,42 @@
         for dot in &fact.supersedes {
             self.supersede(dot.clone(), now);
         }
-        if dead_ms.is_some() {
-            // What has superseded it may have been dropped before.
+        if superseded_ms.is_some() {
+            // The fact that superseded it may have been dropped already.
             self.superseded.insert(fact.dot.clone());
         }
-        let dead = self.superseded.contains(&fact.dot);
-        let dead_since = dead.then(|| now as i64 - dead_ms.unwrap_or(0) as i64);
-        let line = self.runs.entry(fact.dot.run.clone()).or_default();
-        line.facts.insert(fact.dot.seq, Kept { fact, sum, dead_since });
+        let superseded = self.superseded.contains(&fact.dot);
+        let superseded_since = superseded.then(|| now as i64 - superseded_ms.unwrap_or(0) as i64);
+        let entry = self.runs.entry(fact.dot.run.clone()).or_default();
+        entry.facts.insert(fact.dot.seq, StoredFact { fact, hash, superseded_since });
         self.count += 1;
-        while line.facts.contains_key(&(line.upto + 1)) {
-            line.upto += 1;
+        while entry.facts.contains_key(&(entry.complete_to + 1)) {
+            entry.complete_to += 1;
         }
-        Taken::New
+        InsertResult::New
     }
 
     fn supersede(&mut self, dot: Dot, now: u64) {
-        if self.has_dropped(&dot) {
+        if self.was_dropped(&dot) {
             return;
         }
         if let Some(kept) = self.runs.get_mut(&dot.run).and_then(|l| l.facts.get_mut(&dot.seq)) {
-            kept.dead_since.get_or_insert(now as i64);
+            kept.superseded_since.get_or_insert(now as i64);
         }
         self.superseded.insert(dot);
     }
 
-    /// Puts the author's own word in the place of a copy that was damaged, or the one that counts where he is gone.
+    /// Replaces a conflicting copy with the author's, or with the copy that wins if the author is gone.
     pub fn replace(&mut self, fact: Fact, now: u64) {
-        self.forget(&fact.dot);
-        self.take(fact, now, None);
+        self.remove(&fact.dot);
+        self.insert(fact, now, None);
     }
 
-    /// Takes a fact out again without a trace that it was there. What it superseded stays so.
-    fn forget(&mut self, dot: &Dot) -> Option<Fact> {
-        let line = self.runs.get_mut(&dot.run)?;
-        let kept = line.facts.remove(&dot.seq)?;
-        line.upto = line.upto.min(dot.seq - 1);
+    /// Removes a fact as if it had never been known. Facts that it superseded stay superseded.
+    fn remove(&mut self, dot: &Dot) -> Option<Fact> {
+        let entry = self.runs.get_mut(&dot.run)?;
+        let kept = entry.facts.remove(&dot.seq)?;
+        entry.complete_to = entry.complete_to.min(dot.seq - 1);
         self.count -= 1;
         let subject = (kept.fact.subject.clone(), kept.fact.action.aspect());
         if let Some(dots) = self.subjects.get_mut(&subject) {
@@ -322,51 +336,56 @@
         Some(kept.fact)
     }
 
-    /// Drops a fact for good, so that it is known to have been there.
+    /// Drops a fact for good and records that it existed.
     fn drop_fact(&mut self, dot: &Dot) -> Option<Fact> {
-        let upto = self.runs.get(&dot.run)?.upto;
-        let fact = self.forget(dot)?;
-        let line = self.runs.get_mut(&dot.run)?;
-        if dot.seq <= upto {
-            line.upto = upto;
-            line.floor = line.floor.max(dot.seq);
+        let complete_to = self.runs.get(&dot.run)?.complete_to;
+        let fact = self.remove(dot)?;
+        let entry = self.runs.get_mut(&dot.run)?;
+        if dot.seq <= complete_to {
+            entry.complete_to = complete_to;
+            entry.dropped_to = entry.dropped_to.max(dot.seq);
         }
         self.superseded.remove(dot);
         Some(fact)
     }
 
-    /// Drops what has been dead for longer than the horizon, in milliseconds; gives the names. Only what is known in
-    /// full before it goes: a place that is still awaited must not look dropped.
-    pub fn drop_dead(&mut self, now: u64, horizon: u64) -> Vec<Dot> {
-        let old = |k: &Kept| k.dead_since.is_some_and(|since| now as i64 - since >= horizon as i64);
+    /// Drops facts that were superseded longer ago than the horizon, in milliseconds, and returns their
+    /// identifiers. Only facts within the fully known range are dropped: a sequence number that is still
+    /// awaited must not look dropped.
+    pub fn drop_expired(&mut self, now: u64, horizon_ms: u64) -> Vec<Dot> {
+        let old =
+            |k: &StoredFact| k.superseded_since.is_some_and(|since| now as i64 - since >= horizon_ms as i64);
         let mut dots = Vec::new();
-        for line in self.runs.values() {
-            let known = line.facts.range(..=line.upto).map(|(_, k)| k);
+        for entry in self.runs.values() {
+            let known = entry.facts.range(..=entry.complete_to).map(|(_, k)| k);
             dots.extend(known.filter(|k| old(k)).map(|k| k.fact.dot.clone()));
         }
         for dot in &dots {
             self.drop_fact(dot);
         }
-        // Marks of what never came would pile up.
+        // Remove entries for facts that never arrived; they would accumulate.
         let runs = &self.runs;
-        self.superseded
-            .retain(|d| runs.get(&d.run).is_none_or(|l| d.seq > l.upto || l.facts.contains_key(&d.seq)));
-        self.retire();
+        self.superseded.retain(|d| {
+            runs.get(&d.run).is_none_or(|l| d.seq > l.complete_to || l.facts.contains_key(&d.seq))
+        });
+        self.stop_tracking_old_runs();
         dots
     }
 
-    /// Forgets lives that have nothing alive any more, the oldest first, where a forwarder has had many.
-    fn retire(&mut self) {
+    /// Stops tracking the oldest runs without facts where a forwarder has had more than the maximum number
+    /// of runs.
+    fn stop_tracking_old_runs(&mut self) {
         let mut by_name: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
         for run in self.runs.keys() {
             by_name.entry(&run.name).or_default().push(run);
         }
-        let mut over: Vec<Run> = Vec::new();
-        for runs in by_name.into_values().filter(|runs| runs.len() > MOST_RUNS) {
-            let empty = runs[..runs.len() - MOST_RUNS].iter().take_while(|r| self.runs[**r].facts.is_empty());
-            over.extend(empty.map(|r| Run::clone(r)));
+        let mut ended: Vec<Run> = Vec::new();
+        for runs in by_name.into_values().filter(|runs| runs.len() > MAX_TRACKED_RUNS) {
+            let empty =
+                runs[..runs.len() - MAX_TRACKED_RUNS].iter().take_while(|r| self.runs[**r].facts.is_empty());
+            ended.extend(empty.map(|r| Run::clone(r)));
         }
-        for run in over {
+        for run in ended {
             self.runs.remove(&run);
             let start = self.retired.entry(run.name).or_default();
             *start = run.start.max(*start);
@@ -377,93 +396,101 @@
         run.name.bytes().fold(0usize, |sum, b| sum.wrapping_mul(31).wrapping_add(b as usize)) % BUCKETS
     }
 
-    /// One sum for each bucket, of the facts that are alive. Two ledgers with the same sums come to the same verdicts.
+    /// One hash per bucket over the live facts. Two ledgers with the same digest derive the same state for
+    /// every subject.
     pub fn digest(&self) -> [u64; BUCKETS] {
-        let mut sums = [0u64; BUCKETS];
-        for (run, line) in &self.runs {
-            for kept in line.facts.values().filter(|k| k.dead_since.is_none()) {
-                sums[Self::bucket(run)] ^= kept.sum;
+        let mut hashes = [0u64; BUCKETS];
+        for (run, entry) in &self.runs {
+            for kept in entry.facts.values().filter(|k| k.superseded_since.is_none()) {
+                hashes[Self::bucket(run)] ^= kept.hash;
             }
         }
-        sums
+        hashes
     }
 
-    /// What it has in a bucket, in pieces of so many places at most. Each piece stands for itself: one that is lost
-    /// is told again with the next comparison, and what came of the others stays.
-    pub fn summary(&self, bucket: usize, piece: usize) -> Vec<Stretch> {
-        let mut stretches = Vec::new();
-        for (run, line) in self.runs.iter().filter(|(run, _)| Self::bucket(run) == bucket) {
-            let told = |(seq, k): (&u64, &Kept)| (*seq, k.sum as u32, k.dead_since.is_none());
-            let all: Vec<(u64, u32, bool)> = line.facts.iter().map(told).collect();
+    /// Summarizes a bucket in ranges of at most `max_facts` facts. Each range can be compared alone: a lost
+    /// one is sent again with the next comparison, and the results of the others remain.
+    pub fn summarize(&self, bucket: usize, max_facts: usize) -> Vec<RunRange> {
+        let mut ranges = Vec::new();
+        for (run, entry) in self.runs.iter().filter(|(run, _)| Self::bucket(run) == bucket) {
+            let describe =
+                |(seq, k): (&u64, &StoredFact)| (*seq, k.hash as u32, k.superseded_since.is_none());
+            let all: Vec<(u64, u32, bool)> = entry.facts.iter().map(describe).collect();
             let mut from = 1;
-            let mut chunks = all.chunks(piece.max(1)).peekable();
+            let mut chunks = all.chunks(max_facts.max(1)).peekable();
             loop {
-                let there = chunks.next().unwrap_or(&[]).to_vec();
+                let facts = chunks.next().unwrap_or(&[]).to_vec();
                 let last = chunks.peek().is_none();
-                let end = there.last().map_or(0, |(seq, ..)| *seq);
-                let to = if last { line.upto.max(from - 1) } else { end.min(line.upto.max(from - 1)) };
-                stretches.push(Stretch { run: run.clone(), from, to, floor: line.floor, there });
+                let end = facts.last().map_or(0, |(seq, ..)| *seq);
+                let to = if last {
+                    entry.complete_to.max(from - 1)
+                } else {
+                    end.min(entry.complete_to.max(from - 1))
+                };
+                ranges.push(RunRange { run: run.clone(), from, to, dropped_to: entry.dropped_to, facts });
                 if last {
                     break;
                 }
                 from = end + 1;
             }
         }
-        stretches
+        ranges
     }
 
-    /// Compares with what another has told of a life.
-    pub fn compare(&mut self, told: &Stretch, now: u64) -> Compared {
-        let mut seen = Compared::default();
-        let Stretch { run, from, to, floor, there } = told;
+    /// Compares with a range summarized by another forwarder.
+    pub fn compare(&mut self, theirs: &RunRange, now: u64) -> Comparison {
+        let mut comparison = Comparison::default();
+        let RunRange { run, from, to, dropped_to, facts: listed_facts } = theirs;
         let dot = |seq: u64| Dot { run: run.clone(), seq };
         if !self.runs.contains_key(run) {
             if self.retired.get(&run.name).is_some_and(|start| run.start <= *start) {
-                return seen;
+                return comparison;
             }
-            if *to == 0 && there.is_empty() {
-                return seen;
+            if *to == 0 && listed_facts.is_empty() {
+                return comparison;
             }
-            self.runs.insert(run.clone(), Line::default());
+            self.runs.insert(run.clone(), RunFacts::default());
         }
-        let line = &self.runs[run];
-        let mut died = Vec::new();
-        for (seq, sum, alive) in there {
-            match line.facts.get(seq) {
-                // What has superseded it may have been dropped before it could come here.
-                Some(kept) if kept.sum as u32 == *sum => {
-                    died.extend((!alive && kept.dead_since.is_none()).then(|| dot(*seq)));
+        let entry = &self.runs[run];
+        let mut superseded = Vec::new();
+        for (seq, hash, live) in listed_facts {
+            match entry.facts.get(seq) {
+                // The fact that superseded it may have been dropped before it could arrive here.
+                Some(kept) if kept.hash as u32 == *hash => {
+                    superseded.extend((!live && kept.superseded_since.is_none()).then(|| dot(*seq)));
                 }
-                Some(_) => seen.damaged.push(dot(*seq)),
-                None if *seq <= line.upto => {}
-                None => seen.lacking.push(dot(*seq)),
+                Some(_) => comparison.conflicting.push(dot(*seq)),
+                None if *seq <= entry.complete_to => {}
+                None => comparison.missing.push(dot(*seq)),
             }
         }
-        let listed: BTreeSet<u64> = there.iter().map(|(seq, ..)| *seq).collect();
-        let dropped = *from..=(*to).min(*floor);
+        let listed: BTreeSet<u64> = listed_facts.iter().map(|(seq, ..)| *seq).collect();
+        let dropped = *from..=(*to).min(*dropped_to);
         let unlisted = |seq: &u64| dropped.contains(seq) && !listed.contains(seq);
-        let gone: Vec<Dot> = line.facts.keys().copied().filter(unlisted).map(dot).collect();
-        for dot in died {
-            seen.died.extend(self.get(&dot).map(|f| f.subject.clone()));
+        let gone: Vec<Dot> = entry.facts.keys().copied().filter(unlisted).map(dot).collect();
+        for dot in superseded {
+            comparison.superseded_subjects.extend(self.get(&dot).map(|f| f.subject.clone()));
             self.supersede(dot, now);
         }
         for dot in gone {
-            let alive = self.is_alive(&dot);
+            let was_live = self.is_live(&dot);
             let fact = self.drop_fact(&dot);
-            seen.aside.extend(fact.filter(|_| alive));
+            comparison.discarded.extend(fact.filter(|_| was_live));
         }
-        // What the other has in full is known in full here, once all that there is of it has come.
-        if let Some(line) = self.runs.get_mut(run).filter(|l| seen.lacking.is_empty() && l.upto + 1 >= *from)
+        // What the other forwarder knows completely is known completely here once all facts that still
+        // exist of it have arrived.
+        if let Some(entry) =
+            self.runs.get_mut(run).filter(|l| comparison.missing.is_empty() && l.complete_to + 1 >= *from)
         {
-            if *to > line.upto {
-                line.upto = *to;
-                line.floor = line.floor.max((*floor).min(*to));
-                seen.advanced = true;
+            if *to > entry.complete_to {
+                entry.complete_to = *to;
+                entry.dropped_to = entry.dropped_to.max((*dropped_to).min(*to));
+                comparison.advanced = true;
             }
-            while line.facts.contains_key(&(line.upto + 1)) {
-                line.upto += 1;
+            while entry.facts.contains_key(&(entry.complete_to + 1)) {
+                entry.complete_to += 1;
             }
         }
-        seen
+        comparison
     }
 }
--- a/crates/peers/src/ledger_tests.rs
+++ b/crates/peers/src/ledger_tests.rs
@@ -1,4 +1,5 @@
-//! The ledger's laws: merging in any order comes to the same, the safer word holds, what was dropped stays dropped.
+//! Properties of the ledger: merging does not depend on the order, the most restrictive of concurrent facts
+//! applies, and dropped facts stay dropped.
 
 use crate::fact::*;
 use crate::ledger::*;
@@ -15,10 +16,10 @@
 
 const CLOSE: FactAction = FactAction::Close { for_ms: 0 };
 
-/// States a word in a ledger, as its own forwarder does.
-fn state(ledger: &mut Ledger, run: &Run, name: &str, word: FactAction) -> Fact {
-    let fact = ledger.compose(run, 0, endpoint(name), word);
-    assert_eq!(ledger.take(fact.clone(), 0, None), Taken::New);
+/// States a fact in a ledger, as its own forwarder does.
+fn state(ledger: &mut Ledger, run: &Run, name: &str, action: FactAction) -> Fact {
+    let fact = ledger.compose(run, 0, endpoint(name), action);
+    assert_eq!(ledger.insert(fact.clone(), 0, None), InsertResult::New);
     fact
 }
 
@@ -26,33 +27,34 @@
     ledger.subject_state(&endpoint(name)).closed.is_some()
 }
 
-/// Has two ledgers tell each other everything, as digests and summaries do, until neither lacks anything.
+/// Lets two ledgers exchange everything by summaries until neither lacks a fact. Returns the facts
+/// discarded.
 fn exchange(a: &mut Ledger, b: &mut Ledger, now: u64) -> Vec<Fact> {
-    let mut aside = Vec::new();
+    let mut discarded = Vec::new();
     for _ in 0..4 {
-        for turn in 0..2 {
-            let (from, to) = if turn == 0 { (&*a, &mut *b) } else { (&*b, &mut *a) };
-            for stretch in (0..BUCKETS).flat_map(|n| from.summary(n, 3)) {
-                let seen = to.compare(&stretch, now);
-                assert!(seen.damaged.is_empty());
-                aside.extend(seen.aside);
-                for dot in seen.lacking {
-                    to.take(from.get(&dot).unwrap().clone(), now, None);
+        for direction in 0..2 {
+            let (from, to) = if direction == 0 { (&*a, &mut *b) } else { (&*b, &mut *a) };
+            for range in (0..BUCKETS).flat_map(|n| from.summarize(n, 3)) {
+                let comparison = to.compare(&range, now);
+                assert!(comparison.conflicting.is_empty());
+                discarded.extend(comparison.discarded);
+                for dot in comparison.missing {
+                    to.insert(from.get(&dot).unwrap().clone(), now, None);
                 }
             }
         }
     }
-    aside
+    discarded
 }
 
 #[test]
-fn a_close_holds_against_an_open_that_did_not_know_of_it_and_yields_to_one_that_did() {
+fn a_close_prevails_over_a_concurrent_open_and_yields_to_a_later_one() {
     let (mut left, mut right) = (Ledger::default(), Ledger::default());
     let (a, b) = (run("a", 1), run("b", 1));
     state(&mut left, &a, "e", CLOSE);
     exchange(&mut left, &mut right, 0);
     assert!(closed(&right, "e"));
-    // Cut: drained again at one side, resumed at the other.
+    // During a partition it is drained again on one side and resumed on the other.
     state(&mut left, &a, "e", CLOSE);
     state(&mut right, &b, "e", FactAction::Open);
     assert!(!closed(&right, "e"));
@@ -70,71 +72,73 @@
     assert_eq!(left.digest(), right.digest());
 }
 
-/// The defect of a merge by wall clock: an order from a clock that is hours ahead ends nothing that it did not know of, and
-/// one from a clock that is behind ends what it knew of.
+/// Guards against merging by wall clock: an order from a clock that is hours ahead must not supersede an
+/// order that it did not know of, and one from a clock that is behind must supersede what it knew of.
 #[test]
-fn the_wall_clock_settles_nothing() {
+fn the_wall_clock_decides_nothing() {
     let (mut left, mut right) = (Ledger::default(), Ledger::default());
     let (a, b) = (run("a", 1), run("b", 1));
     let hour = 3_600_000_000;
     let drain = left.compose(&a, 10 * hour, endpoint("e"), CLOSE);
-    left.take(drain, 0, None);
-    // Resumed at the other side of a cut, by a clock that is a day ahead.
+    left.insert(drain, 0, None);
+    // Resumed on the other side of a partition, by a clock that is a day ahead.
     let resume = right.compose(&b, 34 * hour, endpoint("e"), FactAction::Open);
-    right.take(resume, 0, None);
+    right.insert(resume, 0, None);
     exchange(&mut left, &mut right, 0);
     assert!(closed(&left, "e") && closed(&right, "e"));
     let knowing = right.compose(&b, hour, endpoint("e"), FactAction::Open);
-    right.take(knowing, 0, None);
+    right.insert(knowing, 0, None);
     exchange(&mut left, &mut right, 0);
     assert!(!closed(&left, "e") && !closed(&right, "e"));
 }
 
 #[test]
-fn what_was_dropped_stays_dropped_and_a_late_copy_of_it_is_laid_aside() {
+fn dropped_facts_stay_dropped_and_late_copies_are_discarded() {
     let (mut here, mut away) = (Ledger::default(), Ledger::default());
     let (a, b) = (run("a", 1), run("b", 1));
     let drain = state(&mut away, &a, "e", CLOSE);
     exchange(&mut here, &mut away, 0);
-    // While the other is away the drain ends, and again, and all of it grows old.
+    // While the other ledger is away, the drain is ended, repeated and ended again, and all of this
+    // expires.
     state(&mut here, &b, "e", FactAction::Open);
     state(&mut here, &b, "e", CLOSE);
     state(&mut here, &b, "e", FactAction::Open);
-    assert!(here.drop_dead(999, 1_000).is_empty());
-    assert_eq!(here.drop_dead(1_000, 1_000).len(), 3);
-    assert_eq!(here.take(drain.clone(), 1_000, None), Taken::Dropped);
+    assert!(here.drop_expired(999, 1_000).is_empty());
+    assert_eq!(here.drop_expired(1_000, 1_000).len(), 3);
+    assert_eq!(here.insert(drain.clone(), 1_000, None), InsertResult::AlreadyDropped);
     assert!(closed(&away, "e") && !closed(&here, "e"));
-    let aside = exchange(&mut here, &mut away, 1_000);
-    assert_eq!(aside, [drain]);
+    let discarded = exchange(&mut here, &mut away, 1_000);
+    assert_eq!(discarded, [drain]);
     assert!(!closed(&away, "e") && !closed(&here, "e"));
     assert_eq!(here.digest(), away.digest());
 }
 
 #[test]
-fn another_content_under_a_name_is_damage_and_all_choose_the_same_copy() {
+fn different_content_under_one_identifier_is_a_conflict_and_all_choose_the_same_copy() {
     let mut ledger = Ledger::default();
     let open = state(&mut ledger, &run("a", 1), "e", FactAction::Open);
     let closed = Fact { action: CLOSE, ..open.clone() };
-    assert_eq!(ledger.take(closed.clone(), 0, None), Taken::Damaged);
-    assert!(closed.counts_over(&open) && !open.counts_over(&closed));
+    assert_eq!(ledger.insert(closed.clone(), 0, None), InsertResult::Conflict);
+    assert!(closed.wins_over(&open) && !open.wins_over(&closed));
     let mut other = Ledger::default();
-    other.take(closed.clone(), 0, None);
-    let told = other.summary(0, 100).into_iter().chain((1..BUCKETS).flat_map(|n| other.summary(n, 100)));
-    let damaged: Vec<Dot> = told.flat_map(|s| ledger.compare(&s, 0).damaged).collect();
-    assert_eq!(damaged, std::slice::from_ref(&closed.dot));
+    other.insert(closed.clone(), 0, None);
+    let ranges =
+        other.summarize(0, 100).into_iter().chain((1..BUCKETS).flat_map(|n| other.summarize(n, 100)));
+    let conflicting: Vec<Dot> = ranges.flat_map(|s| ledger.compare(&s, 0).conflicting).collect();
+    assert_eq!(conflicting, std::slice::from_ref(&closed.dot));
     ledger.replace(closed, 0);
     assert_eq!(ledger.digest(), other.digest());
 }
 
 #[test]
-fn a_fact_that_a_store_lost_is_wanted_again() {
+fn a_fact_lost_by_a_store_is_requested_again() {
     let (mut whole, a) = (Ledger::default(), run("a", 1));
     let facts: Vec<Fact> = (0..5).map(|n| state(&mut whole, &a, &format!("e{n}"), CLOSE)).collect();
     let mut restored = Ledger::default();
     for fact in facts.iter().filter(|f| f.dot.seq != 3) {
-        restored.take(fact.clone(), 0, None);
+        restored.insert(fact.clone(), 0, None);
     }
-    restored.restore(whole.extent(), std::slice::from_ref(&facts[2].dot));
+    restored.restore(whole.watermarks(), std::slice::from_ref(&facts[2].dot));
     assert!(restored.get(&facts[2].dot).is_none());
     exchange(&mut whole, &mut restored, 0);
     assert_eq!(whole.digest(), restored.digest());
@@ -142,35 +146,38 @@
 }
 
 #[test]
-fn lives_that_are_over_are_forgotten_and_do_not_come_back() {
+fn ended_runs_are_no_longer_tracked_and_do_not_come_back() {
     let mut ledger = Ledger::default();
     let mut old = Vec::new();
     for start in 1..=100 {
         old.push(state(&mut ledger, &run("a", start), "e", CLOSE));
     }
-    assert!(ledger.drop_dead(4, 5).is_empty() && ledger.len() == 100);
-    assert_eq!(ledger.drop_dead(5, 5).len(), 99);
-    let extent = ledger.extent();
-    assert!(extent.runs.len() <= 33 && extent.retired.len() == 1, "{} lives", extent.runs.len());
-    assert_eq!(ledger.take(old[0].clone(), 0, None), Taken::Dropped);
+    assert!(ledger.drop_expired(4, 5).is_empty() && ledger.len() == 100);
+    assert_eq!(ledger.drop_expired(5, 5).len(), 99);
+    let extent = ledger.watermarks();
+    assert!(extent.runs.len() <= 33 && extent.retired.len() == 1, "{} runs", extent.runs.len());
+    assert_eq!(ledger.insert(old[0].clone(), 0, None), InsertResult::AlreadyDropped);
     assert!(closed(&ledger, "e"));
 }
 
-/// What some forwarders state, and who hears of whom in between.
+/// Facts stated by the forwarders, and exchanges between them.
 #[derive(Clone, Debug)]
 enum Step {
-    State { who: usize, subject: usize, word: u8 },
-    Meet { one: usize, other: usize },
+    State { node: usize, subject: usize, action: u8 },
+    Exchange { first: usize, second: usize },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let stated =
-        (0..3usize, 0..2usize, 0..4u8).prop_map(|(who, subject, word)| Step::State { who, subject, word });
-    let met = (0..3usize, 0..3usize).prop_map(|(one, other)| Step::Meet { one, other });
-    prop::collection::vec(prop_oneof![stated, met], 1..30)
+    let stated = (0..3usize, 0..2usize, 0..4u8).prop_map(|(node, subject, action)| Step::State {
+        node,
+        subject,
+        action,
+    });
+    let exchanged = (0..3usize, 0..3usize).prop_map(|(first, second)| Step::Exchange { first, second });
+    prop::collection::vec(prop_oneof![stated, exchanged], 1..30)
 }
 
-fn word(n: u8) -> FactAction {
+fn action(n: u8) -> FactAction {
     match n {
         0 => CLOSE,
         1 => FactAction::Open,
@@ -179,32 +186,33 @@
     }
 }
 
-/// Plays steps on three ledgers; gives them and all facts.
-fn play(steps: &[Step]) -> (Vec<Ledger>, Vec<Fact>) {
+/// Applies steps to three ledgers; returns the ledgers and all facts.
+fn apply_steps(steps: &[Step]) -> (Vec<Ledger>, Vec<Fact>) {
     let mut ledgers = vec![Ledger::default(); 3];
     let mut facts = Vec::new();
     for step in steps {
         match step {
-            Step::State { who, subject, word: n } => {
-                let run = run(["a", "b", "c"][*who], 1);
-                facts.push(state(&mut ledgers[*who], &run, ["e", "f"][*subject], word(*n)));
+            Step::State { node, subject, action: n } => {
+                let run = run(["a", "b", "c"][*node], 1);
+                facts.push(state(&mut ledgers[*node], &run, ["e", "f"][*subject], action(*n)));
             }
-            Step::Meet { one, other } if one != other => {
-                let mut taken = std::mem::take(&mut ledgers[*one]);
-                exchange(&mut taken, &mut ledgers[*other], 0);
-                ledgers[*one] = taken;
+            Step::Exchange { first, second } if first != second => {
+                let mut ledger = std::mem::take(&mut ledgers[*first]);
+                exchange(&mut ledger, &mut ledgers[*second], 0);
+                ledgers[*first] = ledger;
             }
-            Step::Meet { .. } => {}
+            Step::Exchange { .. } => {}
         }
     }
     (ledgers, facts)
 }
 
 proptest! {
-    /// Associative, commutative, idempotent: whatever the order in which facts come, and how often, the same holds.
+    /// Merging is associative, commutative and idempotent: whatever the order in which facts arrive, and
+    /// however often, the state is the same.
     #[test]
-    fn merging_in_any_order_comes_to_the_same(steps in steps(), seed in any::<u64>()) {
-        let (_, facts) = play(&steps);
+    fn merging_in_any_order_gives_the_same_state(steps in steps(), seed in any::<u64>()) {
+        let (_, facts) = apply_steps(&steps);
         let mut random = fastrand::Rng::with_seed(seed);
         let mut ledgers = Vec::new();
         for _ in 0..2 {
@@ -212,7 +220,7 @@
             random.shuffle(&mut shuffled);
             let mut ledger = Ledger::default();
             for fact in shuffled {
-                ledger.take(fact, 0, None);
+                ledger.insert(fact, 0, None);
             }
             ledgers.push(ledger);
         }
@@ -222,38 +230,39 @@
         }
     }
 
-    /// Monotone toward the safer: a fact that is merged opens nothing whose close it does not name.
+    /// An inserted fact opens nothing whose close it does not name as superseded.
     #[test]
-    fn only_an_open_that_knew_of_a_close_ends_it(steps in steps()) {
-        let (mut ledgers, facts) = play(&steps);
+    fn only_an_open_that_supersedes_a_close_ends_it(steps in steps()) {
+        let (mut ledgers, facts) = apply_steps(&steps);
         for fact in &facts {
             for ledger in &mut ledgers {
                 let before: BTreeSet<Dot> = ledger.subjects().iter()
                     .filter_map(|s| ledger.subject_state(s).closed).map(|f| f.dot).collect();
-                ledger.take(fact.clone(), 0, None);
+                ledger.insert(fact.clone(), 0, None);
                 let named: BTreeSet<&Dot> = fact.supersedes.iter().collect();
                 for dot in before.iter().filter(|d| !named.contains(d)) {
                     let subject = ledger.get(dot).unwrap().subject.clone();
-                    prop_assert!(ledger.is_alive(dot) && ledger.subject_state(&subject).closed.is_some());
+                    prop_assert!(ledger.is_live(dot) && ledger.subject_state(&subject).closed.is_some());
                 }
             }
         }
     }
 
-    /// Whoever meets whom: once all have met, all have the same, and no step lost anything on the way.
+    /// Whichever ledgers exchange in between, after all have exchanged with one another all have the same
+    /// facts, and no fact is lost.
     #[test]
-    fn whoever_meets_whom_all_come_to_the_same(steps in steps()) {
-        let (mut ledgers, facts) = play(&steps);
+    fn all_ledgers_converge_whichever_exchange_first(steps in steps()) {
+        let (mut ledgers, facts) = apply_steps(&steps);
         for _ in 0..2 {
-            for (one, other) in [(0, 1), (1, 2), (0, 2)] {
-                let mut taken = std::mem::take(&mut ledgers[one]);
-                exchange(&mut taken, &mut ledgers[other], 0);
-                ledgers[one] = taken;
+            for (first, second) in [(0, 1), (1, 2), (0, 2)] {
+                let mut ledger = std::mem::take(&mut ledgers[first]);
+                exchange(&mut ledger, &mut ledgers[second], 0);
+                ledgers[first] = ledger;
             }
         }
         let mut union = Ledger::default();
         for fact in facts {
-            union.take(fact, 0, None);
+            union.insert(fact, 0, None);
         }
         for ledger in &ledgers {
             prop_assert_eq!(ledger.digest(), union.digest());
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,9 +1,11 @@
-//! Forwarders of a site hold one picture.
+//! Shared state among the forwarders of a site.
 //!
-//! [`Peers`] is the whole of it without I/O: datagrams, time and local orders go in; datagrams, records to be kept and
-//! what has changed come out. Below it [`members`] tells who is there, [`ledger`] holds what was ordered, [`orders`]
-//! what operators still wait for, [`claims`] who holds which message, and [`seal`] lets nothing in that does not come from a member's present life.
-//! [`store`] keeps the ledger on disk.
+//! [`Peers`] is the state machine of one forwarder, without I/O: datagrams, time and local orders go in;
+//! datagrams, records to persist and state changes come out. It is built from [`members`] (failure
+//! detection), [`ledger`] (replicated orders), [`orders`] (orders whose operators wait for an answer),
+//! [`claims`] (which forwarder owns which message), [`hints`] (waits that partners requested elsewhere) and
+//! [`seal`] (authentication, and rejection of datagrams from earlier runs). [`store`] persists the ledger
+//! and the claims.
 #![warn(missing_docs)]
 
 pub mod claims;
@@ -13,7 +15,7 @@
 mod machine;
 pub mod members;
 pub mod orders;
-pub mod regain;
+pub mod recovery;
 pub mod seal;
 pub mod store;
 pub mod wire;
