--- a/crates/peers/src/machine.rs
+++ b/crates/peers/src/machine.rs
@@ -1,436 +1,459 @@
-//! The whole of a forwarder's side, without I/O: time, datagrams and local orders in, [`Output`]s out.
+//! The state machine of one forwarder among its peers, without I/O: time, datagrams and local orders come
+//! in, [`Output`]s go out.
 //!
-//! One owner calls it: [`Peers::datagram`] for each that has come, [`Peers::tick`] when [`Peers::due`] has passed, and
-//! after either [`Peers::outputs`]. Times are milliseconds of one clock that only advances.
-
-use crate::claims::{self, Answer, Claims, Holder, Kept, Key, Status};
-use crate::fact::{Dot, Fact, FactAction, Run, Subject, MOST_OVER};
-use crate::hints::{self, Hints};
-use crate::ledger::{Extent, Ledger, Stretch, SubjectState, Taken, BUCKETS};
-use crate::members::{Id, Members, Pace, Standing, Wanted};
-use crate::orders::{Desk, Refusal, Settled};
-use crate::seal::{Head, Kind, Refused, Sealer, Window, PAYLOAD};
-use crate::wire::{pack, unpack, Known, Message};
+//! One owner calls it: [`Peers::datagram`] for each datagram received, [`Peers::tick`] when [`Peers::due`]
+//! has passed, and [`Peers::outputs`] after either. Times are in milliseconds on one monotonic clock.
+
+use crate::claims::{self, ClaimRecord, ClaimReply, Claims, Key, Owner, OwnerStatus};
+use crate::fact::{Dot, Fact, FactAction, Run, Subject, MAX_SUPERSEDED};
+use crate::hints::{self, WaitHints};
+use crate::ledger::{InsertResult, Ledger, RunRange, SubjectState, Watermarks, BUCKETS};
+use crate::members::{DetectorActions, MemberId, Members, ProbeTimings, Standing};
+use crate::orders::{PendingOrders, Refusal, Settled};
+use crate::seal::{DropReason, Header, Kind, ReplayWindow, Sealer, MAX_PAYLOAD};
+use crate::wire::{pack, unpack, Message, WelcomeInfo};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often ledgers are compared with one other member, and how often while they differ.
-const DIGEST_EVERY: u64 = 1_000;
-const DIGEST_SOON: u64 = 200;
-/// Members that hear of a new fact's digest at once from whoever has taken it in: how news go round a cut link.
-const RUMOUR: usize = 2;
-/// A fact is pushed again until it is acknowledged: after this span, doubled each time up to the other, so often.
-const PUSH_FIRST: u64 = 60;
-const PUSH_MOST: u64 = 1_000;
-const PUSHES: u32 = 12;
-/// Hellos to a member whose session is not known, and to one that has been silent for so long.
-const HELLO_EVERY: u64 = 500;
-const SILENT: u64 = 10_000;
-/// Who has been heard of within so long is asked before those who have not.
-const HEARD: u64 = 3_000;
-/// The end of a span is stated by its author; by each other one so much later than by the one before it.
-const STAND_IN: u64 = 5_000;
-/// Within so long after its start a process believes that a higher start number under its name is an earlier life's.
-const JOINING: u64 = 5_000;
-/// An older life that still speaks so long after a younger one was met is another process.
-const STILL_THERE: u64 = 5_000;
-/// How long the author of a damaged fact is asked for his word.
-const ASK_FOR: u64 = 3_000;
-/// How often dead facts are looked through.
-const TIDY_EVERY: u64 = 60_000;
-/// Places in one piece of a summary: about 12 bytes each.
-const PIECE: usize = 40;
-/// Places that are asked for in one message.
-const WANTS: usize = 64;
-/// Events that wait to be taken by the owner.
-const EVENTS: usize = 1_000;
-
-/// What a forwarder is told once.
+/// Average interval between ledger comparisons with a random member, in milliseconds.
+const DIGEST_INTERVAL_MS: u64 = 1_000;
+/// Interval while the ledgers differ, in milliseconds.
+const DIGEST_RETRY_MS: u64 = 200;
+/// Number of members that are sent a digest at once by a member that has received a new fact, so that facts
+/// get around a broken link.
+const DIGEST_FANOUT: usize = 2;
+/// Delay before an unacknowledged fact is pushed again, in milliseconds. It doubles with each attempt.
+const PUSH_DELAY_MS: u64 = 60;
+/// Maximum delay between two pushes, in milliseconds.
+const MAX_PUSH_DELAY_MS: u64 = 1_000;
+/// Maximum number of pushes of one fact.
+const MAX_PUSHES: u32 = 12;
+/// Interval between hellos to a member without a known session or that has been silent for too long, in
+/// milliseconds.
+const HELLO_INTERVAL_MS: u64 = 500;
+/// A member not heard for longer than this is silent, in milliseconds.
+const SILENT_AFTER_MS: u64 = 10_000;
+/// Members heard within this many milliseconds are asked before others.
+const RESPONSIVE_WITHIN_MS: u64 = 3_000;
+/// When a timed closure ends, its author publishes the reopening. Each other member waits this much longer
+/// than the one before it, in milliseconds.
+const REOPEN_DELAY_MS: u64 = 5_000;
+/// Within this many milliseconds after its start a process takes a higher start number under its name for
+/// an earlier run's.
+const JOIN_PERIOD_MS: u64 = 5_000;
+/// An older run that is still sending this many milliseconds after a newer one was accepted is another
+/// process.
+const DUPLICATE_AFTER_MS: u64 = 5_000;
+/// How long the author of a conflicting fact is asked for its copy, in milliseconds.
+const AUTHOR_TIMEOUT_MS: u64 = 3_000;
+/// Interval at which superseded facts are checked for expiry, in milliseconds.
+const CLEANUP_INTERVAL_MS: u64 = 60_000;
+/// Maximum number of facts in one range of a summary, at about 12 bytes each.
+const MAX_RANGE_FACTS: usize = 40;
+/// Maximum number of facts requested in one message.
+const MAX_FACTS_REQUESTED: usize = 64;
+/// Maximum number of events between two calls of [`Peers::outputs`]; further ones are dropped.
+const MAX_EVENTS: usize = 1_000;
+
+/// Configuration of a forwarder.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its own name.
+    /// The name of this forwarder.
     pub name: String,
-    /// The names of the others, each once.
+    /// The names of the other members, each once.
     pub others: Vec<String>,
-    /// Dead facts are dropped after this span.
-    pub horizon: u64,
-    /// Bytes a second that catching up may take, to each side of the sender.
-    pub catch_up: u64,
-    /// A returning forwarder counts as caught up after this span in any case.
-    pub ready_within: u64,
-    /// Others are told of waits that partners tell.
+    /// Superseded facts are dropped after this many milliseconds.
+    pub horizon_ms: u64,
+    /// Rate limit for sending catch-up data, in bytes per second over all receivers.
+    pub catch_up_bytes_per_s: u64,
+    /// After this many milliseconds a forwarder counts as ready even if it has not caught up.
+    pub ready_timeout_ms: u64,
+    /// Whether the other members are told about waits that partners request.
     pub share_waits: bool,
-    /// Spans of the failure detector.
-    pub pace: Pace,
-    /// For random numbers and the session: drawn anew at each start, and not to be guessed.
+    /// Intervals of the failure detector.
+    pub probe_timings: ProbeTimings,
+    /// Seed for random numbers and the session. It must be drawn anew at each start and must not be
+    /// guessable.
     pub seed: u64,
 }
 
-/// What a store has given back.
+/// State returned by a store.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
-    /// This life's start number: one more than the last that was kept.
+    /// The start number of this run: one more than the last one stored.
     pub start: u64,
-    /// Facts, with the time for which each has been dead.
+    /// Facts, with the milliseconds for which each had been superseded.
     pub facts: Vec<(Fact, Option<u64>)>,
-    /// What was known beside them.
-    pub extent: Extent,
-    /// Facts that were kept and could not be read.
-    pub lost: Vec<Dot>,
-    /// The highest start number that each other has been heard under.
-    pub seen: BTreeMap<String, u64>,
-    /// Which memory of its messages this forwarder has; 0 if its folder is new.
-    pub memory: u64,
-    /// What was granted to others, and whether that is all of it.
-    pub claims: Vec<Kept>,
-    /// See `claims`.
-    pub claims_whole: bool,
+    /// The ledger's bookkeeping apart from the facts.
+    pub watermarks: Watermarks,
+    /// Facts that were stored but could not be read.
+    pub unreadable: Vec<Dot>,
+    /// The highest start number seen for each other member.
+    pub seen_starts: BTreeMap<String, u64>,
+    /// The store id of this forwarder's messages; 0 for a new state folder.
+    pub store_id: u64,
+    /// The claims granted to other members.
+    pub claims: Vec<ClaimRecord>,
+    /// Whether `claims` has every grant.
+    pub claims_complete: bool,
 }
 
-/// What a store is to keep.
+/// A change to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A fact, and how long it has been dead.
+    /// A fact, and for how many milliseconds it has been superseded.
     Fact(Fact, Option<u64>),
-    /// A fact is dropped.
+    /// A dropped fact.
     Drop(Dot),
-    /// What is known beside the facts.
-    Extent(Extent),
-    /// Which memory of its messages this forwarder has.
-    Memory(u64),
-    /// This life's start number.
+    /// The ledger's bookkeeping.
+    Watermarks(Watermarks),
+    /// The store id of this forwarder's messages.
+    StoreId(u64),
+    /// The start number of this run.
     Start(u64),
-    /// The highest start number of another.
-    Seen(String, u64),
+    /// The highest start number seen for another member.
+    SeenStart(String, u64),
 }
 
-/// Something that operators should know.
+/// An event for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// A word for programs.
+    /// Name of the event for programs.
     pub kind: &'static str,
-    /// A sentence for people.
+    /// Description for people.
     pub text: String,
 }
 
-/// What is to be done, in this order.
+/// An action for the caller, to be carried out in the order given.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// A datagram for the member of this place in [`Settings::others`].
+    /// Send a datagram to the member with this index in [`Settings::others`].
     Send(usize, Vec<u8>),
-    /// To be kept; [`Peers::persisted`] once it is.
+    /// Write these records to the store, then call [`Peers::persisted`] with the ticket.
     Persist(u64, Vec<Record>),
-    /// What holds for a subject may have changed.
+    /// The state of a subject may have changed.
     SubjectChanged(Subject),
-    /// A fact that was alive here is dropped: others have dropped it beyond the horizon.
+    /// A fact that was live here was dropped, because other members had dropped it beyond the horizon.
     Discarded(Fact),
-    /// What has been granted, to be written before what follows is sent.
-    PersistClaims(Vec<Kept>),
-    /// Another has been told to wait by a partner: nothing is to be sent to it until then.
+    /// Write these granted claims to the claim log before any datagram that follows is sent.
+    PersistClaims(Vec<ClaimRecord>),
+    /// A partner has asked another forwarder to wait: send nothing to it until this time. The partner is
+    /// given by the CRC-32 of its name.
     HoldPartner(u32, u64),
-    /// Whether the log of what was granted has all of it.
+    /// Whether the claim log has every grant from now on.
     ClaimLogComplete(bool),
-    /// What has come of the claim of an id.
+    /// Result of the claim of a message id.
     Claim(Key, claims::ClaimResult),
-    /// What an order has come to.
+    /// Result of an order.
     Settled(u64, Result<Settled, Refusal>),
-    /// For the operators.
+    /// Report an event to operators.
     Event(Event),
 }
 
-/// A member as people are shown it.
+/// Status of a member for display.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// How it stands, and for how long.
+    /// State of the member.
     pub standing: Standing,
-    /// See `standing`.
+    /// Milliseconds since the state last changed.
     pub for_ms: u64,
-    /// Its start number, 0 if it has never been heard of.
+    /// Its start number, 0 if it has never been heard from.
     pub start: u64,
-    /// How long ago it was heard of; none if not since this process started.
+    /// Milliseconds since it was last heard from; `None` if not since this process started.
     pub heard_ms: Option<u64>,
-    /// How long ago its ledger was found to be the same as this one's; none if not yet.
+    /// Milliseconds since its ledger was last found identical to this one; `None` if not yet.
     pub same_ms: Option<u64>,
 }
 
-/// The life of another that is spoken to now.
+/// The current session of another member.
 #[derive(Clone, Debug)]
-struct Present {
-    session: u64,
-    window: Window,
-    /// The least span between its clock and this one: what a datagram took beyond that it was under way longer.
-    offset: i64,
+struct Session {
+    id: u64,
+    window: ReplayWindow,
+    /// The least difference seen between this clock and the sender's. A datagram with a larger difference
+    /// was delayed by the excess.
+    clock_offset: i64,
 }
 
+/// The connection to one other member.
 #[derive(Clone, Debug, Default)]
 struct Link {
     name: String,
-    present: Option<Present>,
-    /// The highest start number that it has been heard under, and the session of that.
+    session: Option<Session>,
+    /// The highest start number seen and the session in which it was seen.
     start: u64,
-    session: u64,
-    sent: u64,
-    heard: Option<u64>,
-    hello_at: u64,
-    /// When its present life was met first.
-    met: u64,
-    same: Option<u64>,
-    /// Two processes have its name: the operators have been told.
-    doubled: bool,
-    /// Another session that says hello under its name while the present one is there, and since when.
-    stranger: Option<(u64, u64)>,
-    /// Whether it has never heard of an earlier life of this forwarder; none before it has said so.
-    new_to_it: Option<bool>,
+    start_session: u64,
+    last_sent: u64,
+    heard_at: Option<u64>,
+    next_hello: u64,
+    /// When the current session was accepted.
+    accepted_at: u64,
+    matched_at: Option<u64>,
+    /// The events for operators have reported that two processes use this name.
+    duplicate_reported: bool,
+    /// Another session that sends hellos under this name while the current one is active, and since when.
+    rival_session: Option<(u64, u64)>,
+    /// Whether the member has never heard of an earlier run of this forwarder; `None` until it has said so.
+    considers_us_new: Option<bool>,
 }
 
 impl Link {
-    /// Whether it is likely to answer.
-    fn is_there(&self, now: u64) -> bool {
-        self.present.is_some() && self.heard.is_some_and(|at| now < at + HEARD)
+    /// Whether the member is likely to answer.
+    fn is_responsive(&self, now: u64) -> bool {
+        self.session.is_some() && self.heard_at.is_some_and(|at| now < at + RESPONSIVE_WITHIN_MS)
     }
 }
 
+/// A fact of this forwarder that some members have not acknowledged.
 #[derive(Debug)]
 struct Push {
-    missing: BTreeSet<usize>,
-    next: u64,
-    tries: u32,
+    unacknowledged: BTreeSet<usize>,
+    send_at: u64,
+    attempts: u32,
 }
 
+/// A fact of which two copies differ.
 #[derive(Debug)]
-struct Damage {
+struct Conflict {
     since: u64,
-    /// Who has the other copy.
-    at: usize,
-    other: Option<Fact>,
+    /// The member that has the other copy.
+    reported_by: usize,
+    other_copy: Option<Fact>,
 }
 
-/// One forwarder among those of its site.
+/// The state of one forwarder among the forwarders of its site.
 #[derive(Debug)]
 pub struct Peers {
     settings: Settings,
     sealer: Sealer,
     random: SmallRng,
-    born: u64,
+    started_at: u64,
     now: u64,
     run: Run,
     session: u64,
     links: Vec<Link>,
     members: Members,
     ledger: Ledger,
-    desk: Desk,
+    orders: PendingOrders,
     claims: Claims,
-    /// The folder was empty: it may be a new forwarder, or one that has lost it.
-    fresh: bool,
-    /// As long as this process runs.
-    from_empty: bool,
-    hints: Hints,
-    memory: u64,
-    /// Claims and ends that others are to hear of, once what has been granted is written.
-    outgoing: Vec<(usize, Message)>,
+    /// The state folder was empty: the forwarder is new, or it has lost its folder.
+    may_be_new: bool,
+    /// The state folder was empty when this process started.
+    started_empty: bool,
+    hints: WaitHints,
+    store_id: u64,
+    /// Claims and outcomes to be sent to members once the grants are written.
+    claim_messages: Vec<(usize, Message)>,
     pushes: BTreeMap<Dot, Push>,
-    damage: BTreeMap<Dot, Damage>,
-    /// Whom to tell that facts are kept, by the ticket under which they go to the store.
-    to_tell: BTreeMap<u64, Vec<(usize, Dot)>>,
-    unticketed: Vec<(usize, Dot)>,
+    conflicts: BTreeMap<Dot, Conflict>,
+    /// Members to send acknowledgements to, by the ticket under which the facts were handed to the store.
+    acks_by_ticket: BTreeMap<u64, Vec<(usize, Dot)>>,
+    acks_without_ticket: Vec<(usize, Dot)>,
     records: Vec<Record>,
     next_ticket: u64,
-    kept_upto: u64,
-    digest_at: u64,
-    tidy_at: u64,
-    /// When what was closed for a span is open again, as far as this forwarder is to say so.
-    spans: BTreeSet<(u64, Dot)>,
-    /// Bytes that catching up may still take, and when that was reckoned.
-    allowance: u64,
-    reckoned: u64,
+    persisted_ticket: u64,
+    next_digest: u64,
+    next_cleanup: u64,
+    /// When timed closures end, by the time at which this forwarder would publish the reopening.
+    closures: BTreeSet<(u64, Dot)>,
+    /// Bytes of catch-up data that may still be sent, and when that was last updated.
+    catch_up_budget: u64,
+    budget_updated: u64,
     caught_up: bool,
-    /// Another process runs under this name, and has started later: this one is not heard any more.
+    /// Another process with a later start uses this name; this one no longer takes part.
     displaced: bool,
-    old_state: bool,
-    refused: BTreeMap<Refused, u64>,
+    stale_state: bool,
+    dropped: BTreeMap<DropReason, u64>,
     sent: (u64, u64),
     received: (u64, u64),
-    out: Vec<Output>,
-    events: usize,
+    outputs: Vec<Output>,
+    event_count: usize,
 }
 
 impl Peers {
-    /// A forwarder that has just come up at `now`.
+    /// Creates the state of a forwarder that has just started.
     pub fn new(now: u64, settings: Settings, sealer: Sealer, restored: Restored) -> Peers {
         let mut random = SmallRng::seed_from_u64(settings.seed);
-        let Restored { start, facts, extent, lost, seen, memory, claims, claims_whole } = restored;
-        // A folder that has none is new, or was lost: others tell which.
-        let (fresh, memory) = (memory == 0, if memory == 0 { random.random::<u64>() | 1 } else { memory });
-        let own = Holder { name: settings.name.clone(), memory };
-        let claims = Claims::new(now, own, start, settings.others.len(), claims_whole, claims);
+        let Restored { start, facts, watermarks, unreadable, seen_starts, store_id, claims, claims_complete } =
+            restored;
+        // A folder without a store id is new or was lost; the other members can tell which.
+        let (empty_folder, store_id) =
+            (store_id == 0, if store_id == 0 { random.random::<u64>() | 1 } else { store_id });
+        let own = Owner { name: settings.name.clone(), store_id };
+        let claims = Claims::new(now, own, start, settings.others.len(), claims_complete, claims);
         let session = random.random::<u64>() | 1;
         let run = Run { name: settings.name.clone(), start, salt: session };
         let mut ledger = Ledger::default();
-        for (fact, dead) in facts {
-            ledger.take(fact, now, dead);
+        for (fact, superseded_ms) in facts {
+            ledger.insert(fact, now, superseded_ms);
         }
-        ledger.restore(extent, &lost);
+        ledger.restore(watermarks, &unreadable);
         let link = |name: &String| Link {
             name: name.clone(),
-            start: seen.get(name).copied().unwrap_or(0),
+            start: seen_starts.get(name).copied().unwrap_or(0),
             ..Link::default()
         };
-        let id = Id { name: settings.name.clone(), start, turn: 0 };
-        let members = Members::new(id, settings.pace, random.random());
+        let id = MemberId { name: settings.name.clone(), start, incarnation: 0 };
+        let members = Members::new(id, settings.probe_timings, random.random());
         let mut peers = Peers {
             links: settings.others.iter().map(link).collect(),
             members,
             ledger,
-            desk: Desk::new(settings.others.len()),
+            orders: PendingOrders::new(settings.others.len()),
             claims,
-            fresh: fresh && start == 1,
-            from_empty: fresh,
-            hints: Hints::default(),
-            memory,
-            outgoing: Vec::new(),
+            may_be_new: empty_folder && start == 1,
+            started_empty: empty_folder,
+            hints: WaitHints::default(),
+            store_id,
+            claim_messages: Vec::new(),
             random,
-            born: now,
+            started_at: now,
             now,
             run,
             session,
             pushes: BTreeMap::new(),
-            damage: BTreeMap::new(),
-            to_tell: BTreeMap::new(),
-            unticketed: Vec::new(),
-            records: vec![Record::Start(start), Record::Memory(memory)],
+            conflicts: BTreeMap::new(),
+            acks_by_ticket: BTreeMap::new(),
+            acks_without_ticket: Vec::new(),
+            records: vec![Record::Start(start), Record::StoreId(store_id)],
             next_ticket: 1,
-            kept_upto: 0,
-            digest_at: now,
-            tidy_at: now + TIDY_EVERY,
-            spans: BTreeSet::new(),
-            allowance: settings.catch_up,
-            reckoned: now,
+            persisted_ticket: 0,
+            next_digest: now,
+            next_cleanup: now + CLEANUP_INTERVAL_MS,
+            closures: BTreeSet::new(),
+            catch_up_budget: settings.catch_up_bytes_per_s,
+            budget_updated: now,
             caught_up: settings.others.is_empty(),
             displaced: false,
-            old_state: false,
-            refused: BTreeMap::new(),
+            stale_state: false,
+            dropped: BTreeMap::new(),
             sent: (0, 0),
             received: (0, 0),
-            out: Vec::new(),
-            events: 0,
+            outputs: Vec::new(),
+            event_count: 0,
             sealer,
             settings,
         };
         let restored: Vec<Fact> = peers.ledger.facts(now).map(|(fact, _)| fact.clone()).collect();
-        restored.iter().for_each(|fact| peers.span(fact, None));
+        restored.iter().for_each(|fact| peers.schedule_reopen(fact, None));
         peers
     }
 
-    /// Notes when what was closed for a span is open again: it counts from when this forwarder heard of it, unless `left` tells
-    /// how much there is left of it.
-    fn span(&mut self, fact: &Fact, left: Option<u64>) {
-        let FactAction::Close { for_ms: whole @ 1.. } = fact.action else { return };
-        self.spans.retain(|(_, dot)| *dot != fact.dot);
-        let ends = self.now + left.unwrap_or(whole) + self.stand_in(&fact.dot);
-        self.spans.insert((ends, fact.dot.clone()));
+    /// Schedules the end of a timed closure. It counts from when this forwarder received the fact, unless
+    /// `left` gives the remaining time.
+    fn schedule_reopen(&mut self, fact: &Fact, remaining_ms: Option<u64>) {
+        let FactAction::Close { for_ms: duration_ms @ 1.. } = fact.action else { return };
+        self.closures.retain(|(_, dot)| *dot != fact.dot);
+        let reopen_at = self.now + remaining_ms.unwrap_or(duration_ms) + self.reopen_delay(&fact.dot);
+        self.closures.insert((reopen_at, fact.dot.clone()));
     }
 
-    /// How much later than its author this forwarder says that a span is over: one after the other, so that few say it twice.
-    fn stand_in(&self, dot: &Dot) -> u64 {
+    /// How much later than the author this forwarder publishes a reopening. The delays are staggered so
+    /// that few members publish it twice.
+    fn reopen_delay(&self, dot: &Dot) -> u64 {
         let author = &dot.run.name;
         let before = self.links.iter().filter(|l| l.name < self.run.name && l.name != *author).count();
         if *author == self.run.name {
             0
         } else {
-            (before as u64 + 1) * STAND_IN
+            (before as u64 + 1) * REOPEN_DELAY_MS
         }
     }
 
-    /// For how long a subject is closed yet, by this forwarder's clock: the longest of the spans that hold; 0 if no span does.
+    /// Remaining milliseconds for which a subject stays closed by this forwarder's clock: the longest of
+    /// its timed closures, or 0 without one.
     pub fn remaining_closure_ms(&self, subject: &Subject) -> u64 {
-        let about = self.ledger.live_facts(subject);
-        let of = |dot: &Dot| about.iter().find(|f| f.dot == *dot);
-        let ends = self.spans.iter().filter_map(|(at, dot)| Some((at, of(dot)?)));
-        // Without the time that others wait for its author to say so.
-        let left = ends.map(|(at, fact)| at.saturating_sub(self.now + self.stand_in(&fact.dot)));
+        let live_facts = self.ledger.live_facts(subject);
+        let fact_of = |dot: &Dot| live_facts.iter().find(|f| f.dot == *dot);
+        let outcomes = self.closures.iter().filter_map(|(at, dot)| Some((at, fact_of(dot)?)));
+        // Excludes the time for which other members wait for the author.
+        let left = outcomes.map(|(at, fact)| at.saturating_sub(self.now + self.reopen_delay(&fact.dot)));
         left.max().unwrap_or(0)
     }
 
-    /// After a start: of what was closed for a span so much is left by another record of it.
-    pub fn set_remaining_closure(&mut self, subject: &Subject, left: u64) {
+    /// After a start: sets the remaining time of a timed closure from another record of it.
+    pub fn set_remaining_closure(&mut self, subject: &Subject, remaining_ms: u64) {
         for fact in self.ledger.live_facts(subject) {
-            self.span(&fact, Some(left));
+            self.schedule_reopen(&fact, Some(remaining_ms));
         }
     }
 
-    /// What was closed for a span is open again, unless another order keeps it closed. Nobody has to agree: the order itself
-    /// said so.
-    fn step_spans(&mut self) {
-        while let Some((at, dot)) = self.spans.first().cloned().filter(|(at, _)| *at <= self.now) {
-            self.spans.remove(&(at, dot.clone()));
-            let Some(fact) = self.ledger.get(&dot).filter(|_| self.ledger.is_alive(&dot)).cloned() else {
+    /// Publishes the end of timed closures that have expired. Other orders may still keep the subject
+    /// closed. No majority is needed, since the closing order itself said when it ends.
+    fn reopen_expired(&mut self) {
+        while let Some((at, dot)) = self.closures.first().cloned().filter(|(at, _)| *at <= self.now) {
+            self.closures.remove(&(at, dot.clone()));
+            let Some(fact) = self.ledger.get(&dot).filter(|_| self.ledger.is_live(&dot)).cloned() else {
                 continue;
             };
             let FactAction::Close { for_ms } = fact.action else { continue };
-            let about = self.ledger.live_facts(&fact.subject);
-            let opens = about.iter().filter(|f| f.action == FactAction::Open).map(|f| f.dot.clone());
-            let over = opens.chain([dot]).take(MOST_OVER).collect();
+            let live_facts = self.ledger.live_facts(&fact.subject);
+            let opens = live_facts.iter().filter(|f| f.action == FactAction::Open).map(|f| f.dot.clone());
+            let superseded = opens.chain([dot]).take(MAX_SUPERSEDED).collect();
             let at = fact.at + 1000 * for_ms;
-            let open = self.ledger.compose_over(&self.run, at, fact.subject, FactAction::Open, over);
-            // Where there is no room for it, it is for the others to say.
-            let _ = self.put_out(open);
+            let open =
+                self.ledger.compose_superseding(&self.run, at, fact.subject, FactAction::Open, superseded);
+            // If this ledger is full, another member publishes it.
+            let _ = self.publish(open);
         }
     }
 
-    /// What was ordered, and holds.
+    /// The ledger of all known facts.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// What holds for a subject.
+    /// The state of a subject.
     pub fn subject_state(&self, subject: &Subject) -> SubjectState {
         self.ledger.subject_state(subject)
     }
 
-    /// This life.
+    /// The run of this process.
     pub fn run(&self) -> &Run {
         &self.run
     }
 
-    /// Whether its state folder was found to be an older copy: what it says of what has gone out may be out of date.
+    /// Whether the state folder turned out to be an older copy, so that its record of what was sent may be
+    /// out of date.
     pub fn has_stale_state(&self) -> bool {
-        self.old_state
+        self.stale_state
     }
 
-    /// Whether it has what another has and has met a majority of all beside itself, or has waited for that long enough. Its
-    /// own folder may be an older copy: whatever a later life on it has had let in, or stated, a majority knows, which shares
-    /// a member with those that have been met only if this one is not counted.
+    /// Whether this forwarder has caught up with one member and has met a majority of all members besides
+    /// itself, or has waited long enough. Its own folder may be an older copy, so this forwarder is not
+    /// counted: whatever a later run on that folder has claimed or stated is known to a majority, and only
+    /// a majority without this forwarder is sure to share a member with it.
     pub fn is_ready(&self, now: u64) -> bool {
         let others = self.links.len();
-        let met = self.links.iter().filter(|l| l.present.is_some()).count();
-        self.caught_up && met >= self.claims.majority().min(others)
-            || now >= self.born + self.settings.ready_within
+        let met = self.links.iter().filter(|l| l.session.is_some()).count();
+        self.caught_up && met >= self.claims.quorum().min(others)
+            || now >= self.started_at + self.settings.ready_timeout_ms
     }
 
-    /// Whether its ledger has been found to be the same as another's since the start.
+    /// Whether its ledger has been found identical to another member's since the start.
     pub fn is_caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// Whether another process under its name has taken its place.
+    /// Whether another process has taken over this forwarder's name.
     pub fn is_displaced(&self) -> bool {
         self.displaced
     }
 
-    /// Datagrams that were dropped, by why.
-    pub fn dropped_datagrams(&self) -> &BTreeMap<Refused, u64> {
-        &self.refused
+    /// Numbers of dropped datagrams by reason.
+    pub fn dropped_datagrams(&self) -> &BTreeMap<DropReason, u64> {
+        &self.dropped
     }
 
-    /// Datagrams and bytes sent, and received and let in.
+    /// Datagrams and bytes sent, and datagrams and bytes accepted.
     pub fn traffic(&self) -> ((u64, u64), (u64, u64)) {
         (self.sent, self.received)
     }
 
-    /// The others, as people are shown them.
+    /// The status of the other members for display.
     pub fn member_statuses(&self, now: u64) -> Vec<MemberStatus> {
         let link = |l: &Link| {
             let (standing, since) = self.members.standing(&l.name);
@@ -439,318 +462,332 @@
                 standing,
                 for_ms: if standing == Standing::Unknown { 0 } else { now.saturating_sub(since) },
                 start: l.start,
-                heard_ms: l.heard.map(|at| now.saturating_sub(at)),
-                same_ms: l.same.map(|at| now.saturating_sub(at)),
+                heard_ms: l.heard_at.map(|at| now.saturating_sub(at)),
+                same_ms: l.matched_at.map(|at| now.saturating_sub(at)),
             }
         };
         self.links.iter().map(link).collect()
     }
 
-    /// Members that are there now, this one included, and all of them.
+    /// Number of reachable members, including this one, and number of all members.
     pub fn reachable_members(&self) -> (usize, usize) {
-        let there = |l: &&Link| matches!(self.members.standing(&l.name).0, Standing::Up | Standing::Suspect);
-        (1 + self.links.iter().filter(there).count(), 1 + self.links.len())
+        let reachable =
+            |l: &&Link| matches!(self.members.standing(&l.name).0, Standing::Up | Standing::Suspect);
+        (1 + self.links.iter().filter(reachable).count(), 1 + self.links.len())
     }
 
-    /// When [`Peers::tick`] is to be called next.
+    /// When [`Peers::tick`] must be called next.
     pub fn due(&self) -> u64 {
-        let pushes = self.pushes.values().map(|p| p.next).min();
-        let hello = self.links.iter().filter(|l| self.wants_hello(l)).map(|l| l.hello_at).min();
-        let damage = self.damage.values().map(|d| d.since + ASK_FOR).min();
-        let wakes = [
+        let pushes = self.pushes.values().map(|p| p.send_at).min();
+        let hello = self.links.iter().filter(|l| self.wants_hello(l)).map(|l| l.next_hello).min();
+        let conflicts = self.conflicts.values().map(|c| c.since + AUTHOR_TIMEOUT_MS).min();
+        let due_times = [
             self.claims.due(),
-            self.spans.first().map(|(at, _)| *at),
-            Some(self.digest_at),
-            Some(self.tidy_at),
+            self.closures.first().map(|(at, _)| *at),
+            Some(self.next_digest),
+            Some(self.next_cleanup),
             pushes,
             hello,
-            damage,
+            conflicts,
             self.members.due(),
-            self.desk.due(),
+            self.orders.due(),
         ];
-        wakes.into_iter().flatten().min().unwrap_or(self.digest_at)
+        due_times.into_iter().flatten().min().unwrap_or(self.next_digest)
     }
 
-    /// What is to be done now.
+    /// Removes and returns the actions for the caller.
     pub fn outputs(&mut self) -> Vec<Output> {
-        self.step_claims();
+        self.flush_claims();
         if !self.records.is_empty() {
             let ticket = self.next_ticket;
             self.next_ticket += 1;
-            let told = std::mem::take(&mut self.unticketed);
-            if !told.is_empty() {
-                self.to_tell.insert(ticket, told);
+            let acks = std::mem::take(&mut self.acks_without_ticket);
+            if !acks.is_empty() {
+                self.acks_by_ticket.insert(ticket, acks);
             }
-            self.desk.under(ticket);
-            self.out.push(Output::Persist(ticket, std::mem::take(&mut self.records)));
+            self.orders.assign_ticket(ticket);
+            self.outputs.push(Output::Persist(ticket, std::mem::take(&mut self.records)));
         }
-        for (ticket, settled) in self.desk.settled() {
-            self.out.push(Output::Settled(ticket, settled));
+        for (ticket, settled) in self.orders.take_settled() {
+            self.outputs.push(Output::Settled(ticket, settled));
         }
-        self.events = 0;
-        std::mem::take(&mut self.out)
+        self.event_count = 0;
+        std::mem::take(&mut self.outputs)
     }
 
     fn event(&mut self, kind: &'static str, text: String) {
-        if self.events < EVENTS {
-            self.events += 1;
-            self.out.push(Output::Event(Event { kind, text }));
+        if self.event_count < MAX_EVENTS {
+            self.event_count += 1;
+            self.outputs.push(Output::Event(Event { kind, text }));
         }
     }
 
-    /// What was handed out under this ticket is on disk, and all before it.
+    /// All records up to this ticket are on disk.
     pub fn persisted(&mut self, now: u64, ticket: u64) {
         self.now = now.max(self.now);
-        self.kept_upto = self.kept_upto.max(ticket);
-        let later = self.to_tell.split_off(&(ticket + 1));
-        let told = std::mem::replace(&mut self.to_tell, later);
+        self.persisted_ticket = self.persisted_ticket.max(ticket);
+        let later = self.acks_by_ticket.split_off(&(ticket + 1));
+        let acks = std::mem::replace(&mut self.acks_by_ticket, later);
         let mut by_link: BTreeMap<usize, Vec<Dot>> = BTreeMap::new();
-        for (link, dot) in told.into_values().flatten() {
+        for (link, dot) in acks.into_values().flatten() {
             by_link.entry(link).or_default().push(dot);
         }
         for (link, dots) in by_link {
-            let messages: Vec<Message> = dots.chunks(8).map(|c| Message::Have(c.to_vec())).collect();
+            let messages: Vec<Message> =
+                dots.chunks(8).map(|c| Message::FactsPersisted(c.to_vec())).collect();
             self.send(link, &messages);
         }
-        self.desk.kept(ticket);
+        self.orders.persisted(ticket);
     }
 
     // ---- orders ----
 
-    /// A word that makes things safer: it holds from now on, whoever can be reached. [`Output::Settled`] tells under
-    /// `order` once it is kept here and at another, or after the span in which that could be.
+    /// Publishes an order that stops or removes something. It applies at once, whichever members are
+    /// reachable. [`Output::Settled`] reports it under the number `order` once it is persisted here and on
+    /// another member, or after the timeout for that.
     ///
     /// # Errors
-    /// There is no room for more facts.
+    /// The ledger is full, or a name is invalid.
     pub fn order_restrictive(
-        &mut self, now: u64, order: u64, at: u64, subject: Subject, word: FactAction,
+        &mut self, now: u64, order: u64, at: u64, subject: Subject, action: FactAction,
     ) -> Result<Dot, Refusal> {
         self.now = now.max(self.now);
-        let dot = self.state(at, subject, word)?;
-        self.desk.stated(self.now, order, dot.clone());
+        let dot = self.publish_new(at, subject, action)?;
+        self.orders.publish(self.now, order, dot.clone());
         Ok(dot)
     }
 
-    /// The opposite: it holds once a majority of the members has told what it knows against it. [`Output::Settled`]
-    /// tells what has come of it.
-    pub fn order_permissive(&mut self, now: u64, order: u64, at: u64, subject: Subject, word: FactAction) {
+    /// Starts an order that allows or adds something. It applies once a majority of the members has
+    /// reported what it knows against it. [`Output::Settled`] reports the result.
+    pub fn order_permissive(&mut self, now: u64, order: u64, at: u64, subject: Subject, action: FactAction) {
         self.now = now.max(self.now);
         let nonce = self.random.random::<u64>();
-        self.desk.ask(self.now, order, nonce, at, subject, word);
-        self.ask_all();
-        self.step_queries();
+        self.orders.query(self.now, order, nonce, at, subject, action);
+        self.send_queries();
+        self.publish_answered();
     }
 
-    /// States what this forwarder has held true since before it had members, without asking anybody.
+    /// Publishes a state that this forwarder had before it had peers, without asking other members.
     ///
     /// # Errors
-    /// There is no room for more facts.
-    pub fn import(&mut self, now: u64, at: u64, subject: Subject, word: FactAction) -> Result<Dot, Refusal> {
+    /// The ledger is full, or a name is invalid.
+    pub fn import(
+        &mut self, now: u64, at: u64, subject: Subject, action: FactAction,
+    ) -> Result<Dot, Refusal> {
         self.now = now.max(self.now);
-        self.state(at, subject, word)
+        self.publish_new(at, subject, action)
     }
 
-    fn state(&mut self, at: u64, subject: Subject, word: FactAction) -> Result<Dot, Refusal> {
-        let fact = self.ledger.compose(&self.run, at, subject, word);
-        self.put_out(fact)
+    fn publish_new(&mut self, at: u64, subject: Subject, action: FactAction) -> Result<Dot, Refusal> {
+        let fact = self.ledger.compose(&self.run, at, subject, action);
+        self.publish(fact)
     }
 
-    fn put_out(&mut self, fact: Fact) -> Result<Dot, Refusal> {
-        if !fact.is_sound() {
-            return Err(Refusal::Unsound);
+    fn publish(&mut self, fact: Fact) -> Result<Dot, Refusal> {
+        if !fact.is_valid() {
+            return Err(Refusal::Invalid);
         }
         let (dot, subject) = (fact.dot.clone(), fact.subject.clone());
-        if self.ledger.take(fact.clone(), self.now, None) != Taken::New {
+        if self.ledger.insert(fact.clone(), self.now, None) != InsertResult::New {
             return Err(Refusal::Full);
         }
-        self.span(&fact, None);
+        self.schedule_reopen(&fact, None);
         self.records.push(Record::Fact(fact, None));
-        self.out.push(Output::SubjectChanged(subject));
-        let missing = (0..self.links.len()).collect();
-        self.pushes.insert(dot.clone(), Push { missing, next: self.now, tries: 0 });
-        self.step_pushes();
+        self.outputs.push(Output::SubjectChanged(subject));
+        let unacknowledged = (0..self.links.len()).collect();
+        self.pushes.insert(dot.clone(), Push { unacknowledged, send_at: self.now, attempts: 0 });
+        self.send_pushes();
         Ok(dot)
     }
 
-    fn ask_all(&mut self) {
-        for (nonce, subject, asked) in self.desk.asking(self.now) {
+    fn send_queries(&mut self) {
+        for (nonce, subject, asked) in self.orders.due_queries(self.now) {
             for link in asked {
                 self.send(link, &[Message::Query { nonce, subject: subject.clone() }]);
             }
         }
     }
 
-    fn step_queries(&mut self) {
-        for (order, at, subject, word) in self.desk.answered() {
-            match self.state(at, subject, word) {
-                Ok(dot) => self.desk.stated(self.now, order, dot),
-                Err(refusal) => self.desk.refuse(order, refusal),
+    fn publish_answered(&mut self) {
+        for (order, at, subject, action) in self.orders.take_answered() {
+            match self.publish_new(at, subject, action) {
+                Ok(dot) => self.orders.publish(self.now, order, dot),
+                Err(refusal) => self.orders.refuse(order, refusal),
             }
         }
     }
 
-    // ---- time ----
+    // ---- timers ----
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: u64) {
         self.now = now.max(self.now);
         let now = self.now;
-        let wanted = self.members.tick(now);
-        self.do_wanted(wanted);
+        let actions = self.members.tick(now);
+        self.apply_detector_actions(actions);
         for link in 0..self.links.len() {
-            if self.wants_hello(&self.links[link]) && self.links[link].hello_at <= now {
-                self.hello(link);
+            if self.wants_hello(&self.links[link]) && self.links[link].next_hello <= now {
+                self.send_hello(link);
             }
         }
-        self.step_pushes();
-        self.desk.expire(now);
-        self.ask_all();
-        self.step_queries();
-        self.step_damage();
-        self.step_spans();
+        self.send_pushes();
+        self.orders.expire(now);
+        self.send_queries();
+        self.publish_answered();
+        self.settle_conflicts();
+        self.reopen_expired();
         self.claims.expire(now);
-        self.recall();
-        if self.digest_at <= now {
-            self.digest_at = now + DIGEST_EVERY / 2 + self.random.random_range(0..DIGEST_EVERY);
-            if let Some(link) = self.any_present(1).first().copied() {
-                self.tell_digest(link);
+        self.request_recovery();
+        if self.next_digest <= now {
+            self.next_digest = now + DIGEST_INTERVAL_MS / 2 + self.random.random_range(0..DIGEST_INTERVAL_MS);
+            if let Some(link) = self.random_connected(1).first().copied() {
+                self.send_digest(link);
             }
         }
-        if self.tidy_at <= now {
-            self.tidy_at = now + TIDY_EVERY;
-            self.tidy();
+        if self.next_cleanup <= now {
+            self.next_cleanup = now + CLEANUP_INTERVAL_MS;
+            self.clean_up();
         }
     }
 
-    fn tidy(&mut self) {
-        let dropped = self.ledger.drop_dead(self.now, self.settings.horizon);
+    fn clean_up(&mut self) {
+        let dropped = self.ledger.drop_expired(self.now, self.settings.horizon_ms);
         self.records.extend(dropped.into_iter().map(Record::Drop));
-        // The ages of the dead go on with the next start.
-        let dead = self.ledger.facts(self.now).filter(|(_, dead)| dead.is_some());
-        self.records.extend(dead.map(|(fact, dead)| Record::Fact(fact.clone(), dead)));
-        self.records.push(Record::Extent(self.ledger.extent()));
+        // The ages of superseded facts are stored so that they continue after the next start.
+        let superseded = self.ledger.facts(self.now).filter(|(_, superseded_ms)| superseded_ms.is_some());
+        self.records
+            .extend(superseded.map(|(fact, superseded_ms)| Record::Fact(fact.clone(), superseded_ms)));
+        self.records.push(Record::Watermarks(self.ledger.watermarks()));
     }
 
     fn wants_hello(&self, link: &Link) -> bool {
-        let silent = link.heard.is_none_or(|at| self.now > at + SILENT);
-        // One that may be new asks all whether it is.
-        let asks = self.fresh && link.new_to_it.is_none() && self.now < self.born + claims::RETENTION_MS;
-        !self.displaced && (link.present.is_none() || silent || asks)
+        let silent = link.heard_at.is_none_or(|at| self.now > at + SILENT_AFTER_MS);
+        // A forwarder that may be new asks every member whether it is.
+        let asks = self.may_be_new
+            && link.considers_us_new.is_none()
+            && self.now < self.started_at + claims::RETENTION_MS;
+        !self.displaced && (link.session.is_none() || silent || asks)
     }
 
-    fn hello(&mut self, link: usize) {
-        let wait = if self.now < self.born + JOINING { HELLO_EVERY / 2 } else { HELLO_EVERY };
-        self.links[link].hello_at = self.now + wait + self.random.random_range(0..wait);
-        // As long as its answer, so that nobody gets more out of a forwarder than he puts in.
-        let fill = postcard::to_stdvec(&Known { start: u64::MAX, session: u64::MAX, heard: u64::MAX });
-        self.seal_and_send(link, Kind::Hello, 0, &fill.unwrap_or_default());
+    fn send_hello(&mut self, link: usize) {
+        let interval_ms = if self.now < self.started_at + JOIN_PERIOD_MS {
+            HELLO_INTERVAL_MS / 2
+        } else {
+            HELLO_INTERVAL_MS
+        };
+        self.links[link].next_hello = self.now + interval_ms + self.random.random_range(0..interval_ms);
+        // The hello is padded to the length of its answer, so that it can't be used to amplify traffic.
+        let padding =
+            postcard::to_stdvec(&WelcomeInfo { start: u64::MAX, session: u64::MAX, heard_ms_ago: u64::MAX });
+        self.seal_and_send(link, Kind::Hello, 0, &padding.unwrap_or_default());
     }
 
     // ---- sending ----
 
-    fn seal_and_send(&mut self, link: usize, kind: Kind, to: u64, payload: &[u8]) {
-        self.links[link].sent += 1;
-        let head = Head {
+    fn seal_and_send(&mut self, link: usize, kind: Kind, to_session: u64, payload: &[u8]) {
+        self.links[link].last_sent += 1;
+        let header = Header {
             kind,
             from: self.run.name.clone(),
             start: self.run.start,
             session: self.session,
-            to,
-            seq: self.links[link].sent,
-            sent: self.now,
+            to_session,
+            seq: self.links[link].last_sent,
+            sent_ms: self.now,
         };
-        if let Some(bytes) = self.sealer.seal(&head, payload) {
+        if let Some(bytes) = self.sealer.seal(&header, payload) {
             self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
-            self.out.push(Output::Send(link, bytes));
+            self.outputs.push(Output::Send(link, bytes));
         }
     }
 
     fn send(&mut self, link: usize, messages: &[Message]) {
-        let Some(to) = self.links[link].present.as_ref().map(|p| p.session) else { return };
+        let Some(to_session) = self.links[link].session.as_ref().map(|s| s.id) else { return };
         if self.displaced {
             return;
         }
         for payload in pack(messages) {
-            self.seal_and_send(link, Kind::Data, to, &payload);
+            self.seal_and_send(link, Kind::Data, to_session, &payload);
         }
     }
 
-    /// Sends what belongs to catching up, within its share of bytes. What does not fit is asked for again.
+    /// Sends catch-up data within its rate limit. What exceeds the limit is requested again later. Returns
+    /// false if something was left out.
     fn send_paced(&mut self, link: usize, messages: &[Message]) -> bool {
-        let fresh = (self.now - self.reckoned) * self.settings.catch_up / 1000;
-        if fresh > 0 {
-            self.allowance = (self.allowance + fresh).min(self.settings.catch_up);
-            self.reckoned = self.now;
+        let earned = (self.now - self.budget_updated) * self.settings.catch_up_bytes_per_s / 1000;
+        if earned > 0 {
+            self.catch_up_budget = (self.catch_up_budget + earned).min(self.settings.catch_up_bytes_per_s);
+            self.budget_updated = self.now;
         }
         for message in messages {
-            let size = postcard::experimental::serialized_size(message).unwrap_or(PAYLOAD) as u64;
-            if size > self.allowance {
+            let size = postcard::experimental::serialized_size(message).unwrap_or(MAX_PAYLOAD) as u64;
+            if size > self.catch_up_budget {
                 return false;
             }
-            self.allowance -= size;
+            self.catch_up_budget -= size;
             self.send(link, std::slice::from_ref(message));
         }
         true
     }
 
-    fn do_wanted(&mut self, wanted: Wanted) {
-        for (name, data) in wanted.send {
+    fn apply_detector_actions(&mut self, actions: DetectorActions) {
+        for (name, data) in actions.send {
             if let Some(link) = self.links.iter().position(|l| l.name == name) {
                 self.send(link, &[Message::Swim(data)]);
             }
         }
-        for name in wanted.up {
+        for name in actions.up {
             if let Some(link) = self.links.iter().position(|l| l.name == name) {
-                self.event("peer_up", format!("{name} is there"));
-                self.tell_digest(link);
+                self.event("peer_up", format!("{name} is up"));
+                self.send_digest(link);
             }
         }
-        for name in wanted.down {
+        for name in actions.down {
             if self.links.iter().any(|l| l.name == name) {
-                self.event("peer_down", format!("{name} is gone, or cut off from here"));
+                self.event("peer_down", format!("{name} is down or unreachable"));
             }
         }
-        if wanted.rejoined {
-            let text = "the others held this forwarder to be gone; it is back among them";
+        if actions.rejoined {
+            let text = "the other members had declared this forwarder down; it has rejoined";
             self.event("rejoined", text.into());
         }
     }
 
-    /// Some members that are spoken to, drawn at random.
-    fn any_present(&mut self, count: usize) -> Vec<usize> {
-        let mut present: Vec<usize> =
-            (0..self.links.len()).filter(|l| self.links[*l].present.is_some()).collect();
+    /// Picks up to `count` members with a session at random.
+    fn random_connected(&mut self, count: usize) -> Vec<usize> {
+        let mut connected: Vec<usize> =
+            (0..self.links.len()).filter(|l| self.links[*l].session.is_some()).collect();
         let mut drawn = Vec::new();
-        while drawn.len() < count && !present.is_empty() {
-            drawn.push(present.swap_remove(self.random.random_range(0..present.len())));
+        while drawn.len() < count && !connected.is_empty() {
+            drawn.push(connected.swap_remove(self.random.random_range(0..connected.len())));
         }
         drawn
     }
 
-    fn tell_digest(&mut self, link: usize) {
+    fn send_digest(&mut self, link: usize) {
         let digest = self.ledger.digest();
         self.send(link, &[Message::Digest(digest)]);
     }
 
-    /// Goes round those that lack one of this forwarder's own facts.
-    fn step_pushes(&mut self) {
+    /// Sends facts of this forwarder to the members that have not acknowledged them.
+    fn send_pushes(&mut self) {
         let due: Vec<Dot> =
-            self.pushes.iter().filter(|(_, p)| p.next <= self.now).map(|(d, _)| d.clone()).collect();
+            self.pushes.iter().filter(|(_, p)| p.send_at <= self.now).map(|(d, _)| d.clone()).collect();
         for dot in due {
             let Some(fact) = self.ledger.get(&dot).cloned() else {
                 self.pushes.remove(&dot);
                 continue;
             };
             let Some(push) = self.pushes.get_mut(&dot) else { continue };
-            push.tries += 1;
-            push.next = self.now + (PUSH_FIRST << push.tries.min(6)).min(PUSH_MOST);
-            let (missing, over) = (push.missing.clone(), push.tries > PUSHES);
-            if over {
-                // Whoever has not answered by now finds it out by digest.
+            push.attempts += 1;
+            push.send_at = self.now + (PUSH_DELAY_MS << push.attempts.min(6)).min(MAX_PUSH_DELAY_MS);
+            let (unacknowledged, exhausted) = (push.unacknowledged.clone(), push.attempts > MAX_PUSHES);
+            if exhausted {
+                // Members that have not answered by now find the difference by digest.
                 self.pushes.remove(&dot);
                 continue;
             }
-            for link in missing {
+            for link in unacknowledged {
                 self.send(link, &[Message::Facts(vec![fact.clone()])]);
             }
         }
@@ -758,236 +795,248 @@
 
     // ---- receiving ----
 
-    /// Takes a datagram in.
+    /// Handles a datagram.
     pub fn datagram(&mut self, now: u64, bytes: &[u8]) {
         self.now = now.max(self.now);
-        match self.let_in(bytes) {
+        match self.receive(bytes) {
             Ok(()) => {
                 self.received = (self.received.0 + 1, self.received.1 + bytes.len() as u64);
             }
-            Err(refused) => *self.refused.entry(refused).or_default() += 1,
+            Err(reason) => *self.dropped.entry(reason).or_default() += 1,
         }
     }
 
-    fn let_in(&mut self, bytes: &[u8]) -> Result<(), Refused> {
+    fn receive(&mut self, bytes: &[u8]) -> Result<(), DropReason> {
         let sealer = self.sealer.clone();
-        let (head, payload) = sealer.open(bytes)?;
-        let link = self.links.iter().position(|l| l.name == head.from).ok_or(Refused::Stranger)?;
-        if head.kind == Kind::Hello {
-            return self.welcome(link, &head, bytes.len());
-        }
-        if head.to != self.session {
-            return Err(Refused::Stale);
-        }
-        let present = self.links[link].present.as_mut().filter(|p| p.session == head.session);
-        if present.is_some_and(|p| !p.window.is_new(head.seq)) {
-            return Err(Refused::Replayed);
-        }
-        self.refuse_older(link, &head)?;
-        if head.kind == Kind::Welcome {
-            // Before anything is told to it under a number that may be an earlier life's.
-            let known: Known = postcard::from_bytes(payload).map_err(|_| Refused::Unreadable)?;
-            self.welcomed(link, known);
-        }
-        self.meet(link, &head);
-        let heard = self.links[link].heard.unwrap_or(self.now);
-        let since = self.now.saturating_sub(heard) as i64;
-        let Some(present) = &mut self.links[link].present else { return Err(Refused::Stale) };
-        // Of one that has been met by this.
-        present.window.is_new(head.seq);
-        let span = self.now as i64 - head.sent as i64;
-        // Clocks that run unlike each other move it, by less than one part in fifty: so much of it is not lateness.
-        present.offset = (present.offset + 1 + since / 50).min(span);
-        let late = (span - present.offset).max(0) as u64;
-        self.links[link].heard = Some(self.now);
-        if head.kind == Kind::Welcome {
+        let (header, payload) = sealer.open(bytes)?;
+        let link = self.links.iter().position(|l| l.name == header.from).ok_or(DropReason::Stranger)?;
+        if header.kind == Kind::Hello {
+            return self.send_welcome(link, &header, bytes.len());
+        }
+        if header.to_session != self.session {
+            return Err(DropReason::Stale);
+        }
+        let session = self.links[link].session.as_mut().filter(|s| s.id == header.session);
+        if session.is_some_and(|s| !s.window.accept(header.seq)) {
+            return Err(DropReason::Replayed);
+        }
+        self.reject_older_run(link, &header)?;
+        if header.kind == Kind::Welcome {
+            // Handled before anything is sent to the member under a start number that an earlier run may
+            // have used.
+            let known: WelcomeInfo = postcard::from_bytes(payload).map_err(|_| DropReason::Unreadable)?;
+            self.handle_welcome(link, known);
+        }
+        self.accept_run(link, &header);
+        let heard_at = self.links[link].heard_at.unwrap_or(self.now);
+        let silence_ms = self.now.saturating_sub(heard_at) as i64;
+        let Some(session) = &mut self.links[link].session else { return Err(DropReason::Stale) };
+        // Records the number in the window of a session that this datagram has opened.
+        session.window.accept(header.seq);
+        let difference = self.now as i64 - header.sent_ms as i64;
+        // Clocks that run at different rates shift the offset by less than one part in fifty, so that much
+        // is not counted as delay.
+        session.clock_offset = (session.clock_offset + 1 + silence_ms / 50).min(difference);
+        let delay_ms = (difference - session.clock_offset).max(0) as u64;
+        self.links[link].heard_at = Some(self.now);
+        if header.kind == Kind::Welcome {
             return Ok(());
         }
-        for message in unpack(payload).ok_or(Refused::Unreadable)? {
-            self.message(link, message, late)?;
+        for message in unpack(payload).ok_or(DropReason::Unreadable)? {
+            self.handle_message(link, message, delay_ms)?;
         }
         Ok(())
     }
 
-    /// Whoever goes on saying hello under a name that has a session is not that member: a process elsewhere, which what is sent
-    /// to that name never reaches.
-    fn look_at_hello(&mut self, link: usize, head: &Head) {
+    /// Detects a second process that uses the name of a member. A sender that keeps sending hellos under a
+    /// name with an active session is not that member: it runs elsewhere, and datagrams to the member do
+    /// not reach it.
+    fn detect_duplicate(&mut self, link: usize, header: &Header) {
         let now = self.now;
         let l = &mut self.links[link];
-        let there = l.present.as_ref().is_some_and(|p| p.session != head.session) && l.is_there(now);
-        if !there || l.doubled {
-            l.stranger = None;
+        let is_active = l.session.as_ref().is_some_and(|s| s.id != header.session) && l.is_responsive(now);
+        if !is_active || l.duplicate_reported {
+            l.rival_session = None;
             return;
         }
-        let since = match l.stranger {
-            Some((session, since)) if session == head.session => since,
+        let since = match l.rival_session {
+            Some((session, since)) if session == header.session => since,
             _ => now,
         };
-        l.stranger = Some((head.session, since));
-        if now > since + STILL_THERE {
-            l.doubled = true;
+        l.rival_session = Some((header.session, since));
+        if now > since + DUPLICATE_AFTER_MS {
+            l.duplicate_reported = true;
             let text = format!(
-                "two processes run under the name {}: one is a member, and another one, with start number {}, asks to be",
-                l.name, head.start
+                "two processes run under the name {}: one is a member, and another, with start number {}, keeps trying to join",
+                l.name, header.start
             );
             self.event("two_processes", text);
         }
     }
 
-    /// Answers a hello: to the address of the list, by no more bytes than it had.
-    fn welcome(&mut self, link: usize, head: &Head, length: usize) -> Result<(), Refused> {
-        self.look_at_hello(link, head);
+    /// Answers a hello, to the address in the site file and with no more bytes than the hello had.
+    fn send_welcome(&mut self, link: usize, header: &Header, length: usize) -> Result<(), DropReason> {
+        self.detect_duplicate(link, header);
         let l = &self.links[link];
-        let heard = l.heard.map_or(u64::MAX, |at| self.now.saturating_sub(at));
-        let known = Known { start: l.start, session: l.session, heard };
-        let payload = postcard::to_stdvec(&known).map_err(|_| Refused::Unreadable)?;
-        // Both heads have the same fields; the session in place of the 0 is what can make it longer.
+        let heard_ms_ago = l.heard_at.map_or(u64::MAX, |at| self.now.saturating_sub(at));
+        let known = WelcomeInfo { start: l.start, session: l.start_session, heard_ms_ago };
+        let payload = postcard::to_stdvec(&known).map_err(|_| DropReason::Unreadable)?;
+        // Both headers have the same fields. Only the session in place of the 0 can make the welcome
+        // longer.
         if length + 10 < payload.len() {
-            return Err(Refused::Unreadable);
+            return Err(DropReason::Unreadable);
         }
-        self.seal_and_send(link, Kind::Welcome, head.session, &payload);
+        self.seal_and_send(link, Kind::Welcome, header.session, &payload);
         Ok(())
     }
 
-    /// Whoever writes to this session is a life that has heard of it: the one with the highest start number is the member.
-    fn refuse_older(&mut self, link: usize, head: &Head) -> Result<(), Refused> {
+    /// Rejects datagrams of a run that is older than the current one. A sender that addresses this session
+    /// has heard of it; of several such runs, the one with the highest start number is the member.
+    fn reject_older_run(&mut self, link: usize, header: &Header) -> Result<(), DropReason> {
         let l = &mut self.links[link];
-        let known = l.present.as_ref().map(|p| p.session);
-        // Another life under the same number runs on an older copy of the folder: it has to take a number of its own first, and
-        // is told so when it says hello. Were it met, nothing would be left here to tell it by.
-        let older = head.start < l.start || head.start == l.start && l.session != 0;
-        if known == Some(head.session) || !older {
+        let known = l.session.as_ref().map(|s| s.id);
+        // Another run under the same start number uses an older copy of the folder. It must first take a
+        // start number of its own, which the answer to its hello tells it to do. If it were accepted, the
+        // start number recorded here could no longer reveal the conflict.
+        let is_older = header.start < l.start || header.start == l.start && l.start_session != 0;
+        if known == Some(header.session) || !is_older {
             return Ok(());
         }
-        let there = known.is_some() && l.is_there(self.now);
-        if there && self.now > l.met + STILL_THERE && !l.doubled {
-            l.doubled = true;
+        let is_active = known.is_some() && l.is_responsive(self.now);
+        if is_active && self.now > l.accepted_at + DUPLICATE_AFTER_MS && !l.duplicate_reported {
+            l.duplicate_reported = true;
             let name = l.name.clone();
             let text = format!(
-                "two processes run under the name {name}: the one with start number {} goes on while {} is there",
-                head.start, l.start
+                "two processes run under the name {name}: the one with start number {} is still sending while {} is active",
+                header.start, l.start
             );
             self.event("two_processes", text);
         }
-        Err(Refused::Stale)
+        Err(DropReason::Stale)
     }
 
-    /// Takes a life that is not an older one for the member.
-    fn meet(&mut self, link: usize, head: &Head) {
+    /// Accepts a run that is not older than the current one as the member.
+    fn accept_run(&mut self, link: usize, header: &Header) {
         let l = &mut self.links[link];
-        if l.present.as_ref().is_some_and(|p| p.session == head.session) {
-            if head.start > l.start {
-                // It has found that its number was an earlier life's.
-                l.start = head.start;
-                self.records.push(Record::Seen(l.name.clone(), head.start));
+        if l.session.as_ref().is_some_and(|s| s.id == header.session) {
+            if header.start > l.start {
+                // The member has found that an earlier run used its start number.
+                l.start = header.start;
+                self.records.push(Record::SeenStart(l.name.clone(), header.start));
             }
             return;
         }
-        if l.start != head.start {
-            self.records.push(Record::Seen(l.name.clone(), head.start));
+        if l.start != header.start {
+            self.records.push(Record::SeenStart(l.name.clone(), header.start));
         }
-        (l.start, l.session, l.met, l.doubled) = (head.start, head.session, self.now, false);
-        l.present = Some(Present {
-            session: head.session,
-            window: Window::default(),
-            offset: self.now as i64 - head.sent as i64,
+        (l.start, l.start_session, l.accepted_at, l.duplicate_reported) =
+            (header.start, header.session, self.now, false);
+        l.session = Some(Session {
+            id: header.session,
+            window: ReplayWindow::default(),
+            clock_offset: self.now as i64 - header.sent_ms as i64,
         });
-        (l.same, l.hello_at) = (None, self.now);
-        self.claims.restarted(link);
-        let id = Id { name: l.name.clone(), start: head.start, turn: 0 };
-        let wanted = self.members.announce(self.now, id);
-        self.do_wanted(wanted);
-        self.tell_digest(link);
-        for push in self.pushes.values_mut().filter(|p| p.missing.contains(&link)) {
-            (push.next, push.tries) = (self.now, 0);
-        }
-    }
-
-    /// What another knows of this forwarder: an earlier life with a higher start number means that the state folder is
-    /// older than that life.
-    fn welcomed(&mut self, link: usize, known: Known) {
-        let new = known.start == 0 || known.session == self.session;
-        if new || known.start >= self.run.start {
-            // What it has said once, before it had heard of this life, stays.
-            self.links[link].new_to_it.get_or_insert(new);
-            let new_to = self.links.iter().filter(|l| l.new_to_it == Some(true)).count();
-            if self.fresh && new_to >= self.links.len().div_ceil(2) {
-                // It, and those, are a majority.
-                self.fresh = false;
-                self.claims.is_new(self.now);
+        (l.matched_at, l.next_hello) = (None, self.now);
+        self.claims.member_restarted(link);
+        let id = MemberId { name: l.name.clone(), start: header.start, incarnation: 0 };
+        let actions = self.members.announce(self.now, id);
+        self.apply_detector_actions(actions);
+        self.send_digest(link);
+        for push in self.pushes.values_mut().filter(|p| p.unacknowledged.contains(&link)) {
+            (push.send_at, push.attempts) = (self.now, 0);
+        }
+    }
+
+    /// Handles what another member knows about this forwarder. A higher start number of an earlier run
+    /// means that the state folder is older than that run.
+    fn handle_welcome(&mut self, link: usize, known: WelcomeInfo) {
+        let is_new = known.start == 0 || known.session == self.session;
+        if is_new || known.start >= self.run.start {
+            // A member's first answer, given before it had heard of this run, is kept.
+            self.links[link].considers_us_new.get_or_insert(is_new);
+            let confirmations = self.links.iter().filter(|l| l.considers_us_new == Some(true)).count();
+            if self.may_be_new && confirmations >= self.links.len().div_ceil(2) {
+                // This forwarder and those members are a majority.
+                self.may_be_new = false;
+                self.claims.confirm_new(self.now);
             }
         }
         if known.session == self.session || known.start < self.run.start || known.start == 0 {
             return;
         }
         if known.start == self.run.start && known.session == 0 {
-            // The other has its number from its own store, from before this life or of it: nothing speaks against it.
+            // The other member has the start number from its own store, recorded before or during this run;
+            // that is no conflict.
             return;
         }
         if self.displaced {
             return;
         }
         let other = self.links[link].name.clone();
-        // Long after its start, one that was heard of just now is no earlier life, but another process.
-        if self.now >= self.born + JOINING && known.heard < STILL_THERE {
+        // Long after the start of this process, a recently heard run is not an earlier one but another
+        // process.
+        if self.now >= self.started_at + JOIN_PERIOD_MS && known.heard_ms_ago < DUPLICATE_AFTER_MS {
             self.displaced = true;
             let text = format!(
-                "another process runs under the name {} and has start number {}, this one {}: {other} has heard it {} ms \
-                 ago. This one takes no part any more; stop one of the two",
-                self.run.name, known.start, self.run.start, known.heard
+                "another process runs under the name {} with start number {}, this one has {}: {other} heard from it {} ms \
+                 ago. This process no longer takes part; stop one of the two",
+                self.run.name, known.start, self.run.start, known.heard_ms_ago
             );
             return self.event("displaced", text);
         }
-        (self.old_state, self.fresh) = (true, false);
-        // What its later life held and granted is not in this folder.
-        self.memory = self.random.random::<u64>() | 1;
-        self.claims.forget_own(self.now, self.memory, known.start + 1);
-        self.records.push(Record::Memory(self.memory));
-        let before = self.run.start;
+        (self.stale_state, self.may_be_new) = (true, false);
+        // What the later run owned and granted is missing from this folder.
+        self.store_id = self.random.random::<u64>() | 1;
+        self.claims.reset_store(self.now, self.store_id, known.start + 1);
+        self.records.push(Record::StoreId(self.store_id));
+        let previous_start = self.run.start;
         self.run.start = known.start + 1;
         self.records.push(Record::Start(self.run.start));
         let text = format!(
-            "the state folder is older than what {other} knows: this start has number {before}, and one with {} has been \
-             there; going on as {}",
+            "the state folder is older than what {other} knows: this run has start number {previous_start}, but one with {} \
+             has been seen; continuing as {}",
             known.start, self.run.start
         );
         self.event("old_state", text);
-        let id = Id { name: self.run.name.clone(), start: self.run.start, turn: 0 };
-        let wanted = self.members.restart(self.now, id);
-        self.do_wanted(wanted);
+        let id = MemberId { name: self.run.name.clone(), start: self.run.start, incarnation: 0 };
+        let actions = self.members.change_start(self.now, id);
+        self.apply_detector_actions(actions);
         for link in 0..self.links.len() {
-            self.hello(link);
+            self.send_hello(link);
         }
     }
 
-    fn message(&mut self, link: usize, message: Message, late: u64) -> Result<(), Refused> {
+    fn handle_message(&mut self, link: usize, message: Message, delay_ms: u64) -> Result<(), DropReason> {
         match message {
             Message::Swim(data) => {
-                let (read, wanted) = self.members.heard(self.now, &data);
-                self.do_wanted(wanted);
-                return read.then_some(()).ok_or(Refused::Unreadable);
+                let (decoded, actions) = self.members.handle_message(self.now, &data);
+                self.apply_detector_actions(actions);
+                return decoded.then_some(()).ok_or(DropReason::Unreadable);
+            }
+            Message::Facts(facts) => return facts.into_iter().try_for_each(|f| self.handle_fact(link, f)),
+            Message::FactsPersisted(dots) => {
+                dots.iter().for_each(|dot| self.handle_acknowledgement(link, dot))
             }
-            Message::Facts(facts) => return facts.into_iter().try_for_each(|f| self.fact(link, f)),
-            Message::Have(dots) => dots.iter().for_each(|dot| self.has(link, dot)),
-            Message::Digest(sums) => self.digest(link, &sums),
-            Message::Summary { bucket, echo, stretches } => {
+            Message::Digest(digest) => self.handle_digest(link, &digest),
+            Message::Summary { bucket, reply_wanted, ranges } => {
                 if bucket as usize >= BUCKETS {
-                    return Err(Refused::Unreadable);
+                    return Err(DropReason::Unreadable);
                 }
-                stretches.iter().for_each(|s| self.stretch(link, s));
-                if echo {
-                    self.tell_bucket(link, bucket as usize, false);
+                ranges.iter().for_each(|s| self.handle_range(link, s));
+                if reply_wanted {
+                    self.send_bucket(link, bucket as usize, false);
                 }
             }
-            Message::Want { run, seqs } => {
-                let dots = seqs.into_iter().take(WANTS).map(|seq| Dot { run: run.clone(), seq });
+            Message::FactsRequest { run, seqs } => {
+                let dots =
+                    seqs.into_iter().take(MAX_FACTS_REQUESTED).map(|seq| Dot { run: run.clone(), seq });
                 let facts: Vec<Fact> = dots.filter_map(|d| self.ledger.get(&d).cloned()).collect();
                 let messages: Vec<Message> = facts.into_iter().map(|f| Message::Facts(vec![f])).collect();
                 self.send_paced(link, &messages);
             }
             Message::Query { nonce, subject } => {
                 let facts = self.ledger.live_facts(&subject);
-                // What does not fit one datagram goes before it by itself.
+                // Facts that do not fit into one datagram are sent ahead of the answer.
                 let (few, more) = facts.split_at(facts.len().min(2));
                 let mut messages: Vec<Message> =
                     more.iter().map(|f| Message::Facts(vec![f.clone()])).collect();
@@ -995,384 +1044,397 @@
                 self.send(link, &messages);
             }
             Message::Answer { nonce, facts } => {
-                facts.into_iter().try_for_each(|f| self.fact(link, f))?;
-                self.desk.answer(link, nonce);
-                self.step_queries();
+                facts.into_iter().try_for_each(|f| self.handle_fact(link, f))?;
+                self.orders.record_answer(link, nonce);
+                self.publish_answered();
             }
-            Message::AskWord(dot) => {
+            Message::AuthorCopyRequest(dot) => {
                 if dot.run.name == self.run.name {
                     if let Some(fact) = self.ledger.get(&dot).cloned() {
-                        self.send(link, &[Message::Word(Box::new(fact))]);
+                        self.send(link, &[Message::AuthorCopy(Box::new(fact))]);
                     }
                 }
             }
-            Message::Waits(waits) => {
-                for (partner, left) in waits.into_iter().take(hints::MOST) {
-                    let until = self.hints.wait(self.now, link, partner, left.saturating_sub(late));
-                    self.out.extend(until.map(|until| Output::HoldPartner(partner, until)));
+            Message::WaitHints(waits) => {
+                for (partner, left_ms) in waits.into_iter().take(hints::MAX_HINTS) {
+                    let until = self.hints.apply(self.now, link, partner, left_ms.saturating_sub(delay_ms));
+                    self.outputs.extend(until.map(|until| Output::HoldPartner(partner, until)));
                 }
             }
-            Message::Claims(memory, claims) => {
-                let from = self.holder(link, memory);
-                for chunk in claims.chunks(claims::ITEMS) {
-                    let answer = |c: &claims::Claim| (c.key, c.turn, self.claims.answer(self.now, &from, c));
-                    let answers = chunk.iter().map(answer).collect();
-                    self.outgoing.push((link, Message::Claimed(answers)));
+            Message::Claims(store_id, claims) => {
+                let from = self.owner_on(link, store_id);
+                for chunk in claims.chunks(claims::MAX_ITEMS_PER_MESSAGE) {
+                    let reply = |c: &claims::Claim| (c.key, c.seq, self.claims.reply(self.now, &from, c));
+                    let replies = chunk.iter().map(reply).collect();
+                    self.claim_messages.push((link, Message::ClaimReplies(replies)));
                 }
             }
-            Message::Claimed(answers) => {
-                for (key, turn, answer) in answers {
-                    let held = matches!(answer, Answer::Held(..));
-                    self.claims.answered(self.now, link, key, turn, answer);
+            Message::ClaimReplies(replies) => {
+                for (key, seq, reply) in replies {
+                    let held = matches!(reply, ClaimReply::Held(..));
+                    self.claims.record_reply(self.now, link, key, seq, reply);
                     if held {
-                        self.ask_holder(key);
+                        self.query_owner(key);
                     }
                 }
             }
-            Message::Ended(memory, ends) => {
-                let from = self.holder(link, memory);
-                let keys = ends.iter().map(|(key, ..)| *key).collect();
-                for (key, turn, word) in ends {
-                    self.claims.told(self.now, &from, key, turn, word);
+            Message::Outcomes(store_id, outcomes) => {
+                let from = self.owner_on(link, store_id);
+                let keys = outcomes.iter().map(|(key, ..)| *key).collect();
+                for (key, seq, outcome) in outcomes {
+                    self.claims.apply_outcome(self.now, &from, key, seq, outcome);
                 }
-                self.outgoing.push((link, Message::EndKnown(keys)));
+                self.claim_messages.push((link, Message::OutcomesRecorded(keys)));
             }
-            Message::EndKnown(keys) => keys.into_iter().for_each(|key| self.claims.acknowledged(link, key)),
-            Message::Whose(key) => {
+            Message::OutcomesRecorded(keys) => {
+                keys.into_iter().for_each(|key| self.claims.acknowledge_outcome(link, key))
+            }
+            Message::OwnerQuery(key) => {
                 let status = self.claims.own_status(key);
-                if status == Status::Unknown {
-                    self.claims.deny(self.now, key);
+                if status == OwnerStatus::Unknown {
+                    self.claims.disown(self.now, key);
                 }
-                self.outgoing.push((link, Message::Is(self.memory, key, status)));
+                self.claim_messages.push((link, Message::OwnerReply(self.store_id, key, status)));
             }
-            Message::Is(memory, key, status) => {
-                let from = self.holder(link, memory);
-                self.claims.status(self.now, &from, key, status);
-                // With another memory than the one that holds it, nobody can be asked any more.
+            Message::OwnerReply(store_id, key, status) => {
+                let from = self.owner_on(link, store_id);
+                self.claims.owner_replied(self.now, &from, key, status);
+                // If the owner's name now has another store id, the owner can't be asked any more.
                 if self.claims.held_by(key).is_some_and(|h| h.name == from.name && *h != from) {
-                    self.claims.out_of_reach(self.now, key);
+                    self.claims.owner_unreachable(self.now, key);
                 }
             }
-            Message::Recall(after) => {
-                let piece = self.claims.piece(self.now, after);
-                self.send_paced(link, &[Message::Recalled(piece)]);
+            Message::RecoveryRequest(after) => {
+                let page = self.claims.recovery_page(self.now, after);
+                self.send_paced(link, &[Message::RecoveryPage(page)]);
             }
-            Message::Recalled(piece) => {
-                if self.claims.recalled(self.now, link, piece) {
-                    self.recall();
+            Message::RecoveryPage(page) => {
+                if self.claims.apply_recovery_page(self.now, link, page) {
+                    self.request_recovery();
                 }
             }
-            Message::Word(fact) => {
-                if fact.dot.run.name == self.links[link].name && fact.is_sound() {
-                    self.word(*fact);
+            Message::AuthorCopy(fact) => {
+                if fact.dot.run.name == self.links[link].name && fact.is_valid() {
+                    self.handle_author_copy(*fact);
                 }
             }
         }
         Ok(())
     }
 
-    fn fact(&mut self, link: usize, fact: Fact) -> Result<(), Refused> {
-        if !fact.is_sound() {
-            return Err(Refused::Unreadable);
+    fn handle_fact(&mut self, link: usize, fact: Fact) -> Result<(), DropReason> {
+        if !fact.is_valid() {
+            return Err(DropReason::Unreadable);
         }
         let (dot, subject) = (fact.dot.clone(), fact.subject.clone());
-        match self.ledger.take(fact.clone(), self.now, None) {
-            Taken::New => {
-                self.span(&fact, None);
+        match self.ledger.insert(fact.clone(), self.now, None) {
+            InsertResult::New => {
+                self.schedule_reopen(&fact, None);
                 self.records.push(Record::Fact(fact, None));
-                self.out.push(Output::SubjectChanged(subject));
-                // The subjects of what it supersedes are its own: nothing else has changed.
-                for other in self.any_present(RUMOUR) {
+                self.outputs.push(Output::SubjectChanged(subject));
+                // A fact supersedes only facts about its own subject, so no other subject has changed.
+                for other in self.random_connected(DIGEST_FANOUT) {
                     if other != link {
-                        self.tell_digest(other);
+                        self.send_digest(other);
                     }
                 }
             }
-            Taken::Known | Taken::Dropped if self.records.is_empty() => {
-                let handed = self.next_ticket - 1;
-                if self.kept_upto == handed {
-                    self.send(link, &[Message::Have(vec![dot])]);
+            InsertResult::Duplicate | InsertResult::AlreadyDropped if self.records.is_empty() => {
+                let last_ticket = self.next_ticket - 1;
+                if self.persisted_ticket == last_ticket {
+                    self.send(link, &[Message::FactsPersisted(vec![dot])]);
                 } else {
-                    self.to_tell.entry(handed).or_default().push((link, dot));
+                    self.acks_by_ticket.entry(last_ticket).or_default().push((link, dot));
                 }
                 return Ok(());
             }
-            Taken::Known | Taken::Dropped => {}
-            Taken::Damaged => {
-                self.found_damaged(link, dot, Some(fact));
+            InsertResult::Duplicate | InsertResult::AlreadyDropped => {}
+            InsertResult::Conflict => {
+                self.report_conflict(link, dot, Some(fact));
                 return Ok(());
             }
-            Taken::Full => {
-                self.event("ledger_full", format!("there is no room for {dot} of {}", self.links[link].name));
+            InsertResult::Full => {
+                self.event(
+                    "ledger_full",
+                    format!("the ledger is full: {dot} from {} is not stored", self.links[link].name),
+                );
                 return Ok(());
             }
         }
-        self.unticketed.push((link, dot));
+        self.acks_without_ticket.push((link, dot));
         Ok(())
     }
 
-    /// Another has a fact on disk.
-    fn has(&mut self, link: usize, dot: &Dot) {
-        self.desk.copied(link, dot);
+    /// A member has persisted a fact.
+    fn handle_acknowledgement(&mut self, link: usize, dot: &Dot) {
+        self.orders.add_copy(link, dot);
         let Some(push) = self.pushes.get_mut(dot) else { return };
-        push.missing.remove(&link);
-        if push.missing.is_empty() {
+        push.unacknowledged.remove(&link);
+        if push.unacknowledged.is_empty() {
             self.pushes.remove(dot);
         }
     }
 
-    fn digest(&mut self, link: usize, sums: &[u64; BUCKETS]) {
+    fn handle_digest(&mut self, link: usize, digest: &[u64; BUCKETS]) {
         let own = self.ledger.digest();
-        if own == *sums {
-            self.links[link].same = Some(self.now);
+        if own == *digest {
+            self.links[link].matched_at = Some(self.now);
             if !self.caught_up {
                 self.caught_up = true;
-                let text = format!("caught up: the ledger is the same as that of {}", self.links[link].name);
+                let text = format!("caught up: the ledger is identical to that of {}", self.links[link].name);
                 self.event("caught_up", text);
-                // Whoever compares with this one may have caught up by that as well.
-                self.tell_digest(link);
+                // The other member may also have caught up by this comparison.
+                self.send_digest(link);
             }
             return;
         }
-        // Until they are the same it goes on soon.
-        self.digest_at = self.digest_at.min(self.now + DIGEST_SOON);
-        for bucket in (0..BUCKETS).filter(|n| own[*n] != sums[*n]) {
-            self.tell_bucket(link, bucket, true);
+        // While the ledgers differ, they are compared again soon.
+        self.next_digest = self.next_digest.min(self.now + DIGEST_RETRY_MS);
+        for bucket in (0..BUCKETS).filter(|n| own[*n] != digest[*n]) {
+            self.send_bucket(link, bucket, true);
         }
     }
 
-    fn tell_bucket(&mut self, link: usize, bucket: usize, echo: bool) {
-        let pieces = self.ledger.summary(bucket, PIECE);
-        if pieces.is_empty() && echo {
-            let empty = Message::Summary { bucket: bucket as u8, echo, stretches: Vec::new() };
+    fn send_bucket(&mut self, link: usize, bucket: usize, reply_wanted: bool) {
+        let summary = self.ledger.summarize(bucket, MAX_RANGE_FACTS);
+        if summary.is_empty() && reply_wanted {
+            let empty = Message::Summary { bucket: bucket as u8, reply_wanted, ranges: Vec::new() };
             self.send_paced(link, &[empty]);
             return;
         }
-        for (n, piece) in pieces.into_iter().enumerate() {
-            let message =
-                Message::Summary { bucket: bucket as u8, echo: echo && n == 0, stretches: vec![piece] };
+        for (n, range) in summary.into_iter().enumerate() {
+            let message = Message::Summary {
+                bucket: bucket as u8,
+                reply_wanted: reply_wanted && n == 0,
+                ranges: vec![range],
+            };
             if !self.send_paced(link, &[message]) {
                 return;
             }
         }
     }
 
-    fn stretch(&mut self, link: usize, told: &Stretch) {
-        let seen = self.ledger.compare(told, self.now);
-        let mut changed: BTreeSet<Subject> = seen.died;
-        for fact in seen.aside {
+    fn handle_range(&mut self, link: usize, theirs: &RunRange) {
+        let comparison = self.ledger.compare(theirs, self.now);
+        let mut changed: BTreeSet<Subject> = comparison.superseded_subjects;
+        for fact in comparison.discarded {
             let text = format!(
-                "{} of {} said {} {}, and is laid aside: {} has dropped it, it was superseded while this forwarder was away",
+                "{} of {} ({} {}) is discarded: {} has dropped it, since it was superseded while this forwarder was away",
                 fact.dot, fact.dot.run.name, fact.action.name(), fact.subject, self.links[link].name
             );
             self.event("laid_aside", text);
             self.records.push(Record::Drop(fact.dot.clone()));
             changed.insert(fact.subject.clone());
-            self.out.push(Output::Discarded(fact));
+            self.outputs.push(Output::Discarded(fact));
         }
-        self.out.extend(changed.into_iter().map(Output::SubjectChanged));
-        if seen.advanced {
-            self.records.push(Record::Extent(self.ledger.extent()));
+        self.outputs.extend(changed.into_iter().map(Output::SubjectChanged));
+        if comparison.advanced {
+            self.records.push(Record::Watermarks(self.ledger.watermarks()));
         }
-        for dot in seen.damaged {
-            self.found_damaged(link, dot, None);
+        for dot in comparison.conflicting {
+            self.report_conflict(link, dot, None);
         }
-        for chunk in seen.lacking.chunks(WANTS) {
+        for chunk in comparison.missing.chunks(MAX_FACTS_REQUESTED) {
             let seqs = chunk.iter().map(|d| d.seq).collect();
-            self.send(link, &[Message::Want { run: told.run.clone(), seqs }]);
+            self.send(link, &[Message::FactsRequest { run: theirs.run.clone(), seqs }]);
         }
     }
 
-    // ---- hints ----
+    // ---- wait hints ----
 
-    /// A partner has told this forwarder to wait for so many milliseconds. The others hear of it once: one that does not is
-    /// told by the partner itself.
-    pub fn share_wait(&mut self, now: u64, partner: u32, left: u64) {
+    /// Tells the other members that a partner has asked this forwarder to wait this many milliseconds. It
+    /// is sent once: a member that misses it is told by the partner itself.
+    pub fn share_wait(&mut self, now: u64, partner: u32, wait_ms: u64) {
         self.now = now.max(self.now);
-        if left < hints::LEAST || !self.settings.share_waits {
+        if wait_ms < hints::MIN_WAIT_MS || !self.settings.share_waits {
             return;
         }
         for link in 0..self.links.len() {
-            self.send(link, &[Message::Waits(vec![(partner, left)])]);
+            self.send(link, &[Message::WaitHints(vec![(partner, wait_ms)])]);
         }
     }
 
-    // ---- ids ----
+    // ---- message ids ----
 
-    fn holder(&self, link: usize, memory: u64) -> Holder {
-        Holder { name: self.links[link].name.clone(), memory }
+    fn owner_on(&self, link: usize, store_id: u64) -> Owner {
+        Owner { name: self.links[link].name.clone(), store_id }
     }
 
-    /// Begins to claim the id of a message that is handed in here; [`Output::Claim`] tells what has come of it.
+    /// Starts to claim the id of a message submitted here. [`Output::Claim`] reports the result.
     pub fn claim(&mut self, now: u64, key: Key, effect: claims::Effect) {
         self.now = now.max(self.now);
         self.claims.claim(self.now, key, effect);
-        self.ask_holder(key);
+        self.query_owner(key);
     }
 
-    /// A message of this forwarder has ended, or was not taken on after all.
-    pub fn message_ended(&mut self, now: u64, key: Key, word: claims::ClaimOutcome) {
+    /// A message of this forwarder has ended, or was not accepted after all.
+    pub fn message_ended(&mut self, now: u64, key: Key, outcome: claims::ClaimOutcome) {
         self.now = now.max(self.now);
-        self.claims.tell(self.now, key, word);
+        self.claims.message_ended(self.now, key, outcome);
     }
 
-    /// A message of this forwarder has been taken on.
+    /// A message has been accepted by this forwarder.
     pub fn message_accepted(&mut self, key: Key) {
-        self.claims.taken(key);
+        self.claims.message_accepted(key);
     }
 
-    /// After a start: see [`Claims::recheck`].
+    /// Compares the claims with the journal after a start; see [`Claims::reconcile`].
     pub fn reconcile_claims(
-        &mut self, now: u64, held: &[Key], ended: &[(Key, claims::ClaimOutcome)], whole: bool,
+        &mut self, now: u64, held: &[Key], ended: &[(Key, claims::ClaimOutcome)], durable: bool,
     ) {
         self.now = now.max(self.now);
-        // A folder that was empty does not tell what was held before.
-        self.claims.recheck(self.now, held, ended, whole && !self.old_state && !self.from_empty);
+        // A folder that was empty does not show what was owned before.
+        self.claims.reconcile(self.now, held, ended, durable && !self.stale_state && !self.started_empty);
     }
 
-    /// Whether all that this forwarder has granted is known to it: only then its word on ids counts.
+    /// Whether this forwarder knows everything that it has granted; only then do its replies on ids count.
     pub fn knows_all_claims(&self, now: u64) -> bool {
-        self.claims.is_sure(now)
+        self.claims.is_complete(now)
     }
 
-    /// Who holds, or held, a message, and how it ended; as far as it is known here.
+    /// The owner, present or past, of a message and its outcome, as far as they are known here.
     pub fn known_id(&self, key: Key) -> Option<(&str, Option<claims::ClaimOutcome>)> {
-        self.claims.known(key).map(|(holder, word)| (holder.name.as_str(), word))
+        self.claims.lookup(key).map(|(owner, outcome)| (owner.name.as_str(), outcome))
     }
 
-    fn recall(&mut self) {
-        for (link, after) in self.claims.recalls(self.now) {
-            self.send(link, &[Message::Recall(after)]);
+    fn request_recovery(&mut self) {
+        for (link, after) in self.claims.due_recovery_requests(self.now) {
+            self.send(link, &[Message::RecoveryRequest(after)]);
         }
     }
 
-    /// Everything granted that stands, for a log that is written anew.
-    pub fn claim_snapshot(&self) -> Vec<Kept> {
-        self.claims.standing()
+    /// All current grants, for rewriting the claim log.
+    pub fn claim_snapshot(&self) -> Vec<ClaimRecord> {
+        self.claims.snapshot()
     }
 
-    /// Ids that are known.
+    /// Number of message ids remembered.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// Asks whoever holds an id that is claimed here for what has become of it.
-    fn ask_holder(&mut self, key: Key) {
-        let Some(holder) = self.claims.held_by(key) else { return };
-        let link = self.links.iter().position(|l| l.name == holder.name);
+    /// Asks the owner of an id that is being claimed here about the message.
+    fn query_owner(&mut self, key: Key) {
+        let Some(owner) = self.claims.held_by(key) else { return };
+        let link = self.links.iter().position(|l| l.name == owner.name);
         match link {
-            Some(link) if self.links[link].present.is_some() => self.send(link, &[Message::Whose(key)]),
-            // Of one's own name: an earlier memory, which nobody has any more.
-            _ => self.claims.out_of_reach(self.now, key),
+            Some(link) if self.links[link].session.is_some() => self.send(link, &[Message::OwnerQuery(key)]),
+            // The owner has this forwarder's own name: an earlier store id, which no process has any more.
+            _ => self.claims.owner_unreachable(self.now, key),
         }
     }
 
-    fn step_claims(&mut self) {
+    fn flush_claims(&mut self) {
         let links = &self.links;
-        for (link, claims) in self.claims.asking(self.now, |l| links[l].is_there(self.now)) {
-            let memory = self.memory;
-            let parts = claims.chunks(claims::ITEMS).map(|c| (link, Message::Claims(memory, c.to_vec())));
-            self.outgoing.extend(parts);
-        }
-        for (link, ends) in self.claims.telling(self.now) {
-            let memory = self.memory;
-            let parts = ends.chunks(claims::ITEMS).map(|c| (link, Message::Ended(memory, c.to_vec())));
-            self.outgoing.extend(parts);
-        }
-        if let Some(sure) = self.claims.turned_sure() {
-            self.out.push(Output::ClaimLogComplete(sure));
-            if sure {
-                let text =
-                    "all ids that this forwarder had let in are known to it again: its word on them counts";
+        for (link, claims) in self.claims.due_claims(self.now, |l| links[l].is_responsive(self.now)) {
+            let store_id = self.store_id;
+            let batches = claims
+                .chunks(claims::MAX_ITEMS_PER_MESSAGE)
+                .map(|c| (link, Message::Claims(store_id, c.to_vec())));
+            self.claim_messages.extend(batches);
+        }
+        for (link, outcomes) in self.claims.due_outcomes(self.now) {
+            let store_id = self.store_id;
+            let batches = outcomes
+                .chunks(claims::MAX_ITEMS_PER_MESSAGE)
+                .map(|c| (link, Message::Outcomes(store_id, c.to_vec())));
+            self.claim_messages.extend(batches);
+        }
+        if let Some(complete) = self.claims.take_completeness_change() {
+            self.outputs.push(Output::ClaimLogComplete(complete));
+            if complete {
+                let text = "this forwarder knows all claims that it has granted again, and its replies count";
                 self.event("ids_known", text.into());
             }
         }
-        let records = self.claims.records();
+        let records = self.claims.take_records();
         if !records.is_empty() {
-            // Before the answers that rest on them.
-            self.out.insert(0, Output::PersistClaims(records));
+            // The grants must be written before the replies that depend on them are sent.
+            self.outputs.insert(0, Output::PersistClaims(records));
         }
         let mut by_link: BTreeMap<usize, Vec<Message>> = BTreeMap::new();
-        for (link, message) in std::mem::take(&mut self.outgoing) {
+        for (link, message) in std::mem::take(&mut self.claim_messages) {
             by_link.entry(link).or_default().push(message);
         }
         for (link, messages) in by_link {
             self.send(link, &messages);
         }
-        self.out.extend(self.claims.done().into_iter().map(|(key, verdict)| Output::Claim(key, verdict)));
+        self.outputs
+            .extend(self.claims.take_settled().into_iter().map(|(key, result)| Output::Claim(key, result)));
     }
 
-    // ---- copies that differ ----
+    // ---- conflicting copies ----
 
-    fn found_damaged(&mut self, link: usize, dot: Dot, other: Option<Fact>) {
+    fn report_conflict(&mut self, link: usize, dot: Dot, other_copy: Option<Fact>) {
         if dot.run.name == self.run.name {
-            // One's own word counts: the other will ask for it.
+            // The author's own copy counts; the other member will ask for it.
             return;
         }
-        let fetch = other.is_none();
-        if let Some(damage) = self.damage.get_mut(&dot) {
-            damage.other = other.or(damage.other.take());
+        let fetch = other_copy.is_none();
+        if let Some(conflict) = self.conflicts.get_mut(&dot) {
+            conflict.other_copy = other_copy.or(conflict.other_copy.take());
             return;
         }
         let text = format!(
-            "{dot} has another content at {} than here: it is not merged, and {} is asked for its word",
+            "{dot} differs between {} and this forwarder: it is not merged, and {} is asked for its copy",
             self.links[link].name, dot.run.name
         );
         self.event("damage", text);
-        self.damage.insert(dot.clone(), Damage { since: self.now, at: link, other });
+        self.conflicts.insert(dot.clone(), Conflict { since: self.now, reported_by: link, other_copy });
         if fetch {
-            self.send(link, &[Message::Want { run: dot.run.clone(), seqs: vec![dot.seq] }]);
+            self.send(link, &[Message::FactsRequest { run: dot.run.clone(), seqs: vec![dot.seq] }]);
         }
         if let Some(author) = self.links.iter().position(|l| l.name == dot.run.name) {
-            self.send(author, &[Message::AskWord(dot)]);
+            self.send(author, &[Message::AuthorCopyRequest(dot)]);
         }
     }
 
-    /// The author's word comes in the place of whatever is there.
-    fn word(&mut self, fact: Fact) {
-        if self.damage.remove(&fact.dot).is_none() || self.ledger.get(&fact.dot) == Some(&fact) {
+    /// Replaces the local copy of a fact with the author's.
+    fn handle_author_copy(&mut self, fact: Fact) {
+        if self.conflicts.remove(&fact.dot).is_none() || self.ledger.get(&fact.dot) == Some(&fact) {
             return;
         }
-        self.event("repaired", format!("{} is as its author has it", fact.dot));
-        self.put(fact);
+        self.event("repaired", format!("{} has been replaced with its author's copy", fact.dot));
+        self.replace_fact(fact);
     }
 
-    fn put(&mut self, fact: Fact) {
+    fn replace_fact(&mut self, fact: Fact) {
         let before = self.ledger.get(&fact.dot).map(|f| f.subject.clone());
-        self.out.extend(before.into_iter().chain([fact.subject.clone()]).map(Output::SubjectChanged));
+        self.outputs.extend(before.into_iter().chain([fact.subject.clone()]).map(Output::SubjectChanged));
         self.records.push(Record::Fact(fact.clone(), None));
         self.ledger.replace(fact, self.now);
     }
 
-    /// Where the author has not answered, the copy counts that [`Fact::counts_over`] names: the same at all.
-    fn step_damage(&mut self) {
+    /// Settles conflicts whose author has not answered: the copy selected by [`Fact::wins_over`] is used,
+    /// which is the same on all members.
+    fn settle_conflicts(&mut self) {
         let due: Vec<Dot> = self
-            .damage
+            .conflicts
             .iter()
-            .filter(|(_, d)| self.now >= d.since + ASK_FOR)
+            .filter(|(_, c)| self.now >= c.since + AUTHOR_TIMEOUT_MS)
             .map(|(dot, _)| dot.clone())
             .collect();
         for dot in due {
-            let Some(damage) = self.damage.remove(&dot) else { continue };
-            let Some(other) = damage.other else { continue };
-            let holder = self.links[damage.at].name.clone();
-            let ours = self.ledger.get(&dot).is_some_and(|own| own.counts_over(&other));
-            let whose = if ours { "this forwarder".to_string() } else { holder };
+            let Some(conflict) = self.conflicts.remove(&dot) else { continue };
+            let Some(other) = conflict.other_copy else { continue };
+            let reporter = self.links[conflict.reported_by].name.clone();
+            let own_wins = self.ledger.get(&dot).is_some_and(|own| own.wins_over(&other));
+            let winner = if own_wins { "this forwarder".to_string() } else { reporter };
             let text = format!(
-                "{dot}: {} does not answer; the copy of {whose} counts, the safer one or else the one of the lower sum",
+                "{dot}: {} does not answer; the copy of {winner} is used: the more restrictive one, or else the one with the lower hash",
                 dot.run.name
             );
             self.event("damage_settled", text);
-            if !ours {
-                self.put(other);
+            if !own_wins {
+                self.replace_fact(other);
             }
         }
     }
 
-    /// Tells all that this forwarder goes.
+    /// Tells all members that this forwarder is leaving.
     pub fn leave(&mut self, now: u64) {
         self.now = now.max(self.now);
-        let wanted = self.members.leave(self.now);
-        self.do_wanted(wanted);
+        let actions = self.members.leave(self.now);
+        self.apply_detector_actions(actions);
     }
 }
--- a/crates/peers/src/members.rs
+++ b/crates/peers/src/members.rs
@@ -1,4 +1,5 @@
-//! Who is there: failure detection with suspicion, incarnations and indirect probes, by `foca` (SWIM without I/O).
+//! Membership and failure detection with suspicion, incarnations and indirect probes, by `foca` (SWIM
+//! without I/O).
 
 use foca::{
     Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PeriodicParams, PostcardCodec, Runtime,
@@ -11,43 +12,46 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// How often it is noted how everybody stands, beside when one has come or gone.
-const LOOK: u64 = 200;
+/// Interval at which the state of all members is sampled, in milliseconds. It is also sampled whenever a
+/// member comes up or goes down.
+const SAMPLE_INTERVAL_MS: u64 = 200;
 
-/// Spans of the failure detector, in milliseconds.
+/// Intervals of the failure detector, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
-    /// One member is probed each time.
-    pub probe_every: u64,
-    /// How long an answer may take before others are asked to probe.
-    pub answer_within: u64,
-    /// How long one that did not answer may still object.
-    pub suspect_for: u64,
+pub struct ProbeTimings {
+    /// One member is probed at this interval.
+    pub probe_interval_ms: u64,
+    /// How long an answer may take before other members are asked to probe.
+    pub probe_timeout_ms: u64,
+    /// How long a suspected member may still refute the suspicion.
+    pub suspect_timeout_ms: u64,
 }
 
-impl Default for Pace {
+impl Default for ProbeTimings {
     fn default() -> Self {
-        Pace { probe_every: 1_000, answer_within: 500, suspect_for: 4_000 }
+        ProbeTimings { probe_interval_ms: 1_000, probe_timeout_ms: 500, suspect_timeout_ms: 4_000 }
     }
 }
 
-/// A member as the failure detector knows it. Of two under one name the later start is the member, and of one life the
-/// later turn: it takes a new turn when it finds that it was held to be gone.
+/// The identity of a member in the failure detector. Of two identities with one name, the one with the
+/// later start is the member, and within one run the one with the later incarnation. A member takes a new
+/// incarnation when it finds that it was declared down.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Id {
-    /// Its name.
+pub struct MemberId {
+    /// The member's name.
     pub name: String,
     /// Its start number.
     pub start: u64,
-    /// Grows each time that it comes back within one life.
-    pub turn: u32,
+    /// Increases each time that the member rejoins within one run.
+    #[serde(rename = "turn")]
+    pub incarnation: u32,
 }
 
-impl Identity for Id {
+impl Identity for MemberId {
     type Addr = String;
 
     fn renew(&self) -> Option<Self> {
-        Some(Id { turn: self.turn + 1, ..self.clone() })
+        Some(MemberId { incarnation: self.incarnation + 1, ..self.clone() })
     }
 
     fn addr(&self) -> String {
@@ -55,25 +59,25 @@
     }
 
     fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        (self.start, self.turn) > (adversary.start, adversary.turn)
+        (self.start, self.incarnation) > (adversary.start, adversary.incarnation)
     }
 }
 
-/// How a member stands.
+/// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Not heard of since this process started.
+    /// Not heard from since this process started.
     Unknown,
-    /// There.
+    /// Reachable.
     Up,
-    /// It did not answer, and may still object.
+    /// It did not answer and may still refute the suspicion.
     Suspect,
-    /// Gone, or cut off.
+    /// Gone or partitioned away.
     Down,
 }
 
 impl Standing {
-    /// In a word.
+    /// Name in the control protocol.
     pub fn name(self) -> &'static str {
         match self {
             Standing::Unknown => "unknown",
@@ -84,53 +88,55 @@
     }
 }
 
-/// What the failure detector wants done.
+/// What the failure detector asks its caller to do.
 #[derive(Debug, Default)]
-pub struct Wanted {
-    /// To whom, and what.
+pub struct DetectorActions {
+    /// Datagrams to send: name of the receiver and data.
     pub send: Vec<(String, Vec<u8>)>,
-    /// Names of members that have come up, or gone down.
+    /// Names of members that have come up.
     pub up: Vec<String>,
-    /// See `up`.
+    /// Names of members that have gone down.
     pub down: Vec<String>,
-    /// This forwarder was held to be gone, and has come back.
+    /// This forwarder had been declared down and has rejoined.
     pub rejoined: bool,
 }
 
-struct Hands<'a> {
+/// Receives the output of the failure detector during one call.
+struct DetectorRuntime<'a> {
     now: u64,
-    next: &'a mut u64,
-    timers: &'a mut BTreeMap<(u64, u64), Timer<Id>>,
-    wanted: Wanted,
+    timer_count: &'a mut u64,
+    timers: &'a mut BTreeMap<(u64, u64), Timer<MemberId>>,
+    actions: DetectorActions,
 }
 
-impl Runtime<Id> for Hands<'_> {
-    fn notify(&mut self, notification: foca::Notification<'_, Id>) {
+impl Runtime<MemberId> for DetectorRuntime<'_> {
+    fn notify(&mut self, notification: foca::Notification<'_, MemberId>) {
         match notification.to_owned() {
-            OwnedNotification::MemberUp(id) => self.wanted.up.push(id.name),
-            OwnedNotification::MemberDown(id) => self.wanted.down.push(id.name),
-            OwnedNotification::Rejoin(_) => self.wanted.rejoined = true,
+            OwnedNotification::MemberUp(id) => self.actions.up.push(id.name),
+            OwnedNotification::MemberDown(id) => self.actions.down.push(id.name),
+            OwnedNotification::Rejoin(_) => self.actions.rejoined = true,
             _ => {}
         }
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
-        self.wanted.send.push((to.name, data.to_vec()));
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
+        self.actions.send.push((to.name, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Id>, after: Duration) {
-        *self.next += 1;
-        self.timers.insert((self.now + after.as_millis() as u64, *self.next), event);
+    fn submit_after(&mut self, event: Timer<MemberId>, after: Duration) {
+        *self.timer_count += 1;
+        self.timers.insert((self.now + after.as_millis() as u64, *self.timer_count), event);
     }
 }
 
-/// The members, by time in milliseconds.
+/// The members and the timers of the failure detector, by time in milliseconds.
 pub struct Members {
-    foca: Foca<Id, PostcardCodec, SmallRng, NoCustomBroadcast>,
-    timers: BTreeMap<(u64, u64), Timer<Id>>,
-    next: u64,
-    /// Each that has been heard of, with its standing and since when, as of the last look.
-    looked: u64,
+    foca: Foca<MemberId, PostcardCodec, SmallRng, NoCustomBroadcast>,
+    timers: BTreeMap<(u64, u64), Timer<MemberId>>,
+    timer_count: u64,
+    /// When `standings` was last sampled.
+    last_sample: u64,
+    /// State and time of the last change of each member that was heard from.
     standings: BTreeMap<String, (Standing, u64)>,
 }
 
@@ -140,55 +146,69 @@
     }
 }
 
-fn config(pace: Pace) -> Config {
-    let few = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
+fn config(timings: ProbeTimings) -> Config {
+    let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let ms = Duration::from_millis;
     Config {
-        probe_period: ms(pace.probe_every),
-        probe_rtt: ms(pace.answer_within),
-        num_indirect_probes: few(3),
+        probe_period: ms(timings.probe_interval_ms),
+        probe_rtt: ms(timings.probe_timeout_ms),
+        num_indirect_probes: non_zero(3),
         max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: ms(pace.suspect_for),
-        // A member of the list stays one. Its name comes back with a later start or turn.
+        suspect_to_down_after: ms(timings.suspect_timeout_ms),
+        // Members of the list are never removed. A name comes back with a later start or incarnation.
         remove_down_after: None,
-        max_packet_size: few(crate::seal::PAYLOAD - 16),
+        max_packet_size: non_zero(crate::seal::MAX_PAYLOAD - 16),
         notify_down_members: true,
-        periodic_announce: Some(PeriodicParams { frequency: ms(10 * pace.probe_every), num_members: few(1) }),
-        // Two halves that held each other to be gone find back by this.
+        periodic_announce: Some(PeriodicParams {
+            frequency: ms(10 * timings.probe_interval_ms),
+            num_members: non_zero(1),
+        }),
+        // Two partitions that have declared each other down find each other again by this.
         periodic_announce_to_down_members: Some(PeriodicParams {
-            frequency: ms(2 * pace.probe_every),
-            num_members: few(3),
+            frequency: ms(2 * timings.probe_interval_ms),
+            num_members: non_zero(3),
+        }),
+        periodic_gossip: Some(PeriodicParams {
+            frequency: ms(timings.probe_interval_ms / 2),
+            num_members: non_zero(3),
         }),
-        periodic_gossip: Some(PeriodicParams { frequency: ms(pace.probe_every / 2), num_members: few(3) }),
     }
 }
 
 impl Members {
-    /// A forwarder that has just come up.
-    pub fn new(id: Id, pace: Pace, seed: u64) -> Members {
-        let foca = Foca::new(id, config(pace), SmallRng::seed_from_u64(seed), PostcardCodec);
+    /// Starts the failure detector of a forwarder.
+    pub fn new(id: MemberId, timings: ProbeTimings, seed: u64) -> Members {
+        let foca = Foca::new(id, config(timings), SmallRng::seed_from_u64(seed), PostcardCodec);
         let (timers, standings) = (BTreeMap::new(), BTreeMap::new());
-        Members { foca, timers, next: 0, looked: 0, standings }
+        Members { foca, timers, timer_count: 0, last_sample: 0, standings }
     }
 
-    fn work(
+    fn run_detector(
         &mut self, now: u64,
-        job: impl FnOnce(&mut Foca<Id, PostcardCodec, SmallRng, NoCustomBroadcast>, &mut Hands<'_>),
-    ) -> Wanted {
-        let mut hands =
-            Hands { now, next: &mut self.next, timers: &mut self.timers, wanted: Wanted::default() };
-        job(&mut self.foca, &mut hands);
-        let wanted = hands.wanted;
-        if now >= self.looked + LOOK || !wanted.up.is_empty() || !wanted.down.is_empty() {
-            self.look(now);
+        call: impl FnOnce(
+            &mut Foca<MemberId, PostcardCodec, SmallRng, NoCustomBroadcast>,
+            &mut DetectorRuntime<'_>,
+        ),
+    ) -> DetectorActions {
+        let mut runtime = DetectorRuntime {
+            now,
+            timer_count: &mut self.timer_count,
+            timers: &mut self.timers,
+            actions: DetectorActions::default(),
+        };
+        call(&mut self.foca, &mut runtime);
+        let actions = runtime.actions;
+        if now >= self.last_sample + SAMPLE_INTERVAL_MS || !actions.up.is_empty() || !actions.down.is_empty()
+        {
+            self.sample(now);
         }
-        wanted
+        actions
     }
 
-    /// Notes how everybody stands, and since when.
-    fn look(&mut self, now: u64) {
-        self.looked = now;
-        let was = std::mem::take(&mut self.standings);
+    /// Samples the state of all members and since when they have it.
+    fn sample(&mut self, now: u64) {
+        self.last_sample = now;
+        let previous = std::mem::take(&mut self.standings);
         let states = self.foca.iter_membership_state().map(|m| {
             let standing = match m.state() {
                 State::Alive => Standing::Up,
@@ -198,8 +218,8 @@
             (m.id().name.clone(), standing)
         });
         for (name, standing) in states {
-            let since = was.get(&name).filter(|(s, _)| *s == standing).map_or(now, |(_, since)| *since);
-            // A name may stand there by an old life, too: the one that is there counts.
+            let since = previous.get(&name).filter(|(s, _)| *s == standing).map_or(now, |(_, since)| *since);
+            // A name may also be listed with an earlier run; the entry that is not down counts.
             let entry = self.standings.entry(name).or_insert((standing, since));
             if entry.0 == Standing::Down {
                 *entry = (standing, since);
@@ -207,53 +227,55 @@
         }
     }
 
-    /// Says hello to one whose life is known.
-    pub fn announce(&mut self, now: u64, to: Id) -> Wanted {
-        // It answers once it has taken the announcement in; an error is that of a full buffer, and told again later.
-        self.work(now, |foca, hands| drop(foca.announce(to, hands)))
+    /// Announces this forwarder to a member whose run is known.
+    pub fn announce(&mut self, now: u64, to: MemberId) -> DetectorActions {
+        // The member answers once it has processed the announcement. The only error is a full buffer, and
+        // the announcement is repeated later.
+        self.run_detector(now, |foca, runtime| drop(foca.announce(to, runtime)))
     }
 
-    /// Takes a message of another's failure detector in. False where it can't be read.
-    pub fn heard(&mut self, now: u64, data: &[u8]) -> (bool, Wanted) {
-        let mut read = true;
-        let wanted = self.work(now, |foca, hands| {
+    /// Handles a message from another member's failure detector. Returns false if it can't be decoded.
+    pub fn handle_message(&mut self, now: u64, data: &[u8]) -> (bool, DetectorActions) {
+        let mut decoded = true;
+        let actions = self.run_detector(now, |foca, runtime| {
             use foca::Error::{DataTooBig, Decode, MalformedPacket};
-            read = !matches!(foca.handle_data(data, hands), Err(DataTooBig | Decode(_) | MalformedPacket));
+            decoded =
+                !matches!(foca.handle_data(data, runtime), Err(DataTooBig | Decode(_) | MalformedPacket));
         });
-        (read, wanted)
+        (decoded, actions)
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: u64) -> Wanted {
-        let mut all = Wanted::default();
+    /// Runs the timers that are due.
+    pub fn tick(&mut self, now: u64) -> DetectorActions {
+        let mut all = DetectorActions::default();
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             let timer = entry.remove();
-            // A process that slept through its probes is told by an error that it has nothing to conclude from them.
-            let wanted = self.work(now, |foca, hands| drop(foca.handle_timer(timer, hands)));
-            all.send.extend(wanted.send);
-            all.up.extend(wanted.up);
-            all.down.extend(wanted.down);
-            all.rejoined |= wanted.rejoined;
+            // A process that was suspended over its probes gets an error saying that they prove nothing.
+            let actions = self.run_detector(now, |foca, runtime| drop(foca.handle_timer(timer, runtime)));
+            all.send.extend(actions.send);
+            all.up.extend(actions.up);
+            all.down.extend(actions.down);
+            all.rejoined |= actions.rejoined;
         }
         all
     }
 
-    /// When something is due next.
+    /// When the next timer is due.
     pub fn due(&self) -> Option<u64> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Tells all that this forwarder goes.
-    pub fn leave(&mut self, now: u64) -> Wanted {
-        self.work(now, |foca, hands| drop(foca.leave_cluster(hands)))
+    /// Tells all members that this forwarder is leaving.
+    pub fn leave(&mut self, now: u64) -> DetectorActions {
+        self.run_detector(now, |foca, runtime| drop(foca.leave_cluster(runtime)))
     }
 
-    /// Takes another start number: an earlier life of this name was found to have had this one.
-    pub fn restart(&mut self, now: u64, id: Id) -> Wanted {
-        self.work(now, |foca, hands| drop(foca.change_identity(id, hands)))
+    /// Changes the start number, after an earlier run of this name was found to have used it.
+    pub fn change_start(&mut self, now: u64, id: MemberId) -> DetectorActions {
+        self.run_detector(now, |foca, runtime| drop(foca.change_identity(id, runtime)))
     }
 
-    /// How a member stands, and since when.
+    /// The state of a member and since when it has it.
     pub fn standing(&self, name: &str) -> (Standing, u64) {
         self.standings.get(name).copied().unwrap_or((Standing::Unknown, 0))
     }
--- a/crates/peers/src/orders.rs
+++ b/crates/peers/src/orders.rs
@@ -1,41 +1,41 @@
-//! Orders under way: what each still waits for before its operator is answered.
+//! Orders in progress, and what each of them waits for before its operator gets an answer.
 
 use crate::fact::{Dot, FactAction, Subject};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// How long an order waits for a second copy, and for a majority's answers, in milliseconds.
-pub const COPY_WITHIN: u64 = 1_000;
-/// See [`COPY_WITHIN`].
-pub const ANSWERS_WITHIN: u64 = 2_000;
-/// Who has not answered is asked again after this span.
-const ASK_EVERY: u64 = 150;
+/// How long an order waits for a copy on another member, in milliseconds.
+pub const COPY_TIMEOUT_MS: u64 = 1_000;
+/// How long an order waits for answers from a majority, in milliseconds.
+pub const QUORUM_TIMEOUT_MS: u64 = 2_000;
+/// Interval at which members that have not answered are asked again, in milliseconds.
+const QUERY_INTERVAL_MS: u64 = 150;
 
-/// What an order has come to.
+/// Result of an order that took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settled {
-    /// The fact that states it.
+    /// The fact that states the order.
     pub dot: Dot,
-    /// Other members that have it on disk.
+    /// Number of other members that have persisted it.
     pub copies: usize,
-    /// Other members that there are.
+    /// Number of other members.
     pub others: usize,
 }
 
 /// Why an order has no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It needs what a majority knows, and so many have answered of so many that it needs, this forwarder included.
+    /// It requires answers from a majority of the members, and too few answered.
     NoMajority {
-        /// Have answered.
+        /// Members that answered, including this one.
         answered: usize,
-        /// Are needed.
+        /// Members that were required, including this one.
         needed: usize,
     },
-    /// There is no room for more orders until old ones are dropped.
+    /// The ledger is full; orders are accepted again once old facts have been dropped.
     Full,
     /// A name in it is too long or empty.
-    Unsound,
+    Invalid,
 }
 
 impl fmt::Display for Refusal {
@@ -43,24 +43,24 @@
         match self {
             Refusal::NoMajority { answered, needed } => write!(
                 f,
-                "it needs what a majority of the forwarders knows, or it could end what was ordered elsewhere: {answered} \
-                 of the {needed} that are needed have answered; `foldtrack peers` shows who is there"
+                "it requires a majority of the forwarders, or it could undo an order given elsewhere: {answered} of \
+                 the {needed} that are required have answered; `foldtrack peers` shows which are reachable"
             ),
-            Refusal::Full => f.write_str("there is no room for more orders until old ones have been dropped"),
-            Refusal::Unsound => f.write_str("a name in it is empty or too long"),
+            Refusal::Full => f.write_str("the ledger is full; orders are accepted again once old ones have been dropped"),
+            Refusal::Invalid => f.write_str("a name in it is empty or too long"),
         }
     }
 }
 
 #[derive(Debug)]
-struct Stated {
+struct PublishedOrder {
     order: u64,
     dot: Dot,
-    /// The ticket under which it goes to the store, once it has one.
+    /// The ticket under which it was handed to the store, once it has one.
     ticket: Option<u64>,
-    kept: bool,
+    persisted: bool,
     copies: BTreeSet<usize>,
-    by: u64,
+    deadline: u64,
 }
 
 #[derive(Debug)]
@@ -69,109 +69,117 @@
     nonce: u64,
     at: u64,
     subject: Subject,
-    word: FactAction,
+    action: FactAction,
     answered: BTreeSet<usize>,
-    ask_at: u64,
-    by: u64,
+    send_at: u64,
+    deadline: u64,
 }
 
-/// An order whose question a majority has answered: its number, time, subject and word.
-pub type Answered = (u64, u64, Subject, FactAction);
+/// An order with answers from a majority: its number, time, subject and word.
+pub type AnsweredOrder = (u64, u64, Subject, FactAction);
 
-/// The orders under way.
+/// The orders in progress.
 #[derive(Debug)]
-pub struct Desk {
+pub struct PendingOrders {
     others: usize,
-    stated: Vec<Stated>,
+    published: Vec<PublishedOrder>,
     queries: Vec<Query>,
     done: Vec<(u64, Result<Settled, Refusal>)>,
 }
 
-impl Desk {
-    /// For a forwarder beside so many others.
-    pub fn new(others: usize) -> Desk {
-        Desk { others, stated: Vec::new(), queries: Vec::new(), done: Vec::new() }
+impl PendingOrders {
+    /// Creates an empty set for a forwarder with this many other members.
+    pub fn new(others: usize) -> PendingOrders {
+        PendingOrders { others, published: Vec::new(), queries: Vec::new(), done: Vec::new() }
     }
 
-    /// Members that must have told what they know, this one included.
+    /// Number of members that must answer, including this one.
     fn needed(&self) -> usize {
         let members = self.others + 1;
         members / 2 + 1
     }
 
-    /// An order has been stated as a fact.
-    pub fn stated(&mut self, now: u64, order: u64, dot: Dot) {
+    /// Adds an order that has been published as a fact.
+    pub fn publish(&mut self, now: u64, order: u64, dot: Dot) {
         let copies = BTreeSet::new();
-        self.stated.push(Stated { order, dot, ticket: None, kept: false, copies, by: now + COPY_WITHIN });
-    }
-
-    /// All that has no ticket yet goes to the store under this one.
-    pub fn under(&mut self, ticket: u64) {
-        for stated in &mut self.stated {
-            stated.ticket = stated.ticket.or(Some(ticket));
+        self.published.push(PublishedOrder {
+            order,
+            dot,
+            ticket: None,
+            persisted: false,
+            copies,
+            deadline: now + COPY_TIMEOUT_MS,
+        });
+    }
+
+    /// Assigns this ticket to all published orders without one.
+    pub fn assign_ticket(&mut self, ticket: u64) {
+        for published in &mut self.published {
+            published.ticket = published.ticket.or(Some(ticket));
         }
     }
 
-    /// What went to the store under this ticket, and before, is on disk.
-    pub fn kept(&mut self, ticket: u64) {
-        for stated in &mut self.stated {
-            stated.kept |= stated.ticket.is_some_and(|t| t <= ticket);
+    /// Records up to this ticket have been persisted.
+    pub fn persisted(&mut self, ticket: u64) {
+        for published in &mut self.published {
+            published.persisted |= published.ticket.is_some_and(|t| t <= ticket);
         }
         self.settle(0);
     }
 
-    /// Another member has a fact on disk.
-    pub fn copied(&mut self, link: usize, dot: &Dot) {
-        for stated in self.stated.iter_mut().filter(|s| s.dot == *dot) {
-            stated.copies.insert(link);
+    /// Another member has persisted a fact.
+    pub fn add_copy(&mut self, link: usize, dot: &Dot) {
+        for published in self.published.iter_mut().filter(|s| s.dot == *dot) {
+            published.copies.insert(link);
         }
         self.settle(0);
     }
 
-    /// Begins to ask what is known of a subject.
-    pub fn ask(&mut self, now: u64, order: u64, nonce: u64, at: u64, subject: Subject, word: FactAction) {
-        let (answered, by) = (BTreeSet::new(), now + ANSWERS_WITHIN);
-        self.queries.push(Query { order, nonce, at, subject, word, answered, ask_at: now, by });
+    /// Starts a query to the other members about a subject.
+    pub fn query(&mut self, now: u64, order: u64, nonce: u64, at: u64, subject: Subject, action: FactAction) {
+        let (answered, deadline) = (BTreeSet::new(), now + QUORUM_TIMEOUT_MS);
+        self.queries.push(Query { order, nonce, at, subject, action, answered, send_at: now, deadline });
     }
 
-    /// Whom to ask now: the nonce, the subject, and those who have not answered.
-    pub fn asking(&mut self, now: u64) -> Vec<(u64, Subject, Vec<usize>)> {
+    /// Queries due now: nonce, subject, and the members that have not answered.
+    pub fn due_queries(&mut self, now: u64) -> Vec<(u64, Subject, Vec<usize>)> {
         let others = self.others;
-        let due = self.queries.iter_mut().filter(|q| q.ask_at <= now);
+        let due = self.queries.iter_mut().filter(|q| q.send_at <= now);
         due.map(|q| {
-            q.ask_at = now + ASK_EVERY;
+            q.send_at = now + QUERY_INTERVAL_MS;
             (q.nonce, q.subject.clone(), (0..others).filter(|l| !q.answered.contains(l)).collect())
         })
         .collect()
     }
 
-    /// A member has answered.
-    pub fn answer(&mut self, link: usize, nonce: u64) {
+    /// Records a member's answer.
+    pub fn record_answer(&mut self, link: usize, nonce: u64) {
         for query in self.queries.iter_mut().filter(|q| q.nonce == nonce) {
             query.answered.insert(link);
         }
     }
 
-    /// Orders that a majority has answered, to be stated now.
-    pub fn answered(&mut self) -> Vec<Answered> {
+    /// Removes and returns the orders that a majority has answered, to be published now.
+    pub fn take_answered(&mut self) -> Vec<AnsweredOrder> {
         let needed = self.needed();
         let (ready, waiting): (Vec<Query>, Vec<Query>) =
             self.queries.drain(..).partition(|q| q.answered.len() + 1 >= needed);
         self.queries = waiting;
-        ready.into_iter().map(|q| (q.order, q.at, q.subject, q.word)).collect()
+        ready.into_iter().map(|q| (q.order, q.at, q.subject, q.action)).collect()
     }
 
-    /// An order has no effect.
+    /// Settles an order as refused.
     pub fn refuse(&mut self, order: u64, refusal: Refusal) {
         self.done.push((order, Err(refusal)));
     }
 
-    /// Ends what has waited for long enough.
+    /// Settles queries and published orders whose deadline has passed.
     pub fn expire(&mut self, now: u64) {
         let needed = self.needed();
-        let (over, waiting): (Vec<Query>, Vec<Query>) = self.queries.drain(..).partition(|q| q.by <= now);
+        let (expired, waiting): (Vec<Query>, Vec<Query>) =
+            self.queries.drain(..).partition(|q| q.deadline <= now);
         self.queries = waiting;
-        for query in over {
+        for query in expired {
             let refusal = Refusal::NoMajority { answered: query.answered.len() + 1, needed };
             self.refuse(query.order, refusal);
         }
@@ -180,23 +188,24 @@
 
     fn settle(&mut self, now: u64) {
         let others = self.others;
-        let (done, waiting): (Vec<Stated>, Vec<Stated>) = self
-            .stated
+        let (done, waiting): (Vec<PublishedOrder>, Vec<PublishedOrder>) = self
+            .published
             .drain(..)
-            .partition(|s| s.kept && (!s.copies.is_empty() || others == 0 || s.by <= now));
-        self.stated = waiting;
-        let settled = |s: Stated| (s.order, Ok(Settled { dot: s.dot, copies: s.copies.len(), others }));
-        self.done.extend(done.into_iter().map(settled));
+            .partition(|s| s.persisted && (!s.copies.is_empty() || others == 0 || s.deadline <= now));
+        self.published = waiting;
+        let result =
+            |s: PublishedOrder| (s.order, Ok(Settled { dot: s.dot, copies: s.copies.len(), others }));
+        self.done.extend(done.into_iter().map(result));
     }
 
-    /// What has been settled since it was asked last.
-    pub fn settled(&mut self) -> Vec<(u64, Result<Settled, Refusal>)> {
+    /// Removes and returns the results since the last call.
+    pub fn take_settled(&mut self) -> Vec<(u64, Result<Settled, Refusal>)> {
         std::mem::take(&mut self.done)
     }
 
-    /// When something runs out, or is to be asked again.
+    /// When the next timeout or resend is due.
     pub fn due(&self) -> Option<u64> {
-        let stated = self.stated.iter().filter(|s| s.kept).map(|s| s.by);
-        stated.chain(self.queries.iter().map(|q| q.ask_at.min(q.by))).min()
+        let published = self.published.iter().filter(|s| s.persisted).map(|s| s.deadline);
+        published.chain(self.queries.iter().map(|q| q.send_at.min(q.deadline))).min()
     }
 }
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -1,8 +1,9 @@
-//! The ledger on disk: an embedded store in the state folder. What it can't read it tells, and goes on without.
+//! Persistent storage in the state folder: the ledger in an embedded database, and the log of granted
+//! claims. Damage is reported, and the forwarder continues without the data that can't be read.
 
-use crate::claims::Kept;
+use crate::claims::ClaimRecord;
 use crate::fact::{Dot, Fact};
-use crate::ledger::Extent;
+use crate::ledger::Watermarks;
 use crate::machine::{Record, Restored};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend, StorageError, TableDefinition,
@@ -15,41 +16,45 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-/// Name of the file in the state folder.
-pub const FILE: &str = "peers.redb";
-/// Bytes that the store may come to have: what fits a full ledger twice over, as a change of it needs.
-pub const ROOM: u64 = 24 << 20;
-const FACTS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("facts");
-const MARKS: TableDefinition<&str, &[u8]> = TableDefinition::new("marks");
-/// Marks: the extent, this forwarder's start number, and the highest of each other behind a prefix.
-const EXTENT: &str = "extent";
-const START: &str = "start";
-const SEEN: &str = "seen/";
-const MEMORY: &str = "memory";
-/// Memory that the store may use for its pages.
-const CACHE: usize = 1 << 20;
-/// Damaged stores that are kept beside the present one.
-const ASIDE: usize = 5;
+/// Name of the database file in the state folder.
+pub const STORE_FILE: &str = "peers.redb";
+/// Maximum size of the store in bytes: a full ledger twice over, since a change needs a second copy.
+pub const MAX_STORE_BYTES: u64 = 24 << 20;
+/// Facts with the time since they were superseded, by identifier.
+const FACTS_TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("facts");
+/// Single values by key; see the keys below.
+const MARKS_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("marks");
+/// Keys in the marks table: the ledger's bookkeeping, this forwarder's start number, the start numbers of
+/// the others behind a prefix, and the store id of its messages.
+const WATERMARKS_KEY: &str = "extent";
+const START_KEY: &str = "start";
+const SEEN_PREFIX: &str = "seen/";
+const STORE_ID_KEY: &str = "memory";
+/// Size of the database's page cache in bytes.
+const CACHE_BYTES: usize = 1 << 20;
+/// Maximum number of damaged stores that are kept beside the current one.
+const MAX_DAMAGED_COPIES: usize = 5;
 
 /// The store of one process.
 #[derive(Debug)]
 pub struct Store {
     path: PathBuf,
-    /// None where it could not be opened: nothing is kept, and everything says so.
+    /// `None` if the database could not be opened: nothing is stored then, and every write fails.
     database: Option<Database>,
 }
 
-/// A store that has been opened, and what was in it.
+/// An opened store and its contents.
 #[derive(Debug)]
 pub struct Opened {
     /// The store.
     pub store: Store,
-    /// What it has given back, with the start number of this life.
+    /// The restored state, with the start number of this run.
     pub restored: Restored,
-    /// What was wrong with it, for the operators.
-    pub told: Vec<String>,
+    /// Problems found, to be reported to operators.
+    pub problems: Vec<String>,
 }
 
+/// Encodes a value behind the first 8 bytes of its SHA-256.
 fn encode<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     let bytes = postcard::to_stdvec(value).map_err(io::Error::other)?;
     let mut framed = Sha256::digest(&bytes)[..8].to_vec();
@@ -57,12 +62,13 @@
     Ok(framed)
 }
 
+/// Decodes a value and checks its hash. Returns `None` if either fails.
 fn decode<T: DeserializeOwned>(framed: &[u8]) -> Option<T> {
-    let (sum, bytes) = framed.split_at_checked(8)?;
-    (Sha256::digest(bytes)[..8] == *sum).then(|| postcard::from_bytes(bytes).ok())?
+    let (hash, bytes) = framed.split_at_checked(8)?;
+    (Sha256::digest(bytes)[..8] == *hash).then(|| postcard::from_bytes(bytes).ok())?
 }
 
-fn other(error: impl Into<redb::Error>) -> io::Error {
+fn to_io_error(error: impl Into<redb::Error>) -> io::Error {
     match error.into() {
         redb::Error::Io(e) => e,
         e => io::Error::other(e.to_string()),
@@ -70,57 +76,58 @@
 }
 
 impl Store {
-    /// Opens the store of a state folder, or begins one, and counts this start. A file that is torn, damaged or of another
-    /// format is set aside, and one that can't be opened at all is gone without: no state of a store keeps a forwarder
-    /// from starting.
+    /// Opens or creates the store in a state folder and counts this start. A file that is truncated,
+    /// damaged or in another format is renamed, and if none can be opened the process runs without one: no
+    /// condition of the store prevents a start.
     pub fn open(folder: &Path) -> Opened {
-        let path = folder.join(FILE);
-        let mut told = Vec::new();
-        let database = match attempt(&path) {
+        let path = folder.join(STORE_FILE);
+        let mut problems = Vec::new();
+        let database = match try_open(&path) {
             Ok(database) => Some(database),
             Err(problem) => {
-                told.push(format!("{}: {problem}", path.display()));
-                begin_anew(&path, &mut told)
+                problems.push(format!("{}: {problem}", path.display()));
+                replace_store(&path, &mut problems)
             }
         };
-        Self::read(path, database, told)
+        Self::read(path, database, problems)
     }
 
-    /// The same on another medium, for tests that break it.
+    /// Opens a store on another storage backend, for fault injection in tests.
     ///
     /// # Errors
-    /// It is no store, or damaged.
-    pub fn on(medium: impl StorageBackend) -> Result<Opened, String> {
-        let opened = catch_unwind(AssertUnwindSafe(|| builder().create_with_backend(medium)));
+    /// The backend does not contain a valid store.
+    pub fn open_backend(backend: impl StorageBackend) -> Result<Opened, String> {
+        let opened = catch_unwind(AssertUnwindSafe(|| builder().create_with_backend(backend)));
         let database = opened.map_err(|_| "damaged".to_string())?.map_err(|e| e.to_string())?;
-        Ok(Self::read(PathBuf::from(FILE), Some(database), Vec::new()))
+        Ok(Self::read(PathBuf::from(STORE_FILE), Some(database), Vec::new()))
     }
 
-    fn read(path: PathBuf, database: Option<Database>, mut told: Vec<String>) -> Opened {
+    fn read(path: PathBuf, database: Option<Database>, mut problems: Vec<String>) -> Opened {
         let mut restored = Restored::default();
         if let Some(database) = &database {
-            let read = catch_unwind(AssertUnwindSafe(|| read_all(database, &mut told)));
+            let read = catch_unwind(AssertUnwindSafe(|| read_all(database, &mut problems)));
             match read {
                 Ok(Ok(read)) => restored = read,
-                Ok(Err(e)) => told.push(format!("{}: {e}", path.display())),
-                Err(_) => {
-                    told.push(format!("{}: damaged; what could not be read is fetched again", path.display()))
-                }
+                Ok(Err(e)) => problems.push(format!("{}: {e}", path.display())),
+                Err(_) => problems.push(format!(
+                    "{}: damaged; unreadable records are fetched from the other members",
+                    path.display()
+                )),
             }
         }
         restored.start += 1;
         let store = Store { path, database };
-        if let Err(e) = store.keep(&[Record::Start(restored.start)]) {
-            told.push(format!("{e}; orders of this forwarder are kept by the others alone"));
+        if let Err(e) = store.write(&[Record::Start(restored.start)]) {
+            problems.push(format!("{e}; orders given here are stored only by the other members"));
         }
-        Opened { store, restored, told }
+        Opened { store, restored, problems }
     }
 
-    /// Keeps records in their order, all or none, on stable storage when it comes back.
+    /// Writes records in order, all or none. They are on stable storage when this returns.
     ///
     /// # Errors
-    /// It could not be written: nothing of them is kept.
-    pub fn keep(&self, records: &[Record]) -> io::Result<()> {
+    /// The write failed; none of the records is stored.
+    pub fn write(&self, records: &[Record]) -> io::Result<()> {
         let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", self.path.display()));
         let Some(database) = &self.database else {
             return Err(named(io::Error::other("the store could not be opened at the start")));
@@ -130,36 +137,40 @@
     }
 }
 
-/// Name of the file of claims in the state folder.
-pub const CLAIMS: &str = "peers-claims";
-/// The log is written anew when it is longer than this, and than twice what stands.
-const LONG: u64 = 4 << 20;
-/// Where the system tells which start of the machine this is: what a process wrote before is there as long as it is the same.
-const BOOT: &str = "/proc/sys/kernel/random/boot_id";
-
-/// What this forwarder has granted to others, in a file that outlives the process. It does not wait for the disk: after
-/// the machine has gone down it counts as lost, and so does its owner's vote for a while.
+/// Name of the claim log in the state folder.
+pub const CLAIMS_FILE: &str = "peers-claims";
+/// The claim log is rewritten when it is longer than this many bytes. After a rewrite it counts as shorter
+/// by half of that, so that a long snapshot does not cause a rewrite each time.
+const REWRITE_ABOVE_BYTES: u64 = 4 << 20;
+/// Identifies the current boot of the machine. What a process wrote without waiting for the disk is still
+/// there as long as the boot is the same.
+const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
+
+/// The log of claims granted to other members. It survives the process, but writes do not wait for the
+/// disk: after a machine failure the log counts as lost, and this forwarder's replies do not count until it
+/// has recovered its grants.
 #[derive(Debug)]
 pub struct ClaimLog {
     path: PathBuf,
     file: Option<std::fs::File>,
     length: u64,
-    boot: String,
-    /// It has all that was granted, as long as the machine runs.
-    whole: bool,
+    boot_id: String,
+    /// The log has every grant, as long as the machine keeps running.
+    complete: bool,
 }
 
-/// A log of claims that has been opened.
+/// An opened claim log and its contents.
 #[derive(Debug)]
 pub struct OpenedClaims {
-    /// The log.
+    /// The claim log.
     pub log: ClaimLog,
-    /// What was granted.
-    pub kept: Vec<Kept>,
-    /// Whether that is all of it.
-    pub whole: bool,
+    /// The granted claims.
+    pub records: Vec<ClaimRecord>,
+    /// Whether that is every grant.
+    pub complete: bool,
 }
 
+/// Frames a record of the claim log: length, first 4 bytes of its SHA-256, content.
 fn frame(bytes: &[u8]) -> Vec<u8> {
     let mut framed = (bytes.len() as u32).to_le_bytes().to_vec();
     framed.extend(&Sha256::digest(bytes)[..4]);
@@ -167,42 +178,43 @@
     framed
 }
 
-/// The first frame's content, and what is behind it.
+/// Splits off the first frame: its content, and the bytes after it.
 fn unframe(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
-    let (head, rest) = bytes.split_at_checked(8)?;
-    let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    let (content, behind) = rest.split_at_checked(length)?;
-    (Sha256::digest(content)[..4] == head[4..]).then_some((content, behind))
+    let (header, rest) = bytes.split_at_checked(8)?;
+    let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+    let (content, after) = rest.split_at_checked(length)?;
+    (Sha256::digest(content)[..4] == header[4..]).then_some((content, after))
 }
 
 impl ClaimLog {
-    /// Opens the log of a state folder, or begins one.
+    /// Opens or creates the claim log in a state folder.
     pub fn open(folder: &Path) -> OpenedClaims {
-        let path = folder.join(CLAIMS);
-        let boot = std::fs::read_to_string(BOOT).unwrap_or_default().trim().to_string();
+        let path = folder.join(CLAIMS_FILE);
+        let boot_id = std::fs::read_to_string(BOOT_ID_PATH).unwrap_or_default().trim().to_string();
         let bytes = std::fs::read(&path).unwrap_or_default();
-        let (mut kept, mut whole, mut rest) = (Vec::new(), false, &bytes[..]);
-        if let Some((head, behind)) = unframe(rest) {
-            whole = !boot.is_empty() && head == boot.as_bytes();
-            rest = behind;
-            while let Some((content, behind)) = unframe(rest) {
-                rest = behind;
+        let (mut records, mut complete, mut rest) = (Vec::new(), false, &bytes[..]);
+        if let Some((header, after)) = unframe(rest) {
+            complete = !boot_id.is_empty() && header == boot_id.as_bytes();
+            rest = after;
+            while let Some((content, after)) = unframe(rest) {
+                rest = after;
                 match postcard::from_bytes(content) {
-                    Ok(record) => kept.push(record),
-                    Err(_) => whole = false,
+                    Ok(record) => records.push(record),
+                    Err(_) => complete = false,
                 }
             }
         }
-        // A part of a record at the end was not acted on: its process was killed while it wrote it.
-        let mut log = ClaimLog { path, file: None, length: 0, boot, whole };
-        whole &= log.write_anew(&kept).is_ok();
-        OpenedClaims { log, kept, whole }
+        // An incomplete record at the end had no effect: the process was killed while writing it, before
+        // any reply was sent.
+        let mut log = ClaimLog { path, file: None, length: 0, boot_id, complete };
+        complete &= log.rewrite(&records).is_ok();
+        OpenedClaims { log, records, complete }
     }
 
-    fn write_anew(&mut self, standing: &[Kept]) -> io::Result<()> {
-        // By this head the next start sees whether anything can be missing.
-        let mut bytes = frame(if self.whole { self.boot.as_bytes() } else { b"" });
-        for record in standing {
+    fn rewrite(&mut self, snapshot: &[ClaimRecord]) -> io::Result<()> {
+        // By this header the next start recognizes whether records may be missing.
+        let mut bytes = frame(if self.complete { self.boot_id.as_bytes() } else { b"" });
+        for record in snapshot {
             bytes.extend(frame(&postcard::to_stdvec(record).map_err(io::Error::other)?));
         }
         let new = self.path.with_extension("new");
@@ -213,37 +225,39 @@
         Ok(())
     }
 
-    /// Begins it anew as one that has all that was granted, or as one that has not.
+    /// Rewrites the log and records whether it has every grant.
     ///
     /// # Errors
-    /// It could not be written: a restart would not know of what was granted.
-    pub fn is_whole(&mut self, whole: bool, standing: &[Kept]) -> io::Result<()> {
-        self.whole = whole;
-        self.write_anew(standing)
-            .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", self.path.display())))
+    /// The write failed; the grants would be unknown after a restart.
+    pub fn set_complete(&mut self, complete: bool, snapshot: &[ClaimRecord]) -> io::Result<()> {
+        self.complete = complete;
+        self.rewrite(snapshot).map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", self.path.display())))
     }
 
-    /// Appends records; `standing` gives all that stands, where the log has become long.
+    /// Appends records. `snapshot` returns all current grants, for rewriting the log once it is long.
     ///
     /// # Errors
-    /// They could not be written: a restart would not know of them.
-    pub fn append(&mut self, records: &[Kept], standing: impl FnOnce() -> Vec<Kept>) -> io::Result<()> {
+    /// The write failed; the records would be unknown after a restart.
+    pub fn append(
+        &mut self, records: &[ClaimRecord], snapshot: impl FnOnce() -> Vec<ClaimRecord>,
+    ) -> io::Result<()> {
         use std::io::Write;
         let named = |path: &Path, e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
         let mut bytes = Vec::new();
         for record in records {
             bytes.extend(frame(&postcard::to_stdvec(record).map_err(io::Error::other)?));
         }
-        if self.length > LONG || self.file.is_none() {
-            let all = standing();
-            self.write_anew(&all).map_err(|e| named(&self.path, e))?;
-            // What stands may be long by itself.
-            self.length = self.length.saturating_sub(LONG / 2);
+        if self.length > REWRITE_ABOVE_BYTES || self.file.is_none() {
+            let all = snapshot();
+            self.rewrite(&all).map_err(|e| named(&self.path, e))?;
+            // A snapshot may be long by itself.
+            self.length = self.length.saturating_sub(REWRITE_ABOVE_BYTES / 2);
             return Ok(());
         }
         let Some(file) = &mut self.file else { return Ok(()) };
         if let Err(e) = file.write_all(&bytes) {
-            // What is there is not all any more: a restart must not count on it. The next one is written anew.
+            // The file no longer has every grant, so a restart must not rely on it. The next append
+            // rewrites it.
             self.file = None;
             let _ = std::fs::remove_file(&self.path);
             return Err(named(&self.path, e));
@@ -255,14 +269,14 @@
 
 fn builder() -> redb::Builder {
     let mut builder = Database::builder();
-    builder.set_cache_size(CACHE);
+    builder.set_cache_size(CACHE_BYTES);
     builder
 }
 
-fn attempt(path: &Path) -> Result<Database, String> {
+fn try_open(path: &Path) -> Result<Database, String> {
     let opened = catch_unwind(AssertUnwindSafe(|| {
         let mut database = builder().create(path)?;
-        // Pages have check sums: one that was changed on the disk must not be taken for an order.
+        // Pages carry checksums; a page changed on disk must not be taken for an order.
         database.check_integrity()?;
         Ok::<_, DatabaseError>(database)
     }));
@@ -274,105 +288,113 @@
     }
 }
 
-/// Sets a file that can't be read aside, and begins another.
-fn begin_anew(path: &Path, told: &mut Vec<String>) -> Option<Database> {
-    let place = |n: usize| path.with_extension(format!("redb.damaged-{n}"));
-    // The oldest copies are the ones worth looking at; where there are many the last is written over.
-    let aside = (1..ASIDE).map(place).find(|p| !p.exists()).unwrap_or_else(|| place(ASIDE));
+/// Renames a file that can't be read and creates a new one.
+fn replace_store(path: &Path, problems: &mut Vec<String>) -> Option<Database> {
+    let copy_path = |n: usize| path.with_extension(format!("redb.damaged-{n}"));
+    // The oldest copies are the most useful for diagnosis; once the limit is reached, the last one is
+    // overwritten.
+    let copy = (1..MAX_DAMAGED_COPIES)
+        .map(copy_path)
+        .find(|p| !p.exists())
+        .unwrap_or_else(|| copy_path(MAX_DAMAGED_COPIES));
     if path.exists() {
-        match std::fs::rename(path, &aside) {
-            Ok(()) => told.push(format!(
-                "it stands aside as {}; what the others know is fetched again",
-                aside.display()
+        match std::fs::rename(path, &copy) {
+            Ok(()) => problems.push(format!(
+                "set aside as {}; its contents are fetched from the other members",
+                copy.display()
             )),
-            Err(e) => told.push(format!("{}: {e}", aside.display())),
+            Err(e) => problems.push(format!("{}: {e}", copy.display())),
         }
     }
-    match attempt(path) {
+    match try_open(path) {
         Ok(database) => Some(database),
         Err(problem) => {
-            told.push(format!("{}: {problem}: nothing is kept there in this run", path.display()));
+            problems.push(format!("{}: {problem}: running without a store", path.display()));
             None
         }
     }
 }
 
-fn read_all(database: &Database, told: &mut Vec<String>) -> io::Result<Restored> {
+fn read_all(database: &Database, problems: &mut Vec<String>) -> io::Result<Restored> {
     let mut restored = Restored::default();
-    let read = database.begin_read().map_err(other)?;
+    let read = database.begin_read().map_err(to_io_error)?;
     let missing = |e: &redb::TableError| matches!(e, redb::TableError::TableDoesNotExist(_));
-    match read.open_table(MARKS) {
+    match read.open_table(MARKS_TABLE) {
         Ok(marks) => {
-            for entry in marks.iter().map_err(other)? {
-                let (key, value) = entry.map_err(other)?;
+            for entry in marks.iter().map_err(to_io_error)? {
+                let (key, value) = entry.map_err(to_io_error)?;
                 let (key, value) = (key.value(), value.value());
                 match key {
-                    START => restored.start = decode(value).unwrap_or(0),
-                    MEMORY => restored.memory = decode(value).unwrap_or(0),
-                    EXTENT => match decode::<Extent>(value) {
-                        Some(extent) => restored.extent = extent,
-                        None => told.push(format!("the mark {key} can't be read")),
+                    START_KEY => restored.start = decode(value).unwrap_or(0),
+                    STORE_ID_KEY => restored.store_id = decode(value).unwrap_or(0),
+                    WATERMARKS_KEY => match decode::<Watermarks>(value) {
+                        Some(watermarks) => restored.watermarks = watermarks,
+                        None => problems.push(format!("the mark {key} can't be read")),
                     },
                     _ => {
-                        if let Some((name, start)) = key.strip_prefix(SEEN).zip(decode(value)) {
-                            restored.seen.insert(name.to_string(), start);
+                        if let Some((name, start)) = key.strip_prefix(SEEN_PREFIX).zip(decode(value)) {
+                            restored.seen_starts.insert(name.to_string(), start);
                         }
                     }
                 }
             }
         }
         Err(e) if missing(&e) => {}
-        Err(e) => return Err(other(e)),
+        Err(e) => return Err(to_io_error(e)),
     }
-    match read.open_table(FACTS) {
+    match read.open_table(FACTS_TABLE) {
         Ok(facts) => {
-            for entry in facts.iter().map_err(other)? {
-                let (key, value) = entry.map_err(other)?;
+            for entry in facts.iter().map_err(to_io_error)? {
+                let (key, value) = entry.map_err(to_io_error)?;
                 let dot = postcard::from_bytes::<Dot>(key.value()).ok();
                 let fact = decode::<(Fact, Option<u64>)>(value.value())
                     .filter(|(f, _)| Some(&f.dot) == dot.as_ref());
                 match (fact, dot) {
                     (Some(fact), _) => restored.facts.push(fact),
                     (None, Some(dot)) => {
-                        told.push(format!("{dot} can't be read; it is fetched again"));
-                        restored.lost.push(dot);
+                        problems.push(format!("{dot} can't be read; it is fetched from another member"));
+                        restored.unreadable.push(dot);
                     }
-                    (None, None) => told.push("a fact without a name that can be read is passed over".into()),
+                    (None, None) => problems.push("skipped a fact whose identifier can't be read".into()),
                 }
             }
         }
         Err(e) if missing(&e) => {}
-        Err(e) => return Err(other(e)),
+        Err(e) => return Err(to_io_error(e)),
     }
     Ok(restored)
 }
 
 fn write_all(database: &Database, records: &[Record]) -> io::Result<()> {
-    let write = database.begin_write().map_err(other)?;
+    let write = database.begin_write().map_err(to_io_error)?;
     {
-        let mut facts = write.open_table(FACTS).map_err(other)?;
-        let mut marks = write.open_table(MARKS).map_err(other)?;
+        let mut facts = write.open_table(FACTS_TABLE).map_err(to_io_error)?;
+        let mut marks = write.open_table(MARKS_TABLE).map_err(to_io_error)?;
         let key = |dot: &Dot| postcard::to_stdvec(dot).map_err(io::Error::other);
-        // Of marks that are written more than once the last counts.
+        // If a mark is written more than once, the last value counts.
         let mut last: BTreeMap<String, Vec<u8>> = BTreeMap::new();
         for record in records {
             match record {
-                Record::Fact(fact, dead) => {
-                    let value = encode(&(fact, dead))?;
-                    facts.insert(key(&fact.dot)?.as_slice(), value.as_slice()).map_err(other)?;
+                Record::Fact(fact, superseded_ms) => {
+                    let value = encode(&(fact, superseded_ms))?;
+                    facts.insert(key(&fact.dot)?.as_slice(), value.as_slice()).map_err(to_io_error)?;
+                }
+                Record::Drop(dot) => drop(facts.remove(key(dot)?.as_slice()).map_err(to_io_error)?),
+                Record::Watermarks(watermarks) => {
+                    drop(last.insert(WATERMARKS_KEY.into(), encode(watermarks)?))
+                }
+                Record::StoreId(store_id) => drop(last.insert(STORE_ID_KEY.into(), encode(store_id)?)),
+                Record::Start(start) => drop(last.insert(START_KEY.into(), encode(start)?)),
+                Record::SeenStart(name, start) => {
+                    drop(last.insert(format!("{SEEN_PREFIX}{name}"), encode(start)?))
                 }
-                Record::Drop(dot) => drop(facts.remove(key(dot)?.as_slice()).map_err(other)?),
-                Record::Extent(extent) => drop(last.insert(EXTENT.into(), encode(extent)?)),
-                Record::Memory(memory) => drop(last.insert(MEMORY.into(), encode(memory)?)),
-                Record::Start(start) => drop(last.insert(START.into(), encode(start)?)),
-                Record::Seen(name, start) => drop(last.insert(format!("{SEEN}{name}"), encode(start)?)),
             }
         }
         for (name, value) in last {
-            marks.insert(name.as_str(), value.as_slice()).map_err(other)?;
+            marks.insert(name.as_str(), value.as_slice()).map_err(to_io_error)?;
         }
     }
-    write.commit().map_err(other)
+    write.commit().map_err(to_io_error)
 }
 
 #[cfg(test)]
@@ -388,42 +410,42 @@
         let state = |n: usize| {
             let subject = Subject::Endpoint(format!("e{n}"));
             let fact = ledger.compose(&run, 0, subject, FactAction::Close { for_ms: 0 });
-            ledger.take(fact.clone(), 0, None);
+            ledger.insert(fact.clone(), 0, None);
             fact
         };
         (0..count).map(state).collect()
     }
 
     #[test]
-    fn what_is_kept_comes_back_and_each_start_has_a_number_of_its_own() {
+    fn stored_records_are_restored_and_each_start_has_its_own_number() {
         let folder = tempfile::tempdir().unwrap();
         let all = facts(3);
         let opened = Store::open(folder.path());
-        assert!(opened.told.is_empty() && opened.restored.start == 1 && opened.restored.facts.is_empty());
+        assert!(opened.problems.is_empty() && opened.restored.start == 1 && opened.restored.facts.is_empty());
         let records = [
             Record::Fact(all[0].clone(), None),
             Record::Fact(all[1].clone(), Some(5)),
             Record::Fact(all[2].clone(), None),
             Record::Drop(all[2].dot.clone()),
-            Record::Seen("b".into(), 7),
-            Record::Extent(Extent { runs: vec![(all[0].dot.run.clone(), 3, 3)], retired: vec![] }),
+            Record::SeenStart("b".into(), 7),
+            Record::Watermarks(Watermarks { runs: vec![(all[0].dot.run.clone(), 3, 3)], retired: vec![] }),
         ];
-        opened.store.keep(&records).unwrap();
+        opened.store.write(&records).unwrap();
         drop(opened);
-        let Opened { restored, told, store } = Store::open(folder.path());
-        assert!(told.is_empty() && restored.start == 2, "{told:?}");
+        let Opened { restored, problems, store } = Store::open(folder.path());
+        assert!(problems.is_empty() && restored.start == 2, "{problems:?}");
         assert_eq!(restored.facts, [(all[0].clone(), None), (all[1].clone(), Some(5))]);
-        assert_eq!(restored.seen["b"], 7);
-        store.keep(&[Record::Start(9)]).unwrap();
+        assert_eq!(restored.seen_starts["b"], 7);
+        store.write(&[Record::Start(9)]).unwrap();
         drop(store);
         assert_eq!(Store::open(folder.path()).restored.start, 10);
-        let size = std::fs::metadata(folder.path().join(FILE)).unwrap().len();
-        assert!(size < ROOM / 4, "{size} bytes for next to nothing");
+        let size = std::fs::metadata(folder.path().join(STORE_FILE)).unwrap().len();
+        assert!(size < MAX_STORE_BYTES / 4, "{size} bytes for a nearly empty store");
     }
 
-    /// A full ledger fits the room that the site file's bound counts for it.
+    /// A full ledger fits the space that the check of the site file reserves for it.
     #[test]
-    fn a_store_of_many_facts_stays_within_its_room() {
+    fn a_store_with_a_full_ledger_stays_within_its_size_limit() {
         let folder = tempfile::tempdir().unwrap();
         let opened = Store::open(folder.path());
         let name = "n".repeat(60);
@@ -440,23 +462,23 @@
         for batch in 0..16u64 {
             let records: Vec<Record> =
                 (0..1024).map(|n| Record::Fact(fact(1024 * batch + n + 1), None)).collect();
-            opened.store.keep(&records).unwrap();
+            opened.store.write(&records).unwrap();
         }
         for n in 0..50 {
-            opened.store.keep(&[Record::Drop(fact(n + 1).dot)]).unwrap();
+            opened.store.write(&[Record::Drop(fact(n + 1).dot)]).unwrap();
         }
-        let size = std::fs::metadata(folder.path().join(FILE)).unwrap().len();
-        assert!(size <= ROOM, "{size} bytes");
+        let size = std::fs::metadata(folder.path().join(STORE_FILE)).unwrap().len();
+        assert!(size <= MAX_STORE_BYTES, "{size} bytes");
     }
 
     #[test]
-    fn a_file_that_is_none_is_torn_or_changed_stands_aside_and_the_start_goes_on() {
+    fn an_invalid_truncated_or_changed_file_is_set_aside_and_the_start_continues() {
         let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join(FILE);
+        let path = folder.path().join(STORE_FILE);
         let all = facts(20);
         let opened = Store::open(folder.path());
         let records: Vec<Record> = all.iter().map(|f| Record::Fact(f.clone(), None)).collect();
-        opened.store.keep(&records).unwrap();
+        opened.store.write(&records).unwrap();
         drop(opened);
         let sound = std::fs::read(&path).unwrap();
         let mut random = fastrand::Rng::with_seed(3);
@@ -470,47 +492,52 @@
             }
             std::fs::write(&path, &bytes).unwrap();
             let opened = Store::open(folder.path());
-            // Whatever comes back is as it was written.
+            // Whatever is restored must be as it was written.
             assert!(
-                opened.restored.facts.iter().all(|(f, dead)| dead.is_none() && all.contains(f)),
+                opened
+                    .restored
+                    .facts
+                    .iter()
+                    .all(|(f, superseded_ms)| superseded_ms.is_none() && all.contains(f)),
                 "round {round}"
             );
             whole += usize::from(opened.restored.facts.len() == all.len());
             assert!(
-                opened.restored.facts.len() == all.len() || !opened.told.is_empty(),
+                opened.restored.facts.len() == all.len() || !opened.problems.is_empty(),
                 "round {round}: silent"
             );
-            opened.store.keep(&records[..1]).unwrap();
+            opened.store.write(&records[..1]).unwrap();
             drop(opened);
-            let (_, told) = {
+            let (_, problems) = {
                 let o = Store::open(folder.path());
-                (o.store, o.told)
+                (o.store, o.problems)
             };
-            assert!(told.is_empty(), "round {round}: {told:?}");
+            assert!(problems.is_empty(), "round {round}: {problems:?}");
         }
         assert!(whole < 60);
         let aside = std::fs::read_dir(folder.path()).unwrap().count();
         assert!((3..=6).contains(&aside), "{aside} files");
     }
 
-    /// A medium that dies at a write: what was written before is there, the last perhaps in part.
+    /// A backend that fails from a given write on. Earlier writes are there, the last one perhaps only in
+    /// part.
     #[derive(Debug, Clone, Default)]
-    struct Medium {
+    struct FaultyBackend {
         bytes: Arc<Mutex<Vec<u8>>>,
-        /// Writes that still go through; the next is torn.
-        left: Arc<Mutex<Option<usize>>>,
+        /// Writes that still succeed; the last of them is torn.
+        remaining_writes: Arc<Mutex<Option<usize>>>,
     }
 
-    impl Medium {
-        fn alive(&self) -> io::Result<()> {
-            match *self.left.lock().unwrap() {
+    impl FaultyBackend {
+        fn check_alive(&self) -> io::Result<()> {
+            match *self.remaining_writes.lock().unwrap() {
                 Some(0) => Err(io::Error::other("dead")),
                 _ => Ok(()),
             }
         }
     }
 
-    impl StorageBackend for Medium {
+    impl StorageBackend for FaultyBackend {
         fn len(&self) -> Result<u64, io::Error> {
             Ok(self.bytes.lock().unwrap().len() as u64)
         }
@@ -523,22 +550,22 @@
         }
 
         fn set_len(&self, len: u64) -> Result<(), io::Error> {
-            self.alive()?;
+            self.check_alive()?;
             self.bytes.lock().unwrap().resize(len as usize, 0);
             Ok(())
         }
 
         fn sync_data(&self) -> Result<(), io::Error> {
-            self.alive()
+            self.check_alive()
         }
 
         fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
-            self.alive()?;
-            let mut left = self.left.lock().unwrap();
-            let part = match &mut *left {
-                Some(left) => {
-                    *left -= 1;
-                    if *left == 0 {
+            self.check_alive()?;
+            let mut remaining_writes = self.remaining_writes.lock().unwrap();
+            let part = match &mut *remaining_writes {
+                Some(remaining_writes) => {
+                    *remaining_writes -= 1;
+                    if *remaining_writes == 0 {
                         data.len() / 2
                     } else {
                         data.len()
@@ -552,36 +579,38 @@
         }
     }
 
-    /// Killed at every write of some orders: each is wholly there or wholly not, and those that were acknowledged are.
+    /// Kills the process at every write of a series of orders: each order must be stored completely or not
+    /// at all, and every acknowledged one must be stored.
     #[test]
-    fn killed_at_every_write_it_has_what_was_acknowledged() {
+    fn acknowledged_orders_survive_a_kill_at_any_write() {
         let all = facts(4);
         let mut writes = 0;
         let mut died = 0;
         loop {
             writes += 1;
-            let medium = Medium::default();
-            drop(Store::on(medium.clone()).unwrap());
-            *medium.left.lock().unwrap() = Some(writes);
+            let backend = FaultyBackend::default();
+            drop(Store::open_backend(backend.clone()).unwrap());
+            *backend.remaining_writes.lock().unwrap() = Some(writes);
             let mut acknowledged = 0;
-            // Opening counts the start, which may be where it dies.
-            if let Ok(opened) = Store::on(medium.clone()) {
+            // Opening writes the start number, so the failure may happen here.
+            if let Ok(opened) = Store::open_backend(backend.clone()) {
                 for fact in &all {
-                    if opened.store.keep(&[Record::Fact(fact.clone(), None)]).is_err() {
+                    if opened.store.write(&[Record::Fact(fact.clone(), None)]).is_err() {
                         break;
                     }
                     acknowledged += 1;
                 }
-                // The process is gone: nothing is written any more, whatever the store would do at its end.
-                let through = medium.left.lock().unwrap().is_some_and(|left| left > 0);
+                // After the kill nothing may be written any more, whatever the store does when it is
+                // dropped.
+                let through = backend.remaining_writes.lock().unwrap().is_some_and(|left| left > 0);
                 if through && acknowledged == all.len() {
                     break;
                 }
-                *medium.left.lock().unwrap() = Some(0);
+                *backend.remaining_writes.lock().unwrap() = Some(0);
             }
             died += 1;
-            *medium.left.lock().unwrap() = None;
-            let restored = Store::on(medium).unwrap().restored;
+            *backend.remaining_writes.lock().unwrap() = None;
+            let restored = Store::open_backend(backend).unwrap().restored;
             let there: Vec<&Fact> = restored.facts.iter().map(|(f, _)| f).collect();
             assert!(
                 there.len() >= acknowledged,
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,101 +1,118 @@
-//! What forwarders tell each other, inside sealed datagrams: some messages in each.
+//! Messages between forwarders. A sealed datagram carries one or more of them.
 
-use crate::claims::{self, Answer, Claim, Key, Status};
+use crate::claims::{self, Answer, Claim, Key, OwnerStatus};
 use crate::fact::{Dot, Fact, Run, Subject};
-use crate::ledger::{Stretch, BUCKETS};
-use crate::regain::{Piece, Place};
-use crate::seal::PAYLOAD;
+use crate::ledger::{RunRange, BUCKETS};
+use crate::recovery::{Cursor, RecoveryPage};
+use crate::seal::MAX_PAYLOAD;
 use serde::{Deserialize, Serialize};
 
-/// Messages in one datagram at most: more are none of ours.
-const MOST: usize = 256;
+/// Maximum number of messages in one datagram. A datagram with more is not from this protocol.
+const MAX_MESSAGES: usize = 256;
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Of the failure detector.
+    /// A message of the failure detector.
     Swim(Vec<u8>),
-    /// Facts, pushed or asked for. Each is acknowledged once it is kept.
+    /// Facts, pushed or requested. The receiver acknowledges each fact once it is persisted.
     Facts(Vec<Fact>),
-    /// These facts are kept by the sender.
-    Have(Vec<Dot>),
-    /// One sum for each bucket of the ledger.
+    /// The sender has persisted these facts.
+    #[serde(rename = "Have")]
+    FactsPersisted(Vec<Dot>),
+    /// The digest of the sender's ledger: one hash per bucket.
     Digest([u64; BUCKETS]),
-    /// What the sender has of a bucket.
+    /// The facts that the sender has in one bucket.
     Summary {
-        /// Which one.
+        /// Number of the bucket.
         bucket: u8,
-        /// The receiver is to tell what it has of it.
-        echo: bool,
-        /// A piece of it.
-        stretches: Vec<Stretch>,
+        /// Whether the receiver should send its own summary of the bucket.
+        #[serde(rename = "echo")]
+        reply_wanted: bool,
+        /// Part of the summary.
+        #[serde(rename = "stretches")]
+        ranges: Vec<RunRange>,
     },
-    /// The sender lacks these facts of a life.
-    Want {
-        /// Whose.
+    /// Requests facts of one run that the sender lacks.
+    #[serde(rename = "Want")]
+    FactsRequest {
+        /// The run that stated them.
         run: Run,
-        /// Their places.
+        /// Their sequence numbers.
         seqs: Vec<u64>,
     },
-    /// What holds about a subject?
+    /// Asks for the live facts about a subject.
     Query {
-        /// Comes back with the answer.
+        /// Returned with the answer.
         nonce: u64,
-        /// The subject.
+        /// The subject asked about.
         subject: Subject,
     },
-    /// What holds about the subject of a query.
+    /// Answers a query.
     Answer {
-        /// As in the query.
+        /// The nonce of the query.
         nonce: u64,
-        /// The facts about it that are alive.
+        /// The live facts about the subject.
         facts: Vec<Fact>,
     },
-    /// Two copies of one of the receiver's own facts differ: which one is his word?
-    AskWord(Dot),
-    /// The author's word.
-    Word(Box<Fact>),
-    /// The sender claims these ids, for the memory that it has.
+    /// Asks the author of a fact, the receiver, for its copy, because two copies differ.
+    #[serde(rename = "AskWord")]
+    AuthorCopyRequest(Dot),
+    /// The author's copy of a fact.
+    #[serde(rename = "Word")]
+    AuthorCopy(Box<Fact>),
+    /// Claims on message ids, and the store id of the sender.
     Claims(u64, Vec<Claim>),
-    /// What the sender answers to claims.
-    Claimed(Vec<(Key, u64, Answer)>),
-    /// How messages of the sender's memory have ended.
-    Ended(u64, Vec<(Key, u64, claims::ClaimOutcome)>),
-    /// These ends are known to the sender.
-    EndKnown(Vec<Key>),
-    /// Does the receiver hold this message?
-    Whose(Key),
-    /// Whether the sender, with this memory, holds a message.
-    Is(u64, Key, Status),
-    /// Partners, by the CRC-32 of their names, that have told the sender to wait, and for how many milliseconds yet.
-    Waits(Vec<(u32, u64)>),
-    /// The sender has lost what it granted: what does the receiver know of ids, after this place?
-    Recall(Option<Place>),
-    /// A piece of it.
-    Recalled(Piece),
+    /// The sender's replies on claims: key, sequence number of the claim, reply.
+    #[serde(rename = "Claimed")]
+    ClaimReplies(Vec<(Key, u64, Answer)>),
+    /// Outcomes of messages that the sender owned, and its store id. Each has the key, the sequence number
+    /// of the claim and the outcome.
+    #[serde(rename = "Ended")]
+    Outcomes(u64, Vec<(Key, u64, claims::ClaimOutcome)>),
+    /// Acknowledges outcomes by key.
+    #[serde(rename = "EndKnown")]
+    OutcomesRecorded(Vec<Key>),
+    /// Asks whether the receiver owns this message.
+    #[serde(rename = "Whose")]
+    OwnerQuery(Key),
+    /// Answers whether the sender, with this store id, owns the message.
+    #[serde(rename = "Is")]
+    OwnerReply(u64, Key, OwnerStatus),
+    /// Partners that have asked the sender to wait: CRC-32 of the name and remaining milliseconds.
+    #[serde(rename = "Waits")]
+    WaitHints(Vec<(u32, u64)>),
+    /// The sender has lost the claims that it granted and asks for those that the receiver knows, after
+    /// this cursor.
+    #[serde(rename = "Recall")]
+    RecoveryRequest(Option<Cursor>),
+    /// One page of the claims that the sender knows.
+    #[serde(rename = "Recalled")]
+    RecoveryPage(RecoveryPage),
 }
 
-/// In a welcome: what the sender knows of the one that it answers.
+/// Payload of a welcome: what its sender knows about the forwarder that said hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
-    /// The highest start number under its name, 0 if it has never been heard of.
+pub struct WelcomeInfo {
+    /// The highest start number seen under that name, 0 if none.
     pub start: u64,
-    /// The session under which that came.
+    /// The session in which it was seen.
     pub session: u64,
-    /// How long ago it was heard of last, in milliseconds.
-    pub heard: u64,
+    /// Milliseconds since that forwarder was last heard.
+    #[serde(rename = "heard")]
+    pub heard_ms_ago: u64,
 }
 
-/// Packs messages into as few payloads as hold them, in their order. One that is longer than a payload is left out;
-/// the bounds of facts rule that out.
+/// Packs messages, in order, into as few payloads as possible. A message longer than a payload is left out;
+/// the limits on facts rule that out.
 pub fn pack(messages: &[Message]) -> Vec<Vec<u8>> {
     let mut payloads: Vec<Vec<u8>> = Vec::new();
     for message in messages {
         let Ok(bytes) = postcard::to_stdvec(message) else { continue };
-        if bytes.len() > PAYLOAD {
+        if bytes.len() > MAX_PAYLOAD {
             continue;
         }
-        match payloads.last_mut().filter(|p| p.len() + bytes.len() <= PAYLOAD) {
+        match payloads.last_mut().filter(|p| p.len() + bytes.len() <= MAX_PAYLOAD) {
             Some(payload) => payload.extend(bytes),
             None => payloads.push(bytes),
         }
@@ -103,14 +120,14 @@
     payloads
 }
 
-/// Reads a payload. None where any of it can't be read.
+/// Reads a payload. Returns `None` if any part of it can't be decoded.
 pub fn unpack(mut payload: &[u8]) -> Option<Vec<Message>> {
     let mut messages = Vec::new();
     while !payload.is_empty() {
         let (message, rest) = postcard::take_from_bytes(payload).ok()?;
         messages.push(message);
         payload = rest;
-        if messages.len() > MOST {
+        if messages.len() > MAX_MESSAGES {
             return None;
         }
     }
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -1,13 +1,13 @@
-//! The network side of what forwarders tell each other: one socket for datagrams, and a thread that keeps records. What
-//! is told and what follows from it is for `foldtrack-peers` to say, and for the loop to carry out.
+//! Network and disk side of the peer protocol: a UDP socket and a thread that persists records. The
+//! protocol itself is in `foldtrack-peers`; the node loop carries out its outputs.
 
 use crate::blocks::Blocks;
 use crate::door::{Input, Inputs};
-use foldtrack_peers::claims::Kept;
-use foldtrack_peers::seal::{Sealer, LONGEST};
+use foldtrack_peers::claims::ClaimRecord;
+use foldtrack_peers::seal::{Sealer, MAX_DATAGRAM};
 use foldtrack_peers::store::{ClaimLog, Opened, OpenedClaims, Store};
 use foldtrack_peers::{Peers, Record, Restored, Settings};
-use foldtrack_site::Peers as Said;
+use foldtrack_site::Peers as PeersConfig;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,77 +16,79 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// Datagrams that wait for the loop at most; further ones are dropped, as a network does. Whoever sent them tells again.
-const WAITING: usize = 1024;
-/// Pause after records could not be kept.
-const KEEP_PAUSE: Duration = Duration::from_millis(500);
-/// Pause after the socket could not be read.
-const READ_PAUSE: Duration = Duration::from_millis(10);
+/// Maximum number of datagrams waiting for the node loop. Further ones are dropped, as on a congested
+/// network; their senders repeat them.
+const MAX_QUEUED_DATAGRAMS: usize = 1024;
+/// Pause before a failed write of records is tried again.
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after a read error on the socket.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// What is there before the loop runs.
+/// What is opened before the node loop starts.
 pub(crate) struct PeerSetup {
-    said: Said,
+    config: PeersConfig,
     sealer: Sealer,
     store: Store,
     restored: Restored,
-    log: ClaimLog,
+    claim_log: ClaimLog,
     blocks: Arc<Blocks>,
 }
 
 impl PeerSetup {
-    /// Reads the secret and opens the store.
+    /// Reads the shared secret and opens the store and the claim log.
     ///
     /// # Errors
-    /// There is no secret that is one.
-    pub fn open(said: &Said, state: &Path, blocks: Arc<Blocks>) -> Result<PeerSetup, String> {
-        let told = |e: &dyn std::fmt::Display| format!("{}: {e}", said.secret.display());
-        let secret = std::fs::read(&said.secret).map_err(|e| told(&e))?;
-        let sealer = Sealer::new(secret.trim_ascii()).map_err(|e| told(&e))?;
-        let Opened { store, mut restored, told } = Store::open(state);
-        let OpenedClaims { mut log, kept, whole } = ClaimLog::open(state);
-        // A log without the store's memory of its own is of another folder.
-        (restored.claims, restored.claims_whole) = (kept, whole && restored.memory != 0);
-        if whole && !restored.claims_whole {
-            log.is_whole(false, &restored.claims).map_err(|e| e.to_string())?;
+    /// The secret can't be read or is too short, or the claim log can't be written.
+    pub fn open(config: &PeersConfig, state: &Path, blocks: Arc<Blocks>) -> Result<PeerSetup, String> {
+        let named = |e: &dyn std::fmt::Display| format!("{}: {e}", config.secret.display());
+        let secret = std::fs::read(&config.secret).map_err(|e| named(&e))?;
+        let sealer = Sealer::new(secret.trim_ascii()).map_err(|e| named(&e))?;
+        let Opened { store, mut restored, problems } = Store::open(state);
+        let OpenedClaims { mut log, records, complete } = ClaimLog::open(state);
+        // A claim log beside a store without a store id belongs to another folder.
+        (restored.claims, restored.claims_complete) = (records, complete && restored.store_id != 0);
+        if complete && !restored.claims_complete {
+            log.set_complete(false, &restored.claims).map_err(|e| e.to_string())?;
         }
-        for line in told {
-            eprintln!("peers: {line}");
+        for problem in problems {
+            eprintln!("peers: {problem}");
         }
-        Ok(PeerSetup { said: said.clone(), sealer, store, restored, log, blocks })
+        Ok(PeerSetup { config: config.clone(), sealer, store, restored, claim_log: log, blocks })
     }
 
-    /// Binds the socket and starts what reads it and what keeps records; gives the module, and the hands that it has.
+    /// Binds the socket and starts its reader and the thread that persists records. Returns the protocol
+    /// state and the I/O handles for the node loop.
     ///
     /// # Errors
-    /// The address can't be had, or there is no thread left.
+    /// The address can't be bound, or no thread can be started.
     pub fn start(self, seed: u64, now: u64, inputs: &Inputs) -> std::io::Result<(Peers, PeerIo)> {
-        let said = self.said;
+        let config = self.config;
         let named =
-            |e: std::io::Error| std::io::Error::new(e.kind(), format!("peers.listen {}: {e}", said.listen));
-        let socket = std::net::UdpSocket::bind(said.listen).map_err(named)?;
+            |e: std::io::Error| std::io::Error::new(e.kind(), format!("peers.listen {}: {e}", config.listen));
+        let socket = std::net::UdpSocket::bind(config.listen).map_err(named)?;
         socket.set_nonblocking(true).map_err(named)?;
         let socket = Arc::new(UdpSocket::from_std(socket).map_err(named)?);
-        let waiting = Arc::new(AtomicUsize::new(0));
-        let crowded = Arc::new(AtomicUsize::new(0));
-        tokio::spawn(read(socket.clone(), inputs.clone(), waiting.clone(), crowded.clone()));
-        let (records, to_keep) = mpsc::channel();
-        let unkept = Arc::new(std::sync::Mutex::new(String::new()));
-        let (store, back, problem) = (self.store, inputs.clone(), unkept.clone());
+        let queued = Arc::new(AtomicUsize::new(0));
+        let dropped = Arc::new(AtomicUsize::new(0));
+        tokio::spawn(read_datagrams(socket.clone(), inputs.clone(), queued.clone(), dropped.clone()));
+        let (records, record_batches) = mpsc::channel();
+        let write_error = Arc::new(std::sync::Mutex::new(String::new()));
+        let (store, reply_to, write_error_slot) = (self.store, inputs.clone(), write_error.clone());
         std::thread::Builder::new()
             .name("peers".into())
-            .spawn(move || keep(&store, &to_keep, &back, &problem))?;
+            .spawn(move || persist_records(&store, &record_batches, &reply_to, &write_error_slot))?;
         let settings = Settings {
-            name: said.name.clone(),
-            others: said.members.iter().map(|m| m.name.clone()).collect(),
-            horizon: said.horizon / 1000,
-            catch_up: said.catch_up,
-            ready_within: said.ready_within / 1000,
-            share_waits: said.share_waits,
-            pace: foldtrack_peers::members::Pace::default(),
+            name: config.name.clone(),
+            others: config.members.iter().map(|m| m.name.clone()).collect(),
+            horizon_ms: config.horizon / 1000,
+            catch_up_bytes_per_s: config.catch_up,
+            ready_timeout_ms: config.ready_within / 1000,
+            share_waits: config.share_waits,
+            probe_timings: foldtrack_peers::members::ProbeTimings::default(),
             seed,
         };
         let peers = Peers::new(now, settings, self.sealer, self.restored);
-        let addresses = said.members.iter().map(|m| m.address).collect();
+        let addresses = config.members.iter().map(|m| m.address).collect();
         let ready = Arc::new(AtomicBool::new(false));
         Ok((
             peers,
@@ -94,10 +96,10 @@
                 socket,
                 addresses,
                 records,
-                claims: self.log,
-                waiting,
-                crowded,
-                unkept,
+                claim_log: self.claim_log,
+                queued,
+                dropped,
+                write_error,
                 ready,
                 blocks: self.blocks,
             },
@@ -105,62 +107,67 @@
     }
 }
 
-/// What the loop needs to carry out what the module says.
+/// Socket, store and claim log, as the node loop uses them to carry out the protocol's outputs.
 pub(crate) struct PeerIo {
     socket: Arc<UdpSocket>,
     addresses: Vec<SocketAddr>,
     records: mpsc::Sender<(u64, Vec<Record>)>,
-    claims: ClaimLog,
-    waiting: Arc<AtomicUsize>,
-    crowded: Arc<AtomicUsize>,
-    unkept: Arc<std::sync::Mutex<String>>,
-    /// This forwarder is caught up, or has waited long enough: what `/healthz` tells.
+    claim_log: ClaimLog,
+    queued: Arc<AtomicUsize>,
+    dropped: Arc<AtomicUsize>,
+    write_error: Arc<std::sync::Mutex<String>>,
+    /// Whether this forwarder has caught up or has waited long enough, as reported by `/healthz`.
     pub ready: Arc<AtomicBool>,
+    /// The blocked client networks.
     pub blocks: Arc<Blocks>,
 }
 
 impl PeerIo {
-    /// Sends a datagram; one that the system has no room for is lost like any other.
-    pub fn send(&self, to: usize, bytes: &[u8]) {
-        let _ = self.socket.try_send_to(bytes, self.addresses[to]);
+    /// Sends a datagram. If the socket buffer is full, the datagram is lost like any other.
+    pub fn send(&self, link: usize, bytes: &[u8]) {
+        let _ = self.socket.try_send_to(bytes, self.addresses[link]);
     }
 
-    /// Has records kept; [`Input::PeersKept`] tells when they are.
+    /// Sends records to the store thread; [`Input::PeersKept`] reports when they are persisted.
     pub fn persist(&self, ticket: u64, records: Vec<Record>) {
         // The thread ends only with the process.
         let _ = self.records.send((ticket, records));
     }
 
-    /// Writes what has been granted to others, before they hear of it.
-    pub fn persist_claims(&mut self, records: &[Kept], standing: impl FnOnce() -> Vec<Kept>) {
-        if let Err(error) = self.claims.append(records, standing) {
-            eprintln!("peers: who holds which message is not kept, and not known after a restart: {error}");
+    /// Writes granted claims to the log before the replies are sent.
+    pub fn persist_claims(&mut self, records: &[ClaimRecord], snapshot: impl FnOnce() -> Vec<ClaimRecord>) {
+        if let Err(error) = self.claim_log.append(records, snapshot) {
+            eprintln!(
+                "peers: granted claims are not persisted, and will be unknown after a restart: {error}"
+            );
         }
     }
 
-    /// The log of what was granted has all of it from now on, or has not.
-    pub fn set_claim_log_complete(&mut self, whole: bool, standing: &[Kept]) {
-        if let Err(error) = self.claims.is_whole(whole, standing) {
-            eprintln!("peers: who holds which message is not kept, and not known after a restart: {error}");
+    /// Rewrites the log and records whether it has every grant.
+    pub fn set_claim_log_complete(&mut self, complete: bool, snapshot: &[ClaimRecord]) {
+        if let Err(error) = self.claim_log.set_complete(complete, snapshot) {
+            eprintln!(
+                "peers: granted claims are not persisted, and will be unknown after a restart: {error}"
+            );
         }
     }
 
-    /// A datagram has been taken out of the queue.
+    /// Counts a datagram as taken from the queue.
     pub fn datagram_dequeued(&self) {
-        self.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.queued.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Datagrams that were dropped since the loop was too far behind.
+    /// Number of datagrams dropped because the queue was full.
     pub fn queue_drops(&self) -> u64 {
-        self.crowded.load(Ordering::Relaxed) as u64
+        self.dropped.load(Ordering::Relaxed) as u64
     }
 
-    /// Why records are not kept, if they are not.
+    /// The error for which records are not being persisted, or an empty string.
     pub fn persist_error(&self) -> String {
-        crate::lock::locked(&self.unkept).clone()
+        crate::lock::locked(&self.write_error).clone()
     }
 
-    /// Tells operators.
+    /// Logs an event and reports it to operators.
     pub fn report(&self, kind: &str, text: &str) {
         eprintln!("peers: {kind}: {text}");
         self.blocks.tell(kind, text);
@@ -168,51 +175,54 @@
 }
 
 /// Reads datagrams for as long as the process runs.
-async fn read(socket: Arc<UdpSocket>, inputs: Inputs, waiting: Arc<AtomicUsize>, crowded: Arc<AtomicUsize>) {
-    // One byte more than any: what fills it was longer, and is refused as that.
-    let mut bytes = vec![0; LONGEST + 1];
+async fn read_datagrams(
+    socket: Arc<UdpSocket>, inputs: Inputs, queued: Arc<AtomicUsize>, dropped: Arc<AtomicUsize>,
+) {
+    // One byte more than the maximum: a datagram that fills the buffer was too long and is dropped as
+    // oversized.
+    let mut bytes = vec![0; MAX_DATAGRAM + 1];
     loop {
         match socket.recv_from(&mut bytes).await {
             Ok((length, _)) => {
-                if waiting.fetch_add(1, Ordering::Relaxed) >= WAITING {
-                    waiting.fetch_sub(1, Ordering::Relaxed);
-                    crowded.fetch_add(1, Ordering::Relaxed);
-                    // The loop is on this thread, and has its turn now.
+                if queued.fetch_add(1, Ordering::Relaxed) >= MAX_QUEUED_DATAGRAMS {
+                    queued.fetch_sub(1, Ordering::Relaxed);
+                    dropped.fetch_add(1, Ordering::Relaxed);
+                    // The node loop runs on this thread; let it drain the queue.
                     tokio::task::yield_now().await;
                     continue;
                 }
                 inputs.send(Input::Datagram(bytes[..length].to_vec()));
             }
-            Err(_) => sleep(READ_PAUSE).await,
+            Err(_) => sleep(READ_RETRY_PAUSE).await,
         }
     }
 }
 
-/// Keeps records, in their order, for as long as there is a loop. What can't be kept is tried again, and nothing behind it
-/// is acknowledged meanwhile.
-fn keep(
+/// Persists records in order for as long as the node loop runs. A failed write is tried again, and nothing
+/// after it is acknowledged meanwhile.
+fn persist_records(
     store: &Store, records: &mpsc::Receiver<(u64, Vec<Record>)>, inputs: &Inputs,
-    problem: &std::sync::Mutex<String>,
+    write_error: &std::sync::Mutex<String>,
 ) {
     while let Ok((mut ticket, mut batch)) = records.recv() {
-        // What has gathered goes in one stroke.
+        // Everything waiting is written in one transaction.
         while let Ok((later, more)) = records.try_recv() {
             ticket = later;
             batch.extend(more);
         }
-        while let Err(error) = store.keep(&batch) {
-            let told = error.to_string();
-            let mut last = crate::lock::locked(problem);
-            if *last != told {
-                eprintln!("peers: what was ordered is not kept yet: {told}");
-                *last = told;
+        while let Err(error) = store.write(&batch) {
+            let text = error.to_string();
+            let mut last = crate::lock::locked(write_error);
+            if *last != text {
+                eprintln!("peers: orders are not persisted yet: {text}");
+                *last = text;
             }
             drop(last);
-            std::thread::sleep(KEEP_PAUSE);
+            std::thread::sleep(WRITE_RETRY_PAUSE);
         }
-        let mut last = crate::lock::locked(problem);
+        let mut last = crate::lock::locked(write_error);
         if !last.is_empty() {
-            eprintln!("peers: what was ordered is kept again");
+            eprintln!("peers: orders are persisted again");
             last.clear();
         }
         drop(last);
