--- a/tests/peers/main.rs
+++ b/tests/peers/main.rs
@@ -1,6 +1,7 @@
-//! Forwarders of a site as processes that know of each other, with faults between them.
+//! Tests with several forwarder processes of one site and faults between them.
 //!
-//! `FOLDTRACK_SEEDS=N cargo test --release --test peers` plays each story with N seeds, `FOLDTRACK_KILLS=N` kills so often.
+//! `FOLDTRACK_SEEDS=N cargo test --release --test peers` runs each scenario with N seeds,
+//! `FOLDTRACK_KILLS=N` sets the number of kills.
 
 use foldtrack_control::{Ask, Told};
 use foldtrack_rig::fleet::{Fleet, FolderAs, Listed, Plan};
@@ -15,16 +16,16 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_foldtrack");
 
-fn number(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+fn number(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-/// Plays a story, and checks every rule from the books.
-fn keeps_the_rules(name: &str) {
+/// Runs a scenario and checks every invariant against the partners' records.
+fn check_invariants(name: &str) {
     for seed in 1..=number("FOLDTRACK_SEEDS", 1) {
         let story = Story::told(name).unwrap();
-        let told = Play::of(name, story, 5, seed);
-        let report = play(Path::new(PROGRAM), &told, &Progress::default()).unwrap();
+        let plan = Play::of(name, story, 5, seed);
+        let report = play(Path::new(PROGRAM), &plan, &Progress::default()).unwrap();
         assert!(report.is_clean(), "seed {seed}: {report:?}");
     }
 }
@@ -33,25 +34,25 @@
     ($($name:ident: $story:literal,)*) => {$(
         #[test]
         fn $name() {
-            keeps_the_rules($story);
+            check_invariants($story);
         }
     )*};
 }
 
 stories! {
-    nothing_fails: "calm",
-    datagrams_are_lost_late_and_spoilt: "loss",
-    two_of_five_are_cut_off_and_come_back: "cut",
-    one_is_not_heard_by_some: "one-way",
-    one_comes_and_goes: "flap",
-    one_is_away_for_a_while: "rejoin",
-    one_loses_its_folder: "restart-empty",
-    one_comes_back_on_an_old_copy_of_its_folder: "restored-backup",
-    forwarders_die_and_their_clients_turn_to_others: "elsewhere",
-    clocks_are_hours_apart_and_run_wrong: "clocks",
+    no_faults: "calm",
+    datagrams_are_lost_delayed_and_corrupted: "loss",
+    two_of_five_are_partitioned_away_and_return: "cut",
+    one_is_not_heard_by_some_members: "one-way",
+    one_member_flaps: "flap",
+    one_rejoins_after_an_absence: "rejoin",
+    one_loses_its_state_folder: "restart-empty",
+    one_restarts_on_a_restored_backup: "restored-backup",
+    forwarders_die_and_their_clients_use_others: "elsewhere",
+    clocks_are_hours_apart_and_drift: "clocks",
 }
 
-/// A fleet with one partner of two endpoints.
+/// A fleet with one partner that has two endpoints.
 fn fleet(forwarders: usize, peers: bool, lines: &str) -> (Fleet, Partner) {
     let partner = Partner::start(1, Conduct::default());
     let endpoints = vec![("p-1".to_string(), partner.address()), ("p-2".to_string(), partner.address())];
@@ -82,55 +83,58 @@
     Ask::Resume { endpoint: Some(name.into()), partner: None }
 }
 
-fn state_of(fleet: &Fleet, place: usize, endpoint: &str) -> String {
-    let endpoints = fleet.forwarders[place].endpoints().unwrap_or_default();
+fn state_of(fleet: &Fleet, forwarder: usize, endpoint: &str) -> String {
+    let endpoints = fleet.forwarders[forwarder].endpoints().unwrap_or_default();
     endpoints.get(endpoint).map_or(String::new(), |e| e.state.clone())
 }
 
-/// Drained at a forwarder that is killed up to 50 ms after it has acknowledged: the others keep it.
+/// A drain is kept by the other forwarders even if the one that acknowledged it is killed up to 50 ms
+/// later.
 #[test]
-fn a_drain_outlives_the_forwarder_that_acknowledged_it() {
+fn a_drain_survives_the_forwarder_that_acknowledged_it() {
     let (mut fleet, _partner) = started(3);
     let mut random = fastrand::Rng::with_seed(7);
-    let mut slowest = Duration::ZERO;
+    let mut slowest_propagation = Duration::ZERO;
     for round in 0..number("FOLDTRACK_KILLS", 12) as usize {
-        let told = round % 3;
-        let acknowledged = fleet.forwarders[told].ask(drain("p-1"));
+        let author = round % 3;
+        let acknowledged = fleet.forwarders[author].ask(drain("p-1"));
         let Ok(Told::Done(done)) = acknowledged else { panic!("round {round}: {acknowledged:?}") };
         assert!(done.copies >= 1 && done.others == 2, "round {round}: {done:?}");
         std::thread::sleep(Duration::from_micros(random.u64(0..50_000)));
-        fleet.forwarders[told].kill();
+        fleet.forwarders[author].kill();
         let killed = Instant::now();
-        for other in (0..3).filter(|n| *n != told) {
+        for other in (0..3).filter(|n| *n != author) {
             eventually("the others keep the drain", || state_of(&fleet, other, "p-1") == "draining");
         }
-        slowest = slowest.max(killed.elapsed());
-        fleet.start(told, FolderAs::Left).unwrap();
+        slowest_propagation = slowest_propagation.max(killed.elapsed());
+        fleet.start(author, FolderAs::Left).unwrap();
         assert_eq!(
-            state_of(&fleet, told, "p-1"),
+            state_of(&fleet, author, "p-1"),
             "draining",
-            "round {round}: it came back without its own order"
+            "round {round}: it restarted without its own order"
         );
-        let (told, other) = ((told + 1) % 3, told);
-        eventually("it is resumed", || fleet.forwarders[told].ask(resume("p-1")).is_ok());
-        eventually("all hear of it", || state_of(&fleet, other, "p-1") == "active");
+        let (author, other) = ((author + 1) % 3, author);
+        eventually("the endpoint is resumed", || fleet.forwarders[author].ask(resume("p-1")).is_ok());
+        eventually("all receive the order", || state_of(&fleet, other, "p-1") == "active");
     }
-    assert!(slowest < Duration::from_secs(1), "{slowest:?}");
+    assert!(slowest_propagation < Duration::from_secs(1), "{slowest_propagation:?}");
 }
 
-/// Drained at one side of a cut, resumed at the other, healed: the same verdict on all, and the operator sees both.
+/// An endpoint is drained on one side of a partition and resumed on the other. Afterwards all forwarders
+/// agree, and the operator sees both orders.
 #[test]
-fn orders_of_both_sides_of_a_cut_are_shown_and_the_safer_holds() {
+fn orders_from_both_sides_of_a_partition_are_shown_and_the_restrictive_one_prevails() {
     let (fleet, _partner) = started(3);
     fleet.forwarders[0].ask(drain("p-1")).unwrap();
-    eventually("all have it", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "draining"));
+    eventually("all have the order", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "draining"));
     let links: Vec<_> =
         fleet.net.names().filter(|(from, to)| from == "a" && to.len() == 1 || to == "a").cloned().collect();
     let cut = |cut: bool| links.iter().for_each(|name| fleet.net.change(name, |f| f.cut = cut));
     cut(true);
     let refused = fleet.forwarders[0].ask(resume("p-1")).unwrap_err();
     assert!(refused.contains("majority") && refused.contains("1 of the 2"), "{refused}");
-    // Drained anew where the others can't hear it: the order is taken, and says that nobody else has it.
+    // Drained again where the others can't hear it: the order is accepted and reports that no other
+    // forwarder has it.
     fleet.forwarders[0].ask(Ask::Pause { partner: "p".into() }).unwrap();
     let Told::Done(alone) = fleet.forwarders[0].ask(drain("p-2")).unwrap() else { panic!() };
     assert_eq!((alone.copies, alone.others), (0, 2));
@@ -144,11 +148,15 @@
     assert_eq!(state_of(&fleet, 1, "p-2"), "active");
     cut(false);
     let digest = |n: usize| fleet.forwarders[n].site_state().map(|s| s.digest);
-    eventually("all have the same", || {
+    eventually("all have the same state", || {
         digest(0) == digest(1) && digest(1) == digest(2) && digest(0).is_some()
     });
-    eventually("the drain of the cut one holds", || (0..3).all(|n| state_of(&fleet, n, "p-2") == "draining"));
-    eventually("its pause does, too", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "paused"));
+    eventually("the drain from the minority prevails", || {
+        (0..3).all(|n| state_of(&fleet, n, "p-2") == "draining")
+    });
+    eventually("the pause from the minority prevails", || {
+        (0..3).all(|n| state_of(&fleet, n, "p-1") == "paused")
+    });
     for n in 0..3 {
         let state = fleet.forwarders[n].site_state().unwrap();
         let of = |name: &str| state.statements.iter().filter(|s| s.subject == name).collect::<Vec<_>>();
@@ -167,10 +175,10 @@
     assert!(diff.status.success(), "{diff:?}");
 }
 
-/// A forwarder that comes back on an old copy of its folder says so, takes a number that nobody had, and is told what the
-/// copy lacks before it serves.
+/// A forwarder that restarts on an old copy of its folder logs that, takes an unused start number, and
+/// receives what the copy lacks before it serves.
 #[test]
-fn an_old_copy_of_a_folder_is_noticed_and_named() {
+fn an_old_copy_of_a_folder_is_detected_and_reported() {
     let (mut fleet, _partner) = started(3);
     fleet.forwarders[2].backup().unwrap();
     fleet.forwarders[2].kill();
@@ -184,13 +192,13 @@
     let starts = fleet.forwarders[0].peers().unwrap().others.iter().find(|o| o.name == "c").unwrap().start;
     assert_eq!(starts, 3);
     fleet.forwarders[2].ask(drain("p-2")).unwrap();
-    eventually("its new orders count", || state_of(&fleet, 0, "p-2") == "draining");
+    eventually("its new orders apply", || state_of(&fleet, 0, "p-2") == "draining");
 }
 
-/// A network that is blocked at one is blocked at all, also at one that was away; the block ends for all, by an order or by
-/// its time.
+/// A network blocked at one forwarder is blocked at all, including one that was away, and the block ends at
+/// all, by an order or by its duration.
 #[test]
-fn a_block_holds_at_all_and_ends_at_all() {
+fn a_block_applies_and_ends_at_all_forwarders() {
     let (mut fleet, _partner) = started(3);
     let network = || "203.0.113.0/24".to_string();
     let blocked = |fleet: &Fleet, n: usize| match fleet.forwarders[n].ask(Ask::Clients { most: None }) {
@@ -203,48 +211,51 @@
     let block = Ask::Block { network: network(), for_ms: 3_600_000 };
     let Ok(Told::Done(done)) = fleet.forwarders[0].ask(block) else { panic!() };
     assert!(done.changed && done.copies >= 1 && done.others == 2, "{done:?}");
-    eventually("another has it", || blocked(&fleet, 1).is_some());
+    eventually("another forwarder has the block", || blocked(&fleet, 1).is_some());
     fleet.start(2, FolderAs::Left).unwrap();
-    eventually("the one that was away has it", || blocked(&fleet, 2).is_some_and(|ms| ms > 3_500_000));
-    // Over a restart it goes on by what is left of it.
+    eventually("the forwarder that was away has the block", || {
+        blocked(&fleet, 2).is_some_and(|ms| ms > 3_500_000)
+    });
+    // After a restart the block continues for the remaining time.
     fleet.forwarders[1].kill();
     fleet.start(1, FolderAs::Left).unwrap();
     assert!(blocked(&fleet, 1).is_some_and(|ms| ms <= 3_600_000));
     fleet.forwarders[1].ask(Ask::Unblock { network: network() }).unwrap();
-    eventually("all let it in", || (0..3).all(|n| blocked(&fleet, n).is_none()));
-    // For a span.
+    eventually("all unblock the network", || (0..3).all(|n| blocked(&fleet, n).is_none()));
+    // A block with a duration.
     fleet.forwarders[0].ask(Ask::Block { network: network(), for_ms: 2_000 }).unwrap();
-    eventually("all have it", || (0..3).all(|n| blocked(&fleet, n).is_some()));
-    eventually("its time is over", || (0..3).all(|n| blocked(&fleet, n).is_none()));
+    eventually("all have the order", || (0..3).all(|n| blocked(&fleet, n).is_some()));
+    eventually("the block ends", || (0..3).all(|n| blocked(&fleet, n).is_none()));
     let open = |n: usize| {
         let state = fleet.forwarders[n].site_state().unwrap();
         state.statements.iter().filter(|s| s.kind == "network").all(|s| s.word == "open")
     };
-    eventually("its author has said so", || (0..3).all(open));
+    eventually("its author has published the end", || (0..3).all(open));
 }
 
-/// One that is stopped for long and goes on says nothing that others take for news, and does as they do at once.
+/// A forwarder that resumes after a long suspension spreads no outdated orders and quickly applies the
+/// current ones.
 #[test]
-fn one_that_was_stopped_changes_nothing_when_it_goes_on() {
+fn a_forwarder_that_resumes_after_a_long_suspension_changes_nothing() {
     let (mut fleet, _partner) = started(3);
     fleet.forwarders[2].ask(drain("p-1")).unwrap();
-    eventually("all have it", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "draining"));
+    eventually("all have the order", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "draining"));
     fleet.forwarders[2].stop();
     fleet.forwarders[0].ask(resume("p-1")).unwrap();
     fleet.forwarders[1].ask(drain("p-2")).unwrap();
     std::thread::sleep(Duration::from_secs(number("FOLDTRACK_STOPPED", 30)));
-    let gone = |n: usize| {
+    let declared_down = |n: usize| {
         let others = fleet.forwarders[n].peers().map(|p| p.others).unwrap_or_default();
         others.iter().any(|o| o.name == "c" && o.standing == "down")
     };
-    assert!(gone(0) && gone(1));
+    assert!(declared_down(0) && declared_down(1));
     fleet.forwarders[2].go_on();
-    let on = Instant::now();
-    eventually("it does as the others do", || {
+    let resumed = Instant::now();
+    eventually("it has the current state", || {
         state_of(&fleet, 2, "p-1") == "active" && state_of(&fleet, 2, "p-2") == "draining"
     });
-    assert!(on.elapsed() < Duration::from_secs(5), "{:?}", on.elapsed());
-    eventually("all hold it to be there", || {
+    assert!(resumed.elapsed() < Duration::from_secs(5), "{:?}", resumed.elapsed());
+    eventually("all see it as up", || {
         (0..3).all(|n| fleet.forwarders[n].peers().is_some_and(|p| p.there == 3))
     });
     for n in 0..2 {
@@ -255,10 +266,10 @@
     }
 }
 
-/// A copy of a forwarder's site file is started beside it: the one that is a member stays one, and the others say that there
-/// are two.
+/// A copy of a forwarder's site file is started beside it: the member stays a member, and the others report
+/// the second process.
 #[test]
-fn a_second_process_under_one_name_is_named() {
+fn a_second_process_under_one_name_is_reported() {
     let (fleet, _partner) = started(3);
     let folder = fleet.folder().join("a-again");
     fs::create_dir(&folder).unwrap();
@@ -266,7 +277,7 @@
     let text: String = text
         .lines()
         .map(|line| match line.split_once(" = ") {
-            // It stands elsewhere: in a test, at other ports.
+            // The second process has its own state folder and, since this is a test, its own ports.
             Some(("listen", _)) => format!("listen = \"{}\"\n", foldtrack_rig::fleet::own_address().unwrap()),
             Some(("state", _)) => format!("state = {:?}\n", folder.join("state")),
             _ => format!("{line}\n"),
@@ -276,20 +287,21 @@
     fs::write(&site, text).unwrap();
     let log = fs::File::create(folder.join("log")).unwrap();
     let mut second = Command::new(PROGRAM).args(["serve", "--site"]).arg(&site).stderr(log).spawn().unwrap();
-    eventually("the others say so", || {
+    eventually("the others report it", || {
         (1..3).any(|n| {
             fleet.forwarders[n].whole_log().contains("two_processes: two processes run under the name a")
         })
     });
     fleet.forwarders[0].ask(drain("p-1")).unwrap();
-    eventually("the member's orders count", || state_of(&fleet, 1, "p-1") == "draining");
+    eventually("the member's orders apply", || state_of(&fleet, 1, "p-1") == "draining");
     second.kill().unwrap();
     second.wait().unwrap();
 }
 
-/// A store that is torn, of another kind, or full of noise keeps nobody from starting; what it had comes from the others.
+/// A store that is truncated, in another format or random data does not prevent a start; its contents come
+/// from the others.
 #[test]
-fn a_spoilt_store_is_set_aside_and_filled_again_by_the_others() {
+fn a_damaged_store_is_set_aside_and_restored_from_the_other_forwarders() {
     let (mut fleet, _partner) = started(3);
     fleet.forwarders[0].ask(drain("p-1")).unwrap();
     for noise in [&b"not a store"[..], &[0x5a; 100_000], b""] {
@@ -304,16 +316,17 @@
         .unwrap()
         .flatten()
         .any(|e| { e.file_name().to_string_lossy().starts_with("peers.redb.damaged-") }));
-    assert!(fleet.forwarders[1].whole_log().contains("stands aside"));
+    assert!(fleet.forwarders[1].whole_log().contains("set aside as"));
 }
 
-/// One that finds nobody says for a while that it is not ready, and then goes on by what it has.
+/// A forwarder that reaches no other one reports for a while that it is not ready, and then continues with
+/// its own state.
 #[test]
-fn one_that_finds_nobody_waits_its_span_and_goes_on_alone() {
+fn a_forwarder_without_reachable_peers_waits_for_its_timeout_and_continues_alone() {
     let (mut fleet, _partner) = fleet(3, true, "ready-within = \"2s\"");
     let before = Instant::now();
     fleet.start(0, FolderAs::Left).unwrap();
-    // The listener is there once it is ready.
+    // The listener opens once the forwarder is ready.
     assert!(before.elapsed() >= Duration::from_secs(2), "{:?}", before.elapsed());
     eventually("it serves", || fleet.forwarders[0].is_healthy());
     let seen = fleet.forwarders[0].peers().unwrap();
@@ -323,9 +336,9 @@
     assert_eq!(state_of(&fleet, 1, "p-1"), "draining", "it served before it had caught up");
 }
 
-/// What an operator has ordered before there were peers is known to them from the first start with them on.
+/// Orders given before peers were configured reach them from the first start with peers.
 #[test]
-fn orders_from_before_there_were_peers_are_told_to_them() {
+fn orders_given_before_peers_were_configured_reach_them() {
     let (mut fleet, _partner) = fleet(3, true, "");
     let site = fleet.forwarders[0].site();
     let whole = fs::read_to_string(&site).unwrap();
@@ -335,12 +348,12 @@
     fleet.forwarders[0].kill();
     fs::write(&site, whole).unwrap();
     fleet.start_all().unwrap();
-    eventually("all have it", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "draining"));
+    eventually("all have the order", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "draining"));
 }
 
-/// Without `[peers]` there is no socket, no thread and no file of it.
+/// Without `[peers]` there is no peer socket, thread or file.
 #[test]
-fn without_peers_there_is_nothing_of_them() {
+fn without_peers_there_is_no_peer_socket_thread_or_file() {
     let (mut fleet, _partner) = fleet(1, false, "");
     fleet.start_all().unwrap();
     let forwarder = &fleet.forwarders[0];
@@ -351,7 +364,7 @@
         .map(|task| fs::read_to_string(task.path().join("comm")).unwrap_or_default().trim().to_string())
         .collect();
     assert!(!threads.iter().any(|name| name == "peers"), "{threads:?}");
-    // The rig's own flag has a thread that reads standard input.
+    // The rig starts the forwarder with a flag whose thread reads standard input.
     assert!(threads.len() <= 2, "{threads:?}");
     let sockets: Vec<String> = fs::read_dir(format!("/proc/{pid}/fd"))
         .unwrap()
@@ -370,29 +383,36 @@
 }
 
 #[test]
-fn what_is_wrong_with_the_table_is_told_with_its_place() {
+fn errors_in_the_peers_table_are_reported_with_their_position() {
     let (fleet, _partner) = fleet(3, true, "horizon = \"1s\"\nsekret = 7");
     let site = fleet.forwarders[0].site();
     let check = Command::new(PROGRAM).arg("check").arg(&site).output().unwrap();
-    let told = String::from_utf8_lossy(&check.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&check.stderr).into_owned();
     assert_eq!(check.status.code(), Some(2));
-    assert!(told.contains("peers.horizon: is out of its range") && told.contains("peers.sekret"), "{told}");
+    assert!(
+        stderr.contains("peers.horizon: is out of its range") && stderr.contains("peers.sekret"),
+        "{stderr}"
+    );
     let text = fs::read_to_string(&site).unwrap().replace("horizon = \"1s\"\nsekret = 7", "");
     fs::write(&site, text.replace("[peers.member.b]", "[peers.member.a]")).unwrap();
     let check = Command::new(PROGRAM).arg("check").arg(&site).output().unwrap();
-    let told = String::from_utf8_lossy(&check.stderr).into_owned();
-    assert!(told.contains("this forwarder's own name"), "{told}");
-    // A secret that is none is a refusal to start, with the file named.
+    let stderr = String::from_utf8_lossy(&check.stderr).into_owned();
+    assert!(stderr.contains("this forwarder's own name"), "{stderr}");
+    // A secret that is too short prevents a start, and the error names the file.
     fs::write(&site, text).unwrap();
     fs::write(fleet.folder().join("secret"), "short").unwrap();
     let serve = Command::new(PROGRAM).args(["serve", "--site"]).arg(&site).output().unwrap();
-    let told = String::from_utf8_lossy(&serve.stderr).into_owned();
-    assert!(!serve.status.success() && told.contains("secret") && told.contains("16 at least"), "{told}");
+    let stderr = String::from_utf8_lossy(&serve.stderr).into_owned();
+    assert!(
+        !serve.status.success() && stderr.contains("secret") && stderr.contains("at least 16 are required"),
+        "{stderr}"
+    );
 }
 
-/// A play that breaks a rule says so: of forwarders that do not know of each other only one has the drain.
+/// A run that violates an invariant is reported: of forwarders that do not know of each other only one has
+/// the drain.
 #[test]
-fn the_rig_finds_what_is_broken() {
+fn the_rig_detects_diverged_state() {
     let mut story = Story::told("calm").unwrap();
     story.lasts = Duration::from_secs(2);
     story.steps.retain(|s| matches!(&s.what, What::Order(_, word, _) if word == "drain"));
