--- a/crates/peers/benches/cluster.rs
+++ b/crates/peers/benches/cluster.rs
@@ -23,7 +23,10 @@
 }
 
 fn order_latency() {
-    println!("\ntime until an order reaches the last member, ms over 20 orders (median, latest), and until it is acknowledged (median)\n");
+    println!(
+        "\ntime until an order reaches the last member, ms over 20 orders (median, latest), and until it is \
+         acknowledged (median)\n"
+    );
     println!(
         "{:>8}  {:<16} {:>8} {:>8} {:>13}",
         "members", "loss, delay", "median", "latest", "acknowledged"
--- a/crates/peers/src/claims.rs
+++ b/crates/peers/src/claims.rs
@@ -2,12 +2,12 @@
 //! again under its id at another forwarder is not sent a second time while the first copy may still be
 //! active.
 //!
-//! A message whose repetition is not harmless is claimed before it is accepted: a quorum (a majority of all members)
-//! must know no other owner for its id. Any two quorums have a member in common, and each member grants
-//! the first claim it sees, so at most one of two forwarders is granted the claim. Grants outlive the
-//! process of the member that gave them (the caller persists the records before replies leave). A member that
-//! has lost its grants abstains, and its reply does not count until it has recovered them
-//! ([`recovery`](crate::recovery)).
+//! A message whose repetition is not harmless is claimed before it is accepted: a quorum (a majority of
+//! all members) must know no other owner for its id. Any two quorums have a member in common, and each
+//! member grants the first claim it sees, so at most one of two forwarders is granted the claim. Grants
+//! outlive the process of the member that gave them (the caller persists the records before replies
+//! leave). A member that has lost its grants abstains, and its reply does not count until it has
+//! recovered them ([`recovery`](crate::recovery)).
 //!
 //! At first only as many members are asked as a quorum needs, chosen by the id, so that every forwarder
 //! that asks for the same id next meets one of them. If one of those does not answer soon, all members are
@@ -36,7 +36,7 @@
 pub const REPLY_TIMEOUT_MS: u64 = 250;
 /// A claim request without an answer is repeated after this many milliseconds.
 const RESEND_INTERVAL_MS: u64 = 40;
-/// How long a claim continues after its client was told to retry, in milliseconds. Votes received in that
+/// How long a claim continues after its client was told to retry, in milliseconds. Replies received in that
 /// time count when the client retries.
 const DETACHED_LIFETIME_MS: u64 = 4_000;
 /// Interval at which such a claim is repeated, in milliseconds.
@@ -555,7 +555,7 @@
         self.settle(key, ClaimResult::Granted(left));
     }
 
-    /// Settles a claim as not granted. Members may have granted it; they are told the known outcome, or
+    /// Settles a claim as not granted. Members may have granted it; they are sent the known outcome, or
     /// that the id is free.
     fn abandon(&mut self, now: u64, key: Key, result: ClaimResult, outcome: ClaimOutcome) {
         if self.known.get(&key).is_some_and(|e| e.owner == self.own && e.end.is_none()) {
@@ -578,14 +578,14 @@
         self.notices.insert(key, OutcomeNotice { outcome, seq, unacknowledged, send_at: at, attempts: 0 });
     }
 
-    /// This forwarder does not own a message that another asks about: every member is told so.
+    /// This forwarder does not own a message that another asks about: every member is notified.
     pub fn disown(&mut self, now: u64, key: Key) {
         if !self.notices.contains_key(&key) {
             self.queue_outcome(now, key, self.last_seq, RELEASED, (0..self.others).collect());
         }
     }
 
-    /// A message has been accepted here; members that ask are told that it is owned here.
+    /// A message has been accepted here; queries from other members report it as owned here.
     pub fn message_accepted(&mut self, key: Key) {
         if let Some(entry) = self.known.get_mut(&key).filter(|e| e.owner == self.own) {
             entry.accepted = true;
--- a/crates/peers/src/hints.rs
+++ b/crates/peers/src/hints.rs
@@ -2,7 +2,7 @@
 //! never cause it.
 //!
 //! Hints carry durations, never points in time; the time by which a datagram was later than others of its
-//! session is subtracted. A forwarder that is faulty or lies can hold back a partner here for at most half
+//! session is subtracted. A forwarder that is faulty or lies can delay a partner here for at most half
 //! of the time: after a hold caused by its hint, its hints on that partner are ignored for as long as the
 //! hold lasted.
 
--- a/crates/peers/src/ledger.rs
+++ b/crates/peers/src/ledger.rs
@@ -19,7 +19,7 @@
 /// are dropped.
 pub const MAX_FACTS: usize = 16_384;
 /// Runs of one forwarder that are tracked individually. For older ones only the fact that they are over is
-/// kept.
+/// stored.
 const MAX_TRACKED_RUNS: usize = 32;
 
 /// A fact as stored in the ledger.
@@ -162,7 +162,7 @@
     /// Restores bookkeeping from a store. Facts that are missing although it covers them are requested
     /// again from others.
     ///
-    /// Call this after [`Ledger::take`] of every stored fact. `unreadable` lists facts that were stored but
+    /// Call this after [`Ledger::insert`] of every stored fact. `unreadable` lists facts that were stored but
     /// could not be read.
     pub fn restore(&mut self, watermarks: Watermarks, unreadable: &[Dot]) {
         for (run, complete_to, dropped_to) in watermarks.runs {
@@ -201,16 +201,16 @@
 
     /// Looks up a fact by its identifier.
     pub fn get(&self, dot: &Dot) -> Option<&Fact> {
-        self.kept(dot).map(|k| &k.fact)
+        self.stored(dot).map(|k| &k.fact)
     }
 
-    fn kept(&self, dot: &Dot) -> Option<&StoredFact> {
+    fn stored(&self, dot: &Dot) -> Option<&StoredFact> {
         self.runs.get(&dot.run)?.facts.get(&dot.seq)
     }
 
     /// Whether a fact is known and not superseded.
     pub fn is_live(&self, dot: &Dot) -> bool {
-        !self.superseded.contains(dot) && self.kept(dot).is_some()
+        !self.superseded.contains(dot) && self.stored(dot).is_some()
     }
 
     /// Whether any fact that is or was known names this one as superseded.
@@ -220,7 +220,7 @@
 
     fn live(&self, subject: &Subject, aspect: Aspect) -> impl Iterator<Item = &StoredFact> {
         let dots = self.subjects.get(&(subject.clone(), aspect)).into_iter().flatten();
-        dots.filter(|d| !self.superseded.contains(d)).filter_map(|d| self.kept(d))
+        dots.filter(|d| !self.superseded.contains(d)).filter_map(|d| self.stored(d))
     }
 
     /// The live facts about a subject.
@@ -236,8 +236,8 @@
 
     /// Every fact, with the milliseconds since it was superseded.
     pub fn facts(&self, now: u64) -> impl Iterator<Item = (&Fact, Option<u64>)> {
-        let kept = self.runs.values().flat_map(|l| l.facts.values());
-        kept.map(move |k| (&k.fact, k.superseded_since.map(|since| (now as i64 - since).max(0) as u64)))
+        let stored = self.runs.values().flat_map(|l| l.facts.values());
+        stored.map(move |k| (&k.fact, k.superseded_since.map(|since| (now as i64 - since).max(0) as u64)))
     }
 
     /// The state of a subject.
@@ -274,8 +274,8 @@
     /// Inserts a fact. `superseded_ms` is how long it had been superseded when a store returned it.
     pub fn insert(&mut self, fact: Fact, now: u64, superseded_ms: Option<u64>) -> InsertResult {
         let hash = fact.short_hash();
-        if let Some(kept) = self.kept(&fact.dot) {
-            return if kept.hash == hash { InsertResult::Duplicate } else { InsertResult::Conflict };
+        if let Some(stored) = self.stored(&fact.dot) {
+            return if stored.hash == hash { InsertResult::Duplicate } else { InsertResult::Conflict };
         }
         if self.was_dropped(&fact.dot) {
             return InsertResult::AlreadyDropped;
@@ -308,8 +308,8 @@
         if self.was_dropped(&dot) {
             return;
         }
-        if let Some(kept) = self.runs.get_mut(&dot.run).and_then(|l| l.facts.get_mut(&dot.seq)) {
-            kept.superseded_since.get_or_insert(now as i64);
+        if let Some(stored) = self.runs.get_mut(&dot.run).and_then(|l| l.facts.get_mut(&dot.seq)) {
+            stored.superseded_since.get_or_insert(now as i64);
         }
         self.superseded.insert(dot);
     }
@@ -323,17 +323,17 @@
     /// Removes a fact as if it had never been known. Facts that it superseded stay superseded.
     fn remove(&mut self, dot: &Dot) -> Option<Fact> {
         let entry = self.runs.get_mut(&dot.run)?;
-        let kept = entry.facts.remove(&dot.seq)?;
+        let stored = entry.facts.remove(&dot.seq)?;
         entry.complete_to = entry.complete_to.min(dot.seq - 1);
         self.count -= 1;
-        let subject = (kept.fact.subject.clone(), kept.fact.action.aspect());
+        let subject = (stored.fact.subject.clone(), stored.fact.action.aspect());
         if let Some(dots) = self.subjects.get_mut(&subject) {
             dots.remove(dot);
             if dots.is_empty() {
                 self.subjects.remove(&subject);
             }
         }
-        Some(kept.fact)
+        Some(stored.fact)
     }
 
     /// Drops a fact for good and records that it existed.
@@ -401,8 +401,8 @@
     pub fn digest(&self) -> [u64; BUCKETS] {
         let mut hashes = [0u64; BUCKETS];
         for (run, entry) in &self.runs {
-            for kept in entry.facts.values().filter(|k| k.superseded_since.is_none()) {
-                hashes[Self::bucket(run)] ^= kept.hash;
+            for stored in entry.facts.values().filter(|k| k.superseded_since.is_none()) {
+                hashes[Self::bucket(run)] ^= stored.hash;
             }
         }
         hashes
@@ -456,8 +456,8 @@
         for (seq, hash, live) in listed_facts {
             match entry.facts.get(seq) {
                 // The fact that superseded it may have been dropped before it could arrive here.
-                Some(kept) if kept.hash as u32 == *hash => {
-                    superseded.extend((!live && kept.superseded_since.is_none()).then(|| dot(*seq)));
+                Some(stored) if stored.hash as u32 == *hash => {
+                    superseded.extend((!live && stored.superseded_since.is_none()).then(|| dot(*seq)));
                 }
                 Some(_) => comparison.conflicting.push(dot(*seq)),
                 None if *seq <= entry.complete_to => {}
--- a/crates/peers/src/machine.rs
+++ b/crates/peers/src/machine.rs
@@ -422,14 +422,14 @@
         self.stale_state
     }
 
-    /// Whether this forwarder has caught up with one member and has met a majority of all members besides
-    /// itself, or has waited long enough. Its own folder may be an older copy, so this forwarder is not
-    /// counted: whatever a later run on that folder has claimed or stated is known to a majority, and only
-    /// a majority without this forwarder is sure to share a member with it.
+    /// Whether this forwarder has caught up with one member and has a session with a majority of all
+    /// members besides itself, or has waited long enough. Its own folder may be an older copy, so this
+    /// forwarder is not counted: whatever a later run on that folder has claimed or stated is known to a
+    /// majority, and only a majority without this forwarder is sure to share a member with it.
     pub fn is_ready(&self, now: u64) -> bool {
         let others = self.links.len();
-        let met = self.links.iter().filter(|l| l.session.is_some()).count();
-        self.caught_up && met >= self.claims.quorum().min(others)
+        let connected = self.links.iter().filter(|l| l.session.is_some()).count();
+        self.caught_up && connected >= self.claims.quorum().min(others)
             || now >= self.started_at + self.settings.ready_timeout_ms
     }
 
@@ -867,7 +867,8 @@
         if now > since + DUPLICATE_AFTER_MS {
             l.duplicate_reported = true;
             let text = format!(
-                "two processes run under the name {}: one is a member, and another, with start number {}, keeps trying to join",
+                "two processes run under the name {}: one is a member, and another, with start number {}, keeps \
+                 trying to join",
                 l.name, header.start
             );
             self.event("two_processes", text);
@@ -907,7 +908,8 @@
             l.duplicate_reported = true;
             let name = l.name.clone();
             let text = format!(
-                "two processes run under the name {name}: the one with start number {} is still sending while {} is active",
+                "two processes run under the name {name}: the one with start number {} is still sending while {} is \
+                 active",
                 header.start, l.start
             );
             self.event("two_processes", text);
@@ -978,8 +980,8 @@
         if self.now >= self.started_at + JOIN_PERIOD_MS && known.heard_ms_ago < DUPLICATE_AFTER_MS {
             self.displaced = true;
             let text = format!(
-                "another process runs under the name {} with start number {}, this one has {}: {other} heard from it {} ms \
-                 ago. This process no longer takes part; stop one of the two",
+                "another process runs under the name {} with start number {}, this one has {}: {other} heard from it \
+                 {} ms ago. This process no longer takes part; stop one of the two",
                 self.run.name, known.start, self.run.start, known.heard_ms_ago
             );
             return self.event("displaced", text);
@@ -993,8 +995,8 @@
         self.run.start = known.start + 1;
         self.records.push(Record::Start(self.run.start));
         let text = format!(
-            "the state folder is older than what {other} knows: this run has start number {previous_start}, but one with {} \
-             has been seen; continuing as {}",
+            "the state folder is older than what {other} knows: this run has start number {previous_start}, but one \
+             with {} has been seen; continuing as {}",
             known.start, self.run.start
         );
         self.event("old_state", text);
@@ -1219,7 +1221,8 @@
         let mut changed: BTreeSet<Subject> = comparison.superseded_subjects;
         for fact in comparison.discarded {
             let text = format!(
-                "{} of {} ({} {}) is discarded: {} has dropped it, since it was superseded while this forwarder was away",
+                "{} of {} ({} {}) is discarded: {} has dropped it, since it was superseded while this forwarder \
+                 was away",
                 fact.dot, fact.dot.run.name, fact.action.name(), fact.subject, self.links[link].name
             );
             self.event("laid_aside", text);
@@ -1243,7 +1246,7 @@
     // ---- wait hints ----
 
     /// Tells the other members that a partner has asked this forwarder to wait this many milliseconds. It
-    /// is sent once: a member that misses it is told by the partner itself.
+    /// is sent once: a member that misses it learns it from the partner itself.
     pub fn share_wait(&mut self, now: u64, partner: u32, wait_ms: u64) {
         self.now = now.max(self.now);
         if wait_ms < hints::MIN_WAIT_MS || !self.settings.share_waits {
@@ -1421,7 +1424,8 @@
             let own_wins = self.ledger.get(&dot).is_some_and(|own| own.wins_over(&other));
             let winner = if own_wins { "this forwarder".to_string() } else { reporter };
             let text = format!(
-                "{dot}: {} does not answer; the copy of {winner} is used: the more restrictive one, or else the one with the lower hash",
+                "{dot}: {} does not answer; the copy of {winner} is used: the more restrictive one, or else \
+                 the one with the lower hash",
                 dot.run.name
             );
             self.event("damage_settled", text);
--- a/crates/peers/src/orders.rs
+++ b/crates/peers/src/orders.rs
@@ -43,10 +43,10 @@
         match self {
             Refusal::NoMajority { answered, needed } => write!(
                 f,
-                "it requires a majority of the forwarders, or it could undo an order given elsewhere: {answered} of \
-                 the {needed} that are required have answered; `foldtrack peers` shows which are reachable"
+                "it requires a majority of the forwarders, or it could undo an order given elsewhere: {answered} \
+                 of the {needed} that are required have answered; `foldtrack peers` shows which are reachable"
             ),
-            Refusal::Full => f.write_str("the ledger is full; orders are accepted again once old ones have been dropped"),
+            Refusal::Full => f.write_str("the ledger is full; orders are accepted again once old ones were dropped"),
             Refusal::Invalid => f.write_str("a name in it is empty or too long"),
         }
     }
@@ -75,7 +75,7 @@
     deadline: u64,
 }
 
-/// An order with answers from a majority: its number, time, subject and word.
+/// An order with answers from a majority: its number, time, subject and action.
 pub type AnsweredOrder = (u64, u64, Subject, FactAction);
 
 /// The orders in progress.
--- a/crates/peers/src/store.rs
+++ b/crates/peers/src/store.rs
@@ -482,7 +482,7 @@
         drop(opened);
         let sound = std::fs::read(&path).unwrap();
         let mut random = fastrand::Rng::with_seed(3);
-        let mut whole = 0;
+        let mut fully_restored = 0;
         for round in 0..60 {
             let mut bytes = sound.clone();
             match round % 3 {
@@ -501,7 +501,7 @@
                     .all(|(f, superseded_ms)| superseded_ms.is_none() && all.contains(f)),
                 "round {round}"
             );
-            whole += usize::from(opened.restored.facts.len() == all.len());
+            fully_restored += usize::from(opened.restored.facts.len() == all.len());
             assert!(
                 opened.restored.facts.len() == all.len() || !opened.problems.is_empty(),
                 "round {round}: silent"
@@ -514,9 +514,9 @@
             };
             assert!(problems.is_empty(), "round {round}: {problems:?}");
         }
-        assert!(whole < 60);
-        let aside = std::fs::read_dir(folder.path()).unwrap().count();
-        assert!((3..=6).contains(&aside), "{aside} files");
+        assert!(fully_restored < 60);
+        let files = std::fs::read_dir(folder.path()).unwrap().count();
+        assert!((3..=6).contains(&files), "{files} files");
     }
 
     /// A backend that fails from a given write on. Earlier writes are there, the last one perhaps only in
@@ -611,13 +611,13 @@
             died += 1;
             *backend.remaining_writes.lock().unwrap() = None;
             let restored = Store::open_backend(backend).unwrap().restored;
-            let there: Vec<&Fact> = restored.facts.iter().map(|(f, _)| f).collect();
+            let stored: Vec<&Fact> = restored.facts.iter().map(|(f, _)| f).collect();
             assert!(
-                there.len() >= acknowledged,
+                stored.len() >= acknowledged,
                 "killed at write {writes}: {} of {acknowledged}",
-                there.len()
+                stored.len()
             );
-            assert!(there.iter().zip(&all).all(|(a, b)| *a == b), "killed at write {writes}");
+            assert!(stored.iter().zip(&all).all(|(a, b)| *a == b), "killed at write {writes}");
         }
         assert!(died > 10, "{died} kills");
     }
--- a/crates/peers/tests/cluster.rs
+++ b/crates/peers/tests/cluster.rs
@@ -121,7 +121,7 @@
 }
 
 /// Three members, of which 0 has run on its folder and then runs on an earlier copy of it, with a start
-/// number that was already used. All members met the run in between. The copy is started after `away`
+/// number that was already used. All members accepted the run in between. The copy is started after `away`
 /// milliseconds.
 fn world_on_an_old_copy(seed: u64, away: u64) -> World {
     let mut world = World::started(3, seed);
@@ -137,14 +137,14 @@
     world
 }
 
-/// Guards against a forwarder on an old copy becoming ready after meeting a single member that never met
+/// Guards against a forwarder on an old copy becoming ready after reaching a single member that never saw
 /// the run missing from the copy, when another member would have revealed it a moment later. Seen in one of
 /// seven runs with real processes.
 #[test]
 fn readiness_requires_a_majority_that_may_know_a_later_run() {
     let mut world = World::new(3, 1);
     (0..3).for_each(|n| world.start(n));
-    // Member 1 never meets the first runs of 0.
+    // Member 1 never has a session with the first runs of 0.
     world.link = Box::new(|a, b| (a, b) != (0, 1) && (a, b) != (1, 0));
     world.run(8_000);
     let backup = world.nodes[0].disk.clone();
@@ -230,15 +230,15 @@
 fn two_processes_under_one_name_are_detected_and_the_older_one_stops_taking_part() {
     let mut world = World::started(4, 6);
     // A second process named n0 on another machine, reachable in the place of n3.
-    let mut twin = World::new(4, 7);
-    let settings = twin.settings(0, 99);
+    let mut second = World::new(4, 7);
+    let settings = second.settings(0, 99);
     let sealer = foldtrack_peers::seal::Sealer::new(&world.secret).unwrap();
     let restored = foldtrack_peers::Restored { start: 1, ..Default::default() };
-    twin.nodes[0].peers = Some(foldtrack_peers::Peers::new(world.now, settings, sealer, restored));
+    second.nodes[0].peers = Some(foldtrack_peers::Peers::new(world.now, settings, sealer, restored));
     for _ in 0..40_000 {
         world.run(1);
-        twin.now = world.now;
-        let peers = twin.nodes[0].peers.as_mut().unwrap();
+        second.now = world.now;
+        let peers = second.nodes[0].peers.as_mut().unwrap();
         peers.tick(world.now);
         let out = peers.outputs();
         for output in out {
@@ -251,12 +251,12 @@
         // Datagrams to n0 reach both processes: the list has one address, which has moved.
         if let Some(capture) = world.capture.replace(Vec::new()) {
             for (_, _, bytes) in capture.into_iter().filter(|(_, to, _)| *to == 0) {
-                twin.nodes[0].peers.as_mut().unwrap().datagram(world.now, &bytes);
+                second.nodes[0].peers.as_mut().unwrap().datagram(world.now, &bytes);
             }
         }
     }
     assert!(world.peers(0).is_displaced());
-    assert!(!twin.peers(0).is_displaced() && twin.peers(0).run().start == 2);
+    assert!(!second.peers(0).is_displaced() && second.peers(0).run().start == 2);
     assert_eq!(world.event_count(0, "displaced"), 1);
     assert!((1..4).any(|n| world.event_count(n, "two_processes") == 1));
 }
@@ -496,7 +496,7 @@
     world.run(18_000);
     assert!((0..3).all(|n| closed(&world, n)));
     world.run_until(3_000, |w| (0..3).all(|n| !closed(w, n))).expect("the closure ends");
-    // The author dies. A member that was away and has lost its disk hears of the block late and of its end
+    // The author dies. A member that was away and has lost its disk receives the block late and its end
     // in time.
     world.order(0, network.clone(), FactAction::Close { for_ms: 20_000 });
     world.run(100);
--- a/crates/peers/tests/ids.rs
+++ b/crates/peers/tests/ids.rs
@@ -198,7 +198,11 @@
     /// folder.
     #[test]
     fn of_many_claims_on_one_id_at_most_one_is_granted(
-        claimers in prop::collection::vec((0..5usize, 0..400u64), 2..8), sides in any::<u8>(), killed in 0..5usize, lost in any::<bool>(), seed in any::<u64>()
+        claimers in prop::collection::vec((0..5usize, 0..400u64), 2..8),
+        sides in any::<u8>(),
+        killed in 0..5usize,
+        lost in any::<bool>(),
+        seed in any::<u64>()
     ) {
         let mut world = World::started(5, seed);
         world.net = Net { loss: 0.2, delay: (0, 60), duplication: 0.1 };
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -44,7 +44,7 @@
 }
 
 impl Disk {
-    fn keep(&mut self, records: &[Record]) {
+    fn apply_records(&mut self, records: &[Record]) {
         for record in records.iter().cloned() {
             match record {
                 Record::Fact(fact, superseded_ms) => {
@@ -266,7 +266,7 @@
                         ScheduledEvent::Persisted { node: n, generation, ticket, records },
                     );
                 }
-                Output::ClaimLogComplete(whole) => self.nodes[n].disk.claims_complete = whole,
+                Output::ClaimLogComplete(complete) => self.nodes[n].disk.claims_complete = complete,
                 Output::SubjectChanged(_) => {}
                 Output::HoldPartner(partner, until) => self.nodes[n].holds.push((partner, until)),
                 Output::PersistClaims(records) => self.nodes[n].disk.claims.extend(records),
@@ -315,7 +315,7 @@
                     Some(ScheduledEvent::Persisted { node, generation, ticket, records })
                         if self.nodes[node].generation == generation =>
                     {
-                        self.nodes[node].disk.keep(&records);
+                        self.nodes[node].disk.apply_records(&records);
                         let now = self.clock(node);
                         if let Some(peers) = &mut self.nodes[node].peers {
                             peers.persisted(now, ticket);
