--- a/crates/peers/src/machine.rs
+++ b/crates/peers/src/machine.rs
@@ -23,7 +23,7 @@
 /// Number of members that are sent a digest at once by a member that has received a new fact, so that facts
 /// get around a broken link.
 const DIGEST_FANOUT: usize = 2;
-/// Delay before an unacknowledged fact is pushed again, in milliseconds. It doubles with each attempt.
+/// Base delay between pushes of an unacknowledged fact, in milliseconds. It doubles with each attempt.
 const PUSH_DELAY_MS: u64 = 60;
 /// Maximum delay between two pushes, in milliseconds.
 const MAX_PUSH_DELAY_MS: u64 = 1_000;
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages between forwarders. A sealed datagram carries one or more of them.
 
-use crate::claims::{self, Answer, Claim, Key, OwnerStatus};
+use crate::claims::{self, Claim, ClaimReply, Key, OwnerStatus};
 use crate::fact::{Dot, Fact, Run, Subject};
 use crate::ledger::{RunRange, BUCKETS};
 use crate::recovery::{Cursor, RecoveryPage};
@@ -65,7 +65,7 @@
     Claims(u64, Vec<Claim>),
     /// The sender's replies on claims: key, sequence number of the claim, reply.
     #[serde(rename = "Claimed")]
-    ClaimReplies(Vec<(Key, u64, Answer)>),
+    ClaimReplies(Vec<(Key, u64, ClaimReply)>),
     /// Outcomes of messages that the sender owned, and its store id. Each has the key, the sequence number
     /// of the claim and the outcome.
     #[serde(rename = "Ended")]
