--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -1,4 +1,4 @@
-//! All that the journal asks of a disk, and the real one.
+//! Storage operations of the journal, and their implementation on a file system.
 
 use crate::budget::Budget;
 use std::collections::BTreeMap;
@@ -8,193 +8,195 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// The folder of the segments; version 1 had a file of this name.
-const NAME: &str = "journal";
-/// Where the file of version 1 is until all of it has been carried over.
-const OLD: &str = "journal.v1";
-/// The second place of the journal's identity, in the folder of the segments.
-const IDENTITY: &str = "identity";
-/// An identity's file is not longer; what is has come from elsewhere.
-const IDENTITY_MOST: u64 = 512;
-
-/// The folder of a journal: numbered segments, and perhaps the one file of an earlier build. Every operation may fail;
-/// what a failed one has done is not known, except that what was whole before stays readable.
+/// Name of the folder of the segments. In version 1, the journal was a single file of this name.
+const SEGMENTS_DIR: &str = "journal";
+/// Name of the version 1 file until its contents have been moved to segments.
+const V1_FILE: &str = "journal.v1";
+/// File with the second copy of the journal's identity, in the folder of the segments.
+const IDENTITY_FILE: &str = "identity";
+/// Upper bound of the size of the identity file in bytes; a longer file was not written by this program.
+const MAX_IDENTITY_BYTES: u64 = 512;
+
+/// Storage of a journal: numbered segments, and possibly the single file of version 1. Any operation may
+/// fail. The effect of a failed operation is unknown, but records that were complete before it stay readable.
 pub trait Disk {
-    /// Numbers of the segments that there are, in their order.
+    /// Numbers of the existing segments, in ascending order.
     ///
     /// # Errors
     /// The folder can't be read.
     fn segments(&mut self) -> io::Result<Vec<u64>>;
 
-    /// Makes an empty segment, for which `room` bytes are set aside where the file system can.
+    /// Creates an empty segment and preallocates `reserve` bytes for it where the file system supports that.
     ///
     /// # Errors
-    /// There is no room or descriptor, or it is there already.
-    fn create(&mut self, segment: u64, room: u64) -> io::Result<()>;
+    /// No space or file descriptor is available, or the segment exists.
+    fn create(&mut self, segment: u64, reserve: u64) -> io::Result<()>;
 
-    /// Appends bytes. Like `write`, it may write a part of them and give how many.
+    /// Appends bytes and returns how many were written. Like `write`, it may write only a part of them.
     ///
     /// # Errors
-    /// Nothing, or a part that is not known, has been written.
+    /// Nothing was written, or an unknown part.
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Reads as many bytes as the buffer has from a place on.
+    /// Fills the buffer from an offset in a segment.
     ///
     /// # Errors
-    /// They are not all there, or can't be read.
-    fn read(&mut self, segment: u64, at: u64, buffer: &mut [u8]) -> io::Result<()>;
+    /// The segment is too short, or can't be read.
+    fn read(&mut self, segment: u64, offset: u64, buffer: &mut [u8]) -> io::Result<()>;
 
-    /// Says that bytes of a segment will be read soon, so that the disk can begin to fetch them. Does not wait for them,
-    /// and may do nothing.
-    fn will_read(&mut self, segment: u64, at: u64, bytes: NonZeroU64);
+    /// Announces that bytes of a segment will be read soon, so that the disk can prefetch them. Does not
+    /// block; an implementation may ignore it.
+    fn prefetch(&mut self, segment: u64, offset: u64, bytes: NonZeroU64);
 
     /// Length of a segment in bytes.
     ///
     /// # Errors
-    /// It is not there, or can't be asked.
+    /// The segment does not exist, or its length can't be read.
     fn length(&mut self, segment: u64) -> io::Result<u64>;
 
-    /// Cuts a segment to a length.
+    /// Truncates a segment to a length.
     ///
     /// # Errors
-    /// It may or may not have been cut.
+    /// The segment may or may not have been truncated.
     fn truncate(&mut self, segment: u64, length: u64) -> io::Result<()>;
 
-    /// Brings a segment's bytes to stable storage; its entry in the folder is [`Disk::sync_folder`]'s.
+    /// Flushes a segment's data to stable storage. Its directory entry is covered by [`Disk::sync_folder`].
     ///
     /// # Errors
-    /// What of it is on stable storage is not known, and a later success says nothing of it.
+    /// It is unknown which of the data is on stable storage, and a later success does not cover it.
     fn sync(&mut self, segment: u64) -> io::Result<()>;
 
-    /// Brings the folder's entries to stable storage: what has been created is there, what has been removed stays so.
+    /// Flushes the directory to stable storage: created segments stay and removed ones do not return.
     ///
     /// # Errors
-    /// What of it is on stable storage is not known.
+    /// It is unknown which of the entries are on stable storage.
     fn sync_folder(&mut self) -> io::Result<()>;
 
     /// Removes a segment.
     ///
     /// # Errors
-    /// It may or may not be gone.
+    /// The segment may or may not have been removed.
     fn remove(&mut self, segment: u64) -> io::Result<()>;
 
-    /// What [`Disk::keep_identity`] has kept, if anything.
+    /// The identity stored by [`Disk::store_identity`], if there is one.
     ///
     /// # Errors
     /// It can't be read.
     fn identity(&mut self) -> io::Result<Option<Vec<u8>>>;
 
-    /// Keeps the journal's identity beside the segments, on stable storage.
+    /// Stores the journal's identity beside the segments, on stable storage.
     ///
     /// # Errors
-    /// It is there, or a part of it, or nothing.
-    fn keep_identity(&mut self, bytes: &[u8]) -> io::Result<()>;
+    /// The identity may be stored wholly, in part, or not at all.
+    fn store_identity(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// The file of an earlier build, if there is one.
+    /// Contents of the version 1 file, if there is one.
     ///
     /// # Errors
     /// It can't be read.
-    fn old(&mut self) -> io::Result<Option<Vec<u8>>>;
+    fn v1_file(&mut self) -> io::Result<Option<Vec<u8>>>;
 
-    /// Removes it.
+    /// Removes the version 1 file.
     ///
     /// # Errors
-    /// It may or may not be gone.
-    fn remove_old(&mut self) -> io::Result<()>;
+    /// The file may or may not have been removed.
+    fn remove_v1(&mut self) -> io::Result<()>;
 }
 
-/// A state folder of the file system, with the journal's folder in it.
+/// Implementation of [`Disk`] in a state folder of the file system.
 #[derive(Debug)]
-pub struct Folder {
+pub struct JournalDir {
     state: PathBuf,
     path: PathBuf,
     files: BTreeMap<u64, File>,
-    reads_only: bool,
+    read_only: bool,
     budget: Option<Budget>,
 }
 
-fn named(path: &Path, error: &io::Error) -> io::Error {
+/// Adds the path to an error's text.
+fn with_path(path: &Path, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
 
-impl Folder {
-    /// The journal of a state folder that is there. A file of version 1 makes room for the folder, by one rename.
+impl JournalDir {
+    /// Opens the journal folder in an existing state folder, or creates it. A version 1 file of the same name
+    /// is renamed.
     ///
     /// # Errors
-    /// The folder can't be made.
-    pub fn new(state: &Path) -> io::Result<Folder> {
-        let folder = Folder::at_state(state, false);
+    /// The folder can't be created, or the file can't be renamed.
+    pub fn new(state: &Path) -> io::Result<JournalDir> {
+        let folder = JournalDir::in_state_folder(state, false);
         if folder.path.is_file() {
-            fs::rename(&folder.path, state.join(OLD)).map_err(|e| named(&folder.path, &e))?;
+            fs::rename(&folder.path, state.join(V1_FILE)).map_err(|e| with_path(&folder.path, &e))?;
         }
-        fs::create_dir_all(&folder.path).map_err(|e| named(&folder.path, &e))?;
+        fs::create_dir_all(&folder.path).map_err(|e| with_path(&folder.path, &e))?;
         Ok(folder)
     }
 
-    fn at_state(state: &Path, reads_only: bool) -> Folder {
-        Folder {
+    fn in_state_folder(state: &Path, read_only: bool) -> JournalDir {
+        JournalDir {
             state: state.to_path_buf(),
-            path: state.join(NAME),
+            path: state.join(SEGMENTS_DIR),
             files: BTreeMap::new(),
-            reads_only,
+            read_only,
             budget: None,
         }
     }
 
-    /// The same under a budget, as if the disk were no larger.
-    pub fn within(mut self, budget: Option<Budget>) -> Folder {
+    /// Limits the disk space to a simulated budget.
+    pub fn with_budget(mut self, budget: Option<Budget>) -> JournalDir {
         self.budget = budget;
         self
     }
 
-    /// The same, in which nothing is changed: for tools beside the owner.
-    pub fn read_only(state: &Path) -> Folder {
-        Folder::at_state(state, true)
+    /// Opens the folder without write access, for tools that run beside the owner of the journal.
+    pub fn read_only(state: &Path) -> JournalDir {
+        JournalDir::in_state_folder(state, true)
     }
 
-    /// The file of a segment.
+    /// Name of a segment's file.
     pub fn file_name(segment: u64) -> String {
         format!("{segment:08}")
     }
 
-    fn at(&self, segment: u64) -> PathBuf {
-        self.path.join(Folder::file_name(segment))
+    fn segment_path(&self, segment: u64) -> PathBuf {
+        self.path.join(JournalDir::file_name(segment))
     }
 
     fn file(&mut self, segment: u64) -> io::Result<&mut File> {
         if !self.files.contains_key(&segment) {
-            let path = self.at(segment);
-            let opened = OpenOptions::new().read(true).append(!self.reads_only).open(&path);
-            self.files.insert(segment, opened.map_err(|e| named(&path, &e))?);
+            let path = self.segment_path(segment);
+            let opened = OpenOptions::new().read(true).append(!self.read_only).open(&path);
+            self.files.insert(segment, opened.map_err(|e| with_path(&path, &e))?);
         }
         self.files.get_mut(&segment).ok_or_else(|| io::Error::other("no such segment"))
     }
 
-    /// A handle of the journal's folder, to be synced.
+    /// A handle of the journal folder, for a sync.
     ///
     /// # Errors
-    /// There is no descriptor left.
+    /// No file descriptor is available.
     pub fn folder(&self) -> io::Result<File> {
         File::open(&self.path)
     }
 
-    /// A second handle of a segment's file, to be synced by whoever can wait.
+    /// A second handle of a segment's file, which the caller can sync on another thread.
     ///
     /// # Errors
-    /// There is no descriptor left.
+    /// No file descriptor is available.
     pub fn handle(&mut self, segment: u64) -> io::Result<File> {
         self.file(segment)?.try_clone()
     }
 }
 
-impl Disk for Folder {
+impl Disk for JournalDir {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         let mut numbers = Vec::new();
         if !self.path.is_dir() {
             return Ok(numbers);
         }
-        for entry in fs::read_dir(&self.path).map_err(|e| named(&self.path, &e))? {
-            let name = entry.map_err(|e| named(&self.path, &e))?.file_name();
+        for entry in fs::read_dir(&self.path).map_err(|e| with_path(&self.path, &e))? {
+            let name = entry.map_err(|e| with_path(&self.path, &e))?.file_name();
             let number = name.to_str().and_then(|n| n.parse::<u64>().ok());
             numbers.extend(number);
         }
@@ -202,30 +204,31 @@
         Ok(numbers)
     }
 
-    fn create(&mut self, segment: u64, room: u64) -> io::Result<()> {
-        let path = self.at(segment);
+    fn create(&mut self, segment: u64, reserve: u64) -> io::Result<()> {
+        let path = self.segment_path(segment);
         if let Some(budget) = &self.budget {
-            if budget.grant(room).map_err(|e| named(&path, &e))? < room {
-                return Err(named(
+            if budget.grant(reserve).map_err(|e| with_path(&path, &e))? < reserve {
+                return Err(with_path(
                     &path,
                     &io::Error::new(io::ErrorKind::StorageFull, "the disk budget is used up"),
                 ));
             }
         }
-        let made = OpenOptions::new().read(true).append(true).create_new(true).open(&path);
-        let file = made.map_err(|e| named(&path, &e))?;
-        if room > 0 {
-            // What is taken on must be endable on a full disk. The length stays: the room is the file's all the same.
-            let set_aside = rustix::fs::fallocate(&file, rustix::fs::FallocateFlags::KEEP_SIZE, 0, room)
+        let opened = OpenOptions::new().read(true).append(true).create_new(true).open(&path);
+        let file = opened.map_err(|e| with_path(&path, &e))?;
+        if reserve > 0 {
+            // Preallocates space, so that accepted messages can be finished on a full disk. The file's length
+            // stays 0.
+            let allocated = rustix::fs::fallocate(&file, rustix::fs::FallocateFlags::KEEP_SIZE, 0, reserve)
                 .map_err(io::Error::from);
-            match set_aside {
+            match allocated {
                 Err(e)
                     if e.kind() == io::ErrorKind::StorageFull || e.kind() == io::ErrorKind::QuotaExceeded =>
                 {
                     let _ = fs::remove_file(&path);
-                    return Err(named(&path, &e));
+                    return Err(with_path(&path, &e));
                 }
-                // A file system that can't promise room: writes fail then, and that is dealt with.
+                // The file system does not support preallocation. Writes may then fail, which is handled.
                 _ => {}
             }
         }
@@ -234,85 +237,85 @@
     }
 
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<usize> {
-        let path = self.at(segment);
+        let path = self.segment_path(segment);
         let budget = self.budget.clone();
         let file = self.file(segment)?;
         let admitted = match budget {
             Some(budget) => file.metadata().and_then(|m| budget.admit(file, m.len(), bytes.len())),
             None => Ok(bytes.len()),
         };
-        admitted.and_then(|count| file.write(&bytes[..count])).map_err(|e| named(&path, &e))
+        admitted.and_then(|count| file.write(&bytes[..count])).map_err(|e| with_path(&path, &e))
     }
 
-    fn read(&mut self, segment: u64, at: u64, buffer: &mut [u8]) -> io::Result<()> {
-        let path = self.at(segment);
-        self.file(segment)?.read_exact_at(buffer, at).map_err(|e| named(&path, &e))
+    fn read(&mut self, segment: u64, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+        let path = self.segment_path(segment);
+        self.file(segment)?.read_exact_at(buffer, offset).map_err(|e| with_path(&path, &e))
     }
 
-    fn will_read(&mut self, segment: u64, at: u64, bytes: NonZeroU64) {
+    fn prefetch(&mut self, segment: u64, offset: u64, bytes: NonZeroU64) {
         if let Ok(file) = self.file(segment) {
-            // A hint: where the file system takes none, the reads that follow wait as they would have.
-            let _ = rustix::fs::fadvise(file, at, Some(bytes), rustix::fs::Advice::WillNeed);
+            // Only a hint: if the file system ignores it, later reads block as they would without it.
+            let _ = rustix::fs::fadvise(file, offset, Some(bytes), rustix::fs::Advice::WillNeed);
         }
     }
 
     fn length(&mut self, segment: u64) -> io::Result<u64> {
-        let path = self.at(segment);
-        self.file(segment)?.metadata().map(|m| m.len()).map_err(|e| named(&path, &e))
+        let path = self.segment_path(segment);
+        self.file(segment)?.metadata().map(|m| m.len()).map_err(|e| with_path(&path, &e))
     }
 
     fn truncate(&mut self, segment: u64, length: u64) -> io::Result<()> {
-        let path = self.at(segment);
-        self.file(segment)?.set_len(length).map_err(|e| named(&path, &e))
+        let path = self.segment_path(segment);
+        self.file(segment)?.set_len(length).map_err(|e| with_path(&path, &e))
     }
 
     fn sync(&mut self, segment: u64) -> io::Result<()> {
-        let path = self.at(segment);
-        self.file(segment)?.sync_data().map_err(|e| named(&path, &e))
+        let path = self.segment_path(segment);
+        self.file(segment)?.sync_data().map_err(|e| with_path(&path, &e))
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.folder().and_then(|f| f.sync_all()).map_err(|e| named(&self.path, &e))
+        self.folder().and_then(|f| f.sync_all()).map_err(|e| with_path(&self.path, &e))
     }
 
     fn remove(&mut self, segment: u64) -> io::Result<()> {
-        let path = self.at(segment);
-        fs::remove_file(&path).map_err(|e| named(&path, &e))?;
+        let path = self.segment_path(segment);
+        fs::remove_file(&path).map_err(|e| with_path(&path, &e))?;
         self.files.remove(&segment);
         Ok(())
     }
 
     fn identity(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let path = self.path.join(IDENTITY);
+        let path = self.path.join(IDENTITY_FILE);
         let mut bytes = Vec::new();
-        match File::open(&path).and_then(|file| file.take(IDENTITY_MOST).read_to_end(&mut bytes)) {
+        match File::open(&path).and_then(|file| file.take(MAX_IDENTITY_BYTES).read_to_end(&mut bytes)) {
             Ok(_) => Ok(Some(bytes)),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(named(&path, &e)),
+            Err(e) => Err(with_path(&path, &e)),
         }
     }
 
-    fn keep_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let path = self.path.join(IDENTITY);
-        let kept =
+    fn store_identity(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let path = self.path.join(IDENTITY_FILE);
+        let stored =
             File::create(&path).and_then(|mut file| file.write_all(bytes).and_then(|()| file.sync_all()));
-        kept.map_err(|e| named(&path, &e))
+        stored.map_err(|e| with_path(&path, &e))
     }
 
-    fn old(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let path = if self.path.is_file() { self.path.clone() } else { self.state.join(OLD) };
+    fn v1_file(&mut self) -> io::Result<Option<Vec<u8>>> {
+        let path = if self.path.is_file() { self.path.clone() } else { self.state.join(V1_FILE) };
         match fs::read(&path) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(named(&path, &e)),
+            Err(e) => Err(with_path(&path, &e)),
         }
     }
 
-    fn remove_old(&mut self) -> io::Result<()> {
-        let path = self.state.join(OLD);
-        fs::remove_file(&path).map_err(|e| named(&path, &e))?;
-        // A compaction of it that its process did not live to finish.
+    fn remove_v1(&mut self) -> io::Result<()> {
+        let path = self.state.join(V1_FILE);
+        fs::remove_file(&path).map_err(|e| with_path(&path, &e))?;
+        // Left over from a compaction of the version 1 file that did not finish.
         let _ = fs::remove_file(self.state.join("journal.new"));
-        File::open(&self.state).and_then(|f| f.sync_all()).map_err(|e| named(&self.state, &e))
+        File::open(&self.state).and_then(|f| f.sync_all()).map_err(|e| with_path(&self.state, &e))
     }
 }
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -3,12 +3,12 @@
 //! time; while one runs the next group gathers.
 
 use super::Node;
-use crate::door::{Answer, Input, Receipt, Synced};
-use crate::targets::{self, Call};
-use foldtrack_ends::Result as EndResult;
+use crate::call::{self, Call};
+use crate::events::{LoopEvent, Receipt, SubmitReply, Synced};
+use foldtrack_delivery::Outcome;
+use foldtrack_ends::FinalStatus;
 use foldtrack_journal::journal::SyncJob;
-use foldtrack_journal::{Record, Ticket, Unwritten};
-use hatchline::Outcome;
+use foldtrack_journal::{FailedWrite, Record, Ticket};
 use std::collections::HashMap;
 use std::fs::File;
 use tokio::sync::oneshot;
@@ -18,12 +18,12 @@
 #[derive(Default)]
 pub(super) struct Group {
     /// Clients who are told that their message is taken on.
-    pub answers: Vec<(Ticket, u64, oneshot::Sender<Answer>)>,
+    pub answers: Vec<(Ticket, u64, oneshot::Sender<SubmitReply>)>,
     /// Calls whose records must be there before their first byte goes: a payment must not be sent again after a power
     /// cut because nothing tells of the first time.
     pub calls: Vec<(Ticket, Call, oneshot::Receiver<()>)>,
     /// Messages whose ends are told, and which the journal then forgets; and the last of these ends.
-    pub ended: Vec<(u64, EndResult)>,
+    pub ended: Vec<(u64, FinalStatus)>,
     pub last_end: u64,
 }
 
@@ -63,13 +63,13 @@
 
     /// Guards against a disk that fills in the middle of a round: the messages whose records it did not take are
     /// refused, and the calls not made, as if nobody had asked.
-    fn undo(&mut self, unwritten: Vec<Unwritten>) {
-        let mut lost: HashMap<Ticket, Unwritten> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
+    fn undo(&mut self, unwritten: Vec<FailedWrite>) {
+        let mut lost: HashMap<Ticket, FailedWrite> = unwritten.into_iter().map(|u| (u.ticket, u)).collect();
         let gathering = &mut self.durable.gathering;
         let (answers, calls) = (std::mem::take(&mut gathering.answers), std::mem::take(&mut gathering.calls));
         for (ticket, number, reply) in answers {
             match lost.remove(&ticket) {
-                Some(Unwritten { error, .. }) => {
+                Some(FailedWrite { error, .. }) => {
                     eprintln!("journal: a message is refused: {error}");
                     let _ = reply.send(self.not_taken(number));
                     self.withdraw(number);
@@ -79,7 +79,7 @@
         }
         for (ticket, call, cancelled) in calls {
             match lost.remove(&ticket) {
-                Some(Unwritten { error, .. }) => {
+                Some(FailedWrite { error, .. }) => {
                     eprintln!("journal: a call is not made: {error}");
                     self.unmake_call(call);
                 }
@@ -96,7 +96,7 @@
         self.calls.remove(&(number, attempt));
         let listed = self.targets.end_call(target);
         if let Some((connection, _)) = connection.filter(|_| listed) {
-            self.idle.put(target, connection);
+            self.pool.put(target, connection);
         }
         if let Some(held) = self.messages.get_mut(&number) {
             held.tries -= 1;
@@ -110,7 +110,7 @@
         let durable = &mut self.durable;
         if !durable.syncs
             || durable.under_way.is_some()
-            || durable.gathering.is_empty() && !self.journal.wants_sync()
+            || durable.gathering.is_empty() && !self.journal.awaits_sync()
         {
             return;
         }
@@ -120,17 +120,17 @@
                 Ok(jobs) => jobs,
                 Err(error) => {
                     // Out of descriptors: the group waits for the next round, and so does what was taken for it.
-                    self.site.iter_mut().for_each(|s| s.ends.not_synced());
+                    self.site.iter_mut().for_each(|s| s.ends.mark_unsynced());
                     eprintln!("journal: a sync could not be begun: {error}");
                     return;
                 }
             };
         durable.under_way = Some(std::mem::take(&mut durable.gathering));
-        let inputs = self.inputs.clone();
+        let events = self.events.clone();
         tokio::task::spawn_blocking(move || {
             // Ends first: a message must not be forgotten before its end is there.
             let result = ends.iter().try_for_each(File::sync_data).and_then(|()| job.run());
-            inputs.send(Input::Synced(Synced { job, result }));
+            events.send(LoopEvent::JournalSynced(Synced { job, result }));
         });
     }
 
@@ -138,7 +138,7 @@
     pub(super) fn synced(&mut self, synced: Synced) {
         let Synced { job, result } = synced;
         let sound = result.is_ok();
-        if let Err(error) = self.journal.synced(&job, result) {
+        if let Err(error) = self.journal.sync_finished(&job, result) {
             eprintln!("journal: a sync has failed, its segments are not trusted again: {error}");
         }
         if let Some(group) = self.durable.under_way.take() {
@@ -150,13 +150,13 @@
     fn release(&mut self, group: Group, sound: bool) {
         for (_, number, reply) in group.answers {
             if sound {
-                let receipt = Receipt { number, inputs: self.inputs.clone(), written: false };
+                let receipt = Receipt { number, events: self.events.clone(), written: false };
                 // If the client has gone, the receipt is dropped here and says so.
-                let _ = reply.send(Answer::TakenOn(receipt));
+                let _ = reply.send(SubmitReply::Accepted(receipt));
             } else {
                 // It may be there after a power cut or not: the client keeps it, under the same id.
                 let _ = reply.send(self.not_taken(number));
-                self.record(number, &Record::Over);
+                self.record(number, &Record::Finished);
                 self.withdraw(number);
             }
         }
@@ -171,23 +171,23 @@
     /// Starts a call that has waited, unless its time is over or it was called off. Whether news has overtaken it is asked by
     /// the call itself.
     fn release_call(&mut self, call: Call, mut cancelled: oneshot::Receiver<()>, sound: bool) {
-        let stands = cancelled.try_recv().is_err() && call.until > Instant::now();
+        let stands = cancelled.try_recv().is_err() && call.deadline > Instant::now();
         if sound && stands {
-            tokio::spawn(targets::call(call, cancelled, self.inputs.clone()));
+            tokio::spawn(call::call(call, cancelled, self.events.clone()));
             return;
         }
-        let mut end = call.not_begun(Outcome::NotSent);
-        end.connection = call.connection.map(|(connection, _)| connection);
-        self.inputs.send(Input::CallEnded(end));
+        let mut end = call.unstarted_end(Outcome::NotSent);
+        end.reusable_connection = call.connection.map(|(connection, _)| connection);
+        self.events.send(LoopEvent::CallEnded(end));
     }
 
-    fn release_ends(&mut self, ended: Vec<(u64, EndResult)>, last: u64, sound: bool) {
+    fn release_ends(&mut self, ended: Vec<(u64, FinalStatus)>, last: u64, sound: bool) {
         let Some(site) = &mut self.site else { return };
-        site.ends.release(last);
-        site.ends_seen.send_replace(site.ends.last());
+        site.ends.publish(last);
+        site.ends_seen.send_replace(site.ends.last_published());
         for (number, result) in ended {
             if sound {
-                if let Err(error) = self.journal.over_soon(number) {
+                if let Err(error) = self.journal.finish_deferred(number) {
                     eprintln!("journal: {error}");
                 }
             } else {
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -1,30 +1,32 @@
 //! Orders of a site's operators, and what its fronts ask.
 
 use super::Node;
-use crate::door::Ask;
+use crate::events::SiteRequest;
 use foldtrack_control::{Done, Error};
+use foldtrack_delivery::ListKind;
 use foldtrack_ends::Fetched;
-use foldtrack_membership::{Change, Order, Trouble};
-use hatchline::ListKind;
+use foldtrack_membership::{Change, Order, OrderError};
 use std::io;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 impl Node {
-    pub(super) fn asked(&mut self, ask: Ask) {
+    pub(super) fn asked(&mut self, ask: SiteRequest) {
         match ask {
             // Whoever asked may have gone.
-            Ask::Ends { after, peek, most, reply } => drop(reply.send(self.fetch(after, peek, most))),
-            Ask::Message { id, reply } => drop(reply.send(self.history(&id))),
-            Ask::Picture { reply } => self.picture(reply),
-            Ask::Order { order, reply } => self.order(order, reply),
-            Ask::Network { network, for_ms, reply } => self.network_among_peers(network, for_ms, reply),
-            Ask::Peers { .. } | Ask::State { .. } => self.asked_of_peers(ask),
+            SiteRequest::Ends { after, peek, most, reply } => drop(reply.send(self.fetch(after, peek, most))),
+            SiteRequest::Message { id, reply } => drop(reply.send(self.history(&id))),
+            SiteRequest::Snapshot { reply } => self.picture(reply),
+            SiteRequest::Order { order, reply } => self.order(order, reply),
+            SiteRequest::Network { network, for_ms, reply } => {
+                self.network_among_peers(network, for_ms, reply)
+            }
+            SiteRequest::Peers { .. } | SiteRequest::State { .. } => self.asked_of_peers(ask),
         }
     }
 
     fn fetch(&mut self, after: Option<u64>, peek: bool, most: usize) -> io::Result<Fetched> {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         let Some(site) = &mut self.site else { return Err(io::Error::other("no ends are kept here")) };
         if let Some(cursor) = after.filter(|_| !peek) {
             site.ends.acknowledge(cursor, now)?;
@@ -35,10 +37,10 @@
     /// Carries out an order: first in the log, then in the list that the module goes by, and that within this round,
     /// so that nothing new is decided against it. The answer waits for the disk, not the loop.
     fn order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let now = self.clock.unix(self.clock.now());
+        let now = self.clock.unix_time(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
-            if self.speeches.shows_secrets(partner, *address) {
+            if self.partner_protocols.exposes_secrets(partner, *address) {
                 let text = format!("{partner} is spoken to without TLS, and {address} is not on this machine: its secret would go over the wire in plain text");
                 return drop(reply.send(Err(error("refused", text))));
             }
@@ -46,16 +48,16 @@
         if self.peers.is_some() {
             return self.order_among_peers(order, reply);
         }
-        let change = match self.membership.order(now, &order) {
+        let change = match self.membership.apply_order(now, &order) {
             Ok(change) => change,
             Err(why) => return drop(reply.send(Err(Self::trouble(&why)))),
         };
-        if change == Change::Done {
+        if change == Change::Applied {
             self.list(self.membership.known(), ListKind::Full);
         }
         self.note_closed(&order);
         let done = self.done(&order, change);
-        let file = self.membership.file();
+        let file = self.membership.sync_handle();
         tokio::task::spawn_blocking(move || {
             let synced = file.and_then(|file| file.sync_data());
             let told = synced.map(|()| done).map_err(|e| {
@@ -65,21 +67,21 @@
         });
     }
 
-    pub(super) fn trouble(trouble: &Trouble) -> Error {
-        let code = if matches!(trouble, Trouble::Refused(_)) { "refused" } else { "not_kept" };
+    pub(super) fn trouble(trouble: &OrderError) -> Error {
+        let code = if matches!(trouble, OrderError::Rejected(_)) { "refused" } else { "not_kept" };
         Error { code: code.into(), text: trouble.to_string() }
     }
 
     pub(super) fn note_closed(&mut self, order: &Order) {
         let (Some(site), Some(state)) = (&mut self.site, self.membership.state()) else { return };
-        site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.is_open(e)));
+        site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.accepts_calls(e)));
         let concerns = |name: &String, partner: &String| match order {
             Order::Drain { endpoint } => endpoint == name,
             Order::PausePartner { partner: paused } => paused == partner,
             _ => false,
         };
         for (name, endpoint) in state.endpoints() {
-            if concerns(name, &endpoint.partner) && !state.is_open(endpoint) {
+            if concerns(name, &endpoint.partner) && !state.accepts_calls(endpoint) {
                 site.closed.entry(name.clone()).or_insert_with(Instant::now);
             }
         }
@@ -102,7 +104,7 @@
         let number = partner.and_then(|p| state?.partners().get(p)).map(|p| p.number);
         let held = self.messages.values().filter(|h| Some(h.message.destination) == number).count() as u32;
         Done {
-            changed: change == Change::Done,
+            changed: change == Change::Applied,
             version: state.map_or(0, |s| s.version()),
             calls,
             held,
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -2,19 +2,19 @@
 //! facts is brought about here, by the same orders that an operator gives.
 
 use super::Node;
-use crate::door::{Answer, Ask, Input};
+use crate::events::{LoopEvent, SiteRequest, SubmitReply};
 use crate::list::ServerList;
 use crate::message::Message;
 use crate::peers::PeerIo;
 use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
-use foldtrack_ends::{End, Result as EndResult};
-use foldtrack_membership::{Change, EndpointState, Order, Trouble};
+use foldtrack_delivery::ListKind;
+use foldtrack_ends::{FinalStatus, MessageOutcome};
+use foldtrack_membership::{Change, EndpointState, Order, OrderError};
 use foldtrack_peers::claims::{message_key, ClaimOutcome, ClaimResult, Effect, Key, RETENTION_MS};
 use foldtrack_peers::fact::{Aspect, Fact, FactAction, Subject};
 use foldtrack_peers::ledger::Presence;
 use foldtrack_peers::orders::{Refusal, Settled};
 use foldtrack_peers::{Output, Peers};
-use hatchline::ListKind;
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
 struct Claiming {
     message: Arc<Message>,
     known: bool,
-    reply: oneshot::Sender<Answer>,
+    reply: oneshot::Sender<SubmitReply>,
 }
 
 /// An order whose operator waits.
@@ -92,11 +92,11 @@
     /// Before the loop runs: what this forwarder held true alone is stated, and what the ledger says is brought about.
     pub(super) fn begin_peers(&mut self) {
         let now = self.ms();
-        let at = self.clock.unix(self.clock.now());
+        let at = self.clock.unix_time(self.clock.now());
         let imports = self.own_statements();
         let Some(side) = &mut self.peers else { return };
         // Of a block that outlived the process its own record tells what is left.
-        for (network, left) in side.io.blocks.standing() {
+        for (network, left) in side.io.blocks.active() {
             side.peers.set_remaining_closure(&Subject::Network(network.to_string()), left);
         }
         if side.peers.ledger().is_empty() {
@@ -117,19 +117,19 @@
     /// drained while it was away, and send again what an older copy of its folder holds to be unsent. What comes meanwhile
     /// is kept for the loop.
     pub(super) async fn join_peers(
-        &mut self, receiver: &mut UnboundedReceiver<Input>, later: &mut Vec<Input>,
+        &mut self, receiver: &mut UnboundedReceiver<LoopEvent>, later: &mut Vec<LoopEvent>,
     ) {
         while self.peers.as_ref().is_some_and(|s| !s.io.ready.load(Ordering::Relaxed)) {
             let due = self.peers_due().unwrap_or_else(Instant::now);
             tokio::select! {
                 input = receiver.recv() => match input {
                     Some(
-                        input @ (Input::Datagram(_)
-                        | Input::PeersKept(_)
-                        | Input::Site(Ask::Peers { .. } | Ask::State { .. })),
+                        input @ (LoopEvent::Datagram(_)
+                        | LoopEvent::PeerRecordsStored(_)
+                        | LoopEvent::SiteRequest(SiteRequest::Peers { .. } | SiteRequest::State { .. })),
                     ) => self.take_in(input),
                     Some(input) => {
-                        let ends = matches!(input, Input::Terminate);
+                        let ends = matches!(input, LoopEvent::Terminate);
                         later.push(input);
                         if ends {
                             return;
@@ -166,7 +166,7 @@
         let removed = state.site().endpoints.keys().filter(|name| !state.endpoints().contains_key(*name));
         statements.extend(removed.map(|name| (Subject::Endpoint(name.clone()), FactAction::Remove)));
         let paused = state.partners().iter().filter(|(_, p)| p.paused);
-        let blocks = self.peers.iter().flat_map(|side| side.io.blocks.standing());
+        let blocks = self.peers.iter().flat_map(|side| side.io.blocks.active());
         let blocks = blocks.filter(|(_, left)| *left > 0);
         statements.extend(
             blocks.map(|(network, for_ms)| {
@@ -242,12 +242,12 @@
     /// An order of an operator. What makes things safer holds at once; the opposite once a majority has told what it knows.
     /// The answer comes when it is kept here and at another, or when that has been waited for long enough.
     pub(super) fn order_among_peers(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
-        let judged = self.membership.judge(&order);
+        let judged = self.membership.validate(&order);
         let change = match judged {
             Ok(change) => change,
             Err(trouble) => return drop(reply.send(Err(Self::trouble(&trouble)))),
         };
-        if change == Change::Already {
+        if change == Change::Unchanged {
             return drop(reply.send(Ok(self.done(&order, change))));
         }
         let (subject, word) = stated(&order);
@@ -259,7 +259,7 @@
         &mut self, subject: Subject, word: FactAction, order: Option<(Order, Change)>,
         reply: oneshot::Sender<Result<Done, Error>>,
     ) {
-        let (now, at) = (self.ms(), self.clock.unix(self.clock.now()));
+        let (now, at) = (self.ms(), self.clock.unix_time(self.clock.now()));
         let Some(side) = &mut self.peers else { return };
         let number = side.next_order;
         side.next_order += 1;
@@ -307,18 +307,18 @@
         let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
         let verdict = side.peers.subject_state(subject);
         if verdict.closed.is_none() {
-            if verdict.opened && side.io.blocks.lift(&network) {
-                side.io.blocks.keep_later();
+            if verdict.opened && side.io.blocks.remove(&network) {
+                side.io.blocks.save_in_background();
             }
             return;
         }
         let left = side.peers.remaining_closure_ms(subject);
-        let standing = side.io.blocks.standing();
+        let standing = side.io.blocks.active();
         if standing.iter().any(|(known, for_ms)| *known == network && for_ms.abs_diff(left) < SAME_SPAN_MS) {
             return;
         }
-        match side.io.blocks.hold(network, left) {
-            Ok(()) => side.io.blocks.keep_later(),
+        match side.io.blocks.apply(network, left) {
+            Ok(()) => side.io.blocks.save_in_background(),
             Err(problem) => self.tell("no_effect", &format!("{network} is not blocked here: {problem}")),
         }
     }
@@ -393,7 +393,7 @@
                 if there.as_ref() == Some(&(partner.clone(), *address)) {
                     return;
                 }
-                if self.speeches.shows_secrets(partner, *address) {
+                if self.partner_protocols.exposes_secrets(partner, *address) {
                     let text = format!(
                         "{name} at {address} is not called from here: {partner} is spoken to without TLS, and its \
                          secret would go over the wire in plain text"
@@ -418,14 +418,14 @@
     /// Carries an order out in the list that the module goes by, within this round. The ledger keeps it; the log has it so
     /// that a start without the others goes by it too.
     fn carry_out_order(&mut self, order: &Order) {
-        let now = self.clock.unix(self.clock.now());
-        match self.membership.order(now, order) {
-            Ok(Change::Done) => {
+        let now = self.clock.unix_time(self.clock.now());
+        match self.membership.apply_order(now, order) {
+            Ok(Change::Applied) => {
                 self.list(self.membership.known(), ListKind::Full);
                 self.note_closed(order);
             }
-            Ok(Change::Already) => {}
-            Err(Trouble::Refused(refusal)) => {
+            Ok(Change::Unchanged) => {}
+            Err(OrderError::Rejected(refusal)) => {
                 // The site files differ: what was said of something that is not there here is kept for when it is.
                 self.tell("no_effect", &format!("an order has no effect here: {refusal}"));
             }
@@ -434,7 +434,7 @@
     }
 
     /// A partner has told this forwarder to wait for so long.
-    pub(super) fn told_to_wait(&mut self, partner: u32, wait: hatchline::Micros) {
+    pub(super) fn told_to_wait(&mut self, partner: u32, wait: foldtrack_delivery::Micros) {
         let now = self.ms();
         if let Some(side) = self.peers.as_mut().filter(|_| wait > 0) {
             side.peers.share_wait(now, partner, wait / 1000);
@@ -443,9 +443,9 @@
 
     /// Nothing goes to a partner until then: it has told another forwarder to wait. A little longer by chance, so that not all
     /// of them come back at once.
-    fn hold(&mut self, partner: u32, until: hatchline::Micros) {
+    fn hold(&mut self, partner: u32, until: foldtrack_delivery::Micros) {
         let span = until.saturating_sub(self.clock.now());
-        let until = until + (span as f64 * HOLD_SPREAD * fastrand::f64()) as hatchline::Micros;
+        let until = until + (span as f64 * HOLD_SPREAD * fastrand::f64()) as foldtrack_delivery::Micros;
         let mut lines = self.membership.known().servers;
         lines.retain(|line| line.cell == partner);
         lines.iter_mut().for_each(|line| line.hold_until = until);
@@ -456,20 +456,20 @@
     /// Claims the id of a message that must not be repeated at will. The rest of handing it in comes once it is this
     /// forwarder's; gives back what needs no claim.
     pub(super) fn claim(
-        &mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<Answer>,
-    ) -> Option<(Arc<Message>, oneshot::Sender<Answer>)> {
+        &mut self, message: Arc<Message>, known: bool, reply: oneshot::Sender<SubmitReply>,
+    ) -> Option<(Arc<Message>, oneshot::Sender<SubmitReply>)> {
         let now = self.ms();
         let class = &self.settings.settings.classes[message.class];
         let effect = match class.effect {
-            hatchline::Effect::Repeatable => return Some((message, reply)),
-            hatchline::Effect::Keyed => Effect::Keyed(class.window / 1000),
-            hatchline::Effect::Unsafe => Effect::Once(class.deadline / 1000),
+            foldtrack_delivery::Effect::Repeatable => return Some((message, reply)),
+            foldtrack_delivery::Effect::Keyed => Effect::Keyed(class.dedup_window / 1000),
+            foldtrack_delivery::Effect::Once => Effect::Once(class.deadline / 1000),
         };
         let Some(side) = &mut self.peers else { return Some((message, reply)) };
         let id = message_key(&message.id);
         if side.claiming.contains_key(&id) {
             // Handed in on two connections at once: the other one is answered by what comes of it.
-            let _ = reply.send(Answer::Refused { retry_in_ms: CLAIMING_WAIT_MS });
+            let _ = reply.send(SubmitReply::Refused { retry_in_ms: CLAIMING_WAIT_MS });
             return None;
         }
         side.claiming.insert(id, Claiming { message, known, reply });
@@ -491,11 +491,11 @@
                 };
                 return self.take_on(message, known, reply);
             }
-            ClaimResult::Held | ClaimResult::Delivered => Answer::Known { over: false },
-            ClaimResult::Final => Answer::Known { over: true },
+            ClaimResult::Held | ClaimResult::Delivered => SubmitReply::Duplicate { over: false },
+            ClaimResult::Final => SubmitReply::Duplicate { over: true },
             ClaimResult::RetryAfter(wait) => match &mut self.site {
                 Some(site) => site.full(wait),
-                None => Answer::Refused { retry_in_ms: wait },
+                None => SubmitReply::Refused { retry_in_ms: wait },
             },
         };
         // Its client may have gone.
@@ -508,7 +508,7 @@
     }
 
     /// A message has ended.
-    pub(super) fn id_ended(&mut self, id: &str, result: EndResult) {
+    pub(super) fn id_ended(&mut self, id: &str, result: FinalStatus) {
         if self.peers.is_none() {
             return;
         }
@@ -516,15 +516,15 @@
         self.tell_end(id, word);
     }
 
-    fn end_word(&self, result: EndResult) -> ClaimOutcome {
+    fn end_word(&self, result: FinalStatus) -> ClaimOutcome {
         match result {
-            EndResult::Delivered => ClaimOutcome::Delivered,
-            EndResult::GivenUp | EndResult::InDoubt => ClaimOutcome::Final,
-            EndResult::HandedBack { .. } => ClaimOutcome::HandedBack(0),
-            EndResult::HandedBackUntil { until, .. } => {
+            FinalStatus::Delivered => ClaimOutcome::Delivered,
+            FinalStatus::GivenUp | FinalStatus::InDoubt => ClaimOutcome::Final,
+            FinalStatus::HandedBack { .. } => ClaimOutcome::HandedBack(0),
+            FinalStatus::HandedBackUntil { until, .. } => {
                 // 0 stands for without bound.
                 ClaimOutcome::HandedBack(
-                    (until.saturating_sub(self.clock.unix(self.clock.now())) / 1000).max(1),
+                    (until.saturating_sub(self.clock.unix_time(self.clock.now())) / 1000).max(1),
                 )
             }
         }
@@ -544,12 +544,12 @@
         }
         let classes = &self.settings.settings.classes;
         let held = self.messages.values();
-        let held = held.filter(|h| classes[h.message.class].effect != hatchline::Effect::Repeatable);
-        let unix = self.clock.unix(self.clock.now());
+        let held = held.filter(|h| classes[h.message.class].effect != foldtrack_delivery::Effect::Repeatable);
+        let unix = self.clock.unix_time(self.clock.now());
         let names = &self.settings.class_names;
         let is_claimed = |class: &String| {
             let class = names.iter().position(|name| name == class);
-            class.is_none_or(|n| classes[n].effect != hatchline::Effect::Repeatable)
+            class.is_none_or(|n| classes[n].effect != foldtrack_delivery::Effect::Repeatable)
         };
         let held: Vec<Key> = held.map(|h| message_key(&h.message.id)).collect();
         let mut ended: Vec<(Key, ClaimOutcome)> = Vec::new();
@@ -559,7 +559,7 @@
                 break;
             }
             cursor = fetched.cursor;
-            let remembered = |end: &End| end.ended + 1000 * RETENTION_MS > unix;
+            let remembered = |end: &MessageOutcome| end.ended + 1000 * RETENTION_MS > unix;
             let told = fetched.ends.iter().filter(|(_, end)| remembered(end) && is_claimed(&end.class));
             ended.extend(told.map(|(_, end)| (message_key(&end.id), self.end_word(end.result))));
         }
@@ -577,10 +577,10 @@
     }
 
     /// What people are shown.
-    pub(super) fn asked_of_peers(&mut self, ask: Ask) {
+    pub(super) fn asked_of_peers(&mut self, ask: SiteRequest) {
         match ask {
-            Ask::Peers { reply } => drop(reply.send(self.show_peers())),
-            Ask::State { reply } => drop(reply.send(self.show_state())),
+            SiteRequest::Peers { reply } => drop(reply.send(self.show_peers())),
+            SiteRequest::State { reply } => drop(reply.send(self.show_state())),
             _ => {}
         }
     }
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -2,13 +2,13 @@
 //! round, and the fronts ask for a few pictures a second at most, however many readers they have.
 
 use super::Node;
-use crate::connections::SeenConnections;
-use crate::door::{Picture, Stage};
-use crate::told::{told_attempt, told_end};
+use crate::connections::ConnectionStats;
+use crate::events::{Snapshot, Stage};
+use crate::message_view::{attempt_view, message_view};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
-use foldtrack_membership::State;
-use hatchline::views::{DestinationView, Health, LaneView};
-use hatchline::{Micros, TargetId};
+use foldtrack_delivery::status::{DestinationStatus, Health, RouteStatus};
+use foldtrack_delivery::{Micros, TargetId};
+use foldtrack_membership::MembershipState;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub(super) struct Scan {
     /// Those who wait for it.
-    waiting: Vec<oneshot::Sender<Arc<Picture>>>,
+    waiting: Vec<oneshot::Sender<Arc<Snapshot>>>,
     /// Messages up to this number have been looked at.
     up_to: u64,
     whole: Heap,
@@ -59,12 +59,12 @@
     }
 }
 
-fn health(lane: &LaneView) -> &'static str {
+fn health(lane: &RouteStatus) -> &'static str {
     match lane.health {
-        Health::Open => "up",
+        Health::Up => "up",
         Health::Failing => "failing",
         Health::Out { .. } => "out",
-        Health::Warming { .. } => "warming",
+        Health::SlowStart { .. } => "warming",
     }
 }
 
@@ -83,7 +83,7 @@
 
 impl Node {
     /// Makes a picture for whoever asks, within the next rounds.
-    pub(super) fn picture(&mut self, reply: oneshot::Sender<Arc<Picture>>) {
+    pub(super) fn picture(&mut self, reply: oneshot::Sender<Arc<Snapshot>>) {
         self.scan.waiting.push(reply);
     }
 
@@ -112,10 +112,10 @@
         scan.waiting.into_iter().for_each(|reply| drop(reply.send(picture.clone())));
     }
 
-    fn finish(&mut self, scan: &Scan) -> Arc<Picture> {
+    fn finish(&mut self, scan: &Scan) -> Arc<Snapshot> {
         let now = self.clock.now();
-        let unix = self.clock.unix(now);
-        let views = self.brain.view(now);
+        let unix = self.clock.unix_time(now);
+        let views = self.scheduler.status(now);
         let (whole, heaps) = (scan.whole, &scan.partners);
         let queues = self.queues(scan, unix);
         let longest = self.site.as_mut().map_or(Duration::ZERO, |s| std::mem::take(&mut s.longest_round));
@@ -126,12 +126,12 @@
         };
         let failures =
             self.site.iter().flat_map(|s| s.failures.iter().rev().map(|(_, f)| f.clone())).collect();
-        Arc::new(Picture { at: Instant::now(), status, partners, endpoints, failures, queues })
+        Arc::new(Snapshot { at: Instant::now(), status, partners, endpoints, failures, queues })
     }
 
     fn status(&self, unix: Micros, whole: Heap, longest: Duration) -> Status {
         let Some(site) = &self.site else { return Status::default() };
-        let (ends, ends_unfetched, ends_bytes) = site.ends.kept();
+        let (ends, ends_unfetched, ends_bytes) = site.ends.usage();
         let counts = &site.counts;
         Status {
             name: site.name.clone(),
@@ -159,32 +159,32 @@
             calls: self.calls.len() as u32,
             calls_most: self.settings.settings.slots,
             oldest_ms: whole.age_ms(unix),
-            journal_bytes: self.journal.length(),
+            journal_bytes: self.journal.disk_bytes(),
             journal_most: site.journal_most,
             ends,
             ends_unfetched,
-            ends_most: site.ends.bounds().count,
+            ends_most: site.ends.limits().max_count,
             ends_bytes,
-            ends_bytes_most: site.ends.bounds().size,
+            ends_bytes_most: site.ends.limits().max_bytes,
             ends_unwritten: site.behind_told as u32,
-            membership: self.membership.state().map_or(0, State::version),
+            membership: self.membership.state().map_or(0, MembershipState::version),
             longest_round_us: longest.as_micros() as u64,
         }
     }
 
     fn partners(
-        &self, state: &State, views: &[DestinationView], heaps: &HashMap<u32, Heap>, unix: Micros,
+        &self, state: &MembershipState, views: &[DestinationStatus], heaps: &HashMap<u32, Heap>, unix: Micros,
     ) -> Vec<Partner> {
         let Some(site) = &self.site else { return Vec::new() };
-        let by_number: HashMap<u32, &DestinationView> = views.iter().map(|v| (v.destination, v)).collect();
+        let by_number: HashMap<u32, &DestinationStatus> = views.iter().map(|v| (v.destination, v)).collect();
         let mut counts: HashMap<&str, (u32, u32)> = HashMap::new();
         for endpoint in state.endpoints().values() {
             let (all, open) = counts.entry(&endpoint.partner).or_default();
             *all += 1;
-            *open += u32::from(state.is_open(endpoint));
+            *open += u32::from(state.accepts_calls(endpoint));
         }
         let partner = |(name, partner): (&String, &foldtrack_membership::Partner)| {
-            let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.lanes);
+            let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.routes);
             // Where endpoints are routes apart, the worst is shown; the list of endpoints has them all.
             let worst = lanes
                 .iter()
@@ -202,11 +202,11 @@
                 verdict: if open == 0 {
                     "nothing new goes to it".into()
                 } else {
-                    worst.map_or(String::new(), LaneView::words)
+                    worst.map_or(String::new(), RouteStatus::describe)
                 },
-                failing: worst.map_or(0.0, |l| share(l.failing)),
-                towards_out: worst.map_or(0.0, |l| share(l.towards_out)),
-                stood_ms: worst.and_then(|l| l.stood).unwrap_or(0) / 1000,
+                failing: worst.map_or(0.0, |l| share(l.failure_share)),
+                towards_out: worst.map_or(0.0, |l| share(l.outage_evidence)),
+                stood_ms: worst.and_then(|l| l.state_age).unwrap_or(0) / 1000,
                 endpoints,
                 open,
                 held: heap.held,
@@ -214,8 +214,8 @@
                 calls: lanes.iter().map(|l| l.calls).sum(),
                 window: round(lanes.iter().map(|l| l.window).sum()),
                 tau_ms: worst.map_or(0.0, |l| millis(l.tau)),
-                mean_ms: worst.map_or(0.0, |l| millis(l.mean)),
-                wait_ms: lanes.iter().map(|l| l.wait.div_ceil(1000)).max().unwrap_or(0),
+                mean_ms: worst.map_or(0.0, |l| millis(l.mean_latency)),
+                wait_ms: lanes.iter().map(|l| l.wait_left.div_ceil(1000)).max().unwrap_or(0),
                 pace: round(lanes.iter().map(|l| l.pace).sum()),
                 rate: facts.map_or(0.0, |f| f.rate),
                 slots: facts.map_or(0, |f| f.slots),
@@ -226,15 +226,15 @@
         state.partners().iter().map(partner).collect()
     }
 
-    fn endpoints(&self, state: &State, views: &[DestinationView]) -> Vec<Endpoint> {
+    fn endpoints(&self, state: &MembershipState, views: &[DestinationStatus]) -> Vec<Endpoint> {
         // Of targets that share a name, the latest one stands for it; calls of all count.
-        let mut by_name: HashMap<&str, (TargetId, &LaneView, u64)> = HashMap::new();
+        let mut by_name: HashMap<&str, (TargetId, &RouteStatus, u64)> = HashMap::new();
         let mut calls: HashMap<&str, u32> = HashMap::new();
-        for lane in views.iter().flat_map(|v| &v.lanes) {
+        for lane in views.iter().flat_map(|v| &v.routes) {
             for target in &lane.targets {
                 let name = self.targets.name(target.target);
                 *calls.entry(name).or_default() += target.calls;
-                let entry = (target.target, lane, target.avoided);
+                let entry = (target.target, lane, target.avoided_for);
                 let latest = by_name.entry(name).or_insert(entry);
                 if latest.0 < target.target {
                     *latest = entry;
@@ -243,11 +243,12 @@
         }
         let endpoint = |(name, endpoint): (&String, &foldtrack_membership::Endpoint)| {
             let lane = by_name.get(name.as_str());
-            let (open, calls) = (state.is_open(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
+            let (open, calls) =
+                (state.accepts_calls(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
             let draining = endpoint.state == foldtrack_membership::EndpointState::Draining;
             let closed =
                 self.site.as_ref().and_then(|s| s.closed.get(name)).map_or(Duration::ZERO, Instant::elapsed);
-            let seen = lane.map_or(SeenConnections::default(), |(target, ..)| self.idle.seen(*target));
+            let seen = lane.map_or(ConnectionStats::default(), |(target, ..)| self.pool.stats(*target));
             Endpoint {
                 name: name.clone(),
                 partner: endpoint.partner.clone(),
@@ -264,20 +265,20 @@
                     None => "up",
                 }
                 .into(),
-                verdict: lane.filter(|_| open).map_or(String::new(), |(_, l, _)| l.words()),
-                failing: lane.map_or(0.0, |(_, l, _)| share(l.failing)),
-                towards_out: lane.map_or(0.0, |(_, l, _)| share(l.towards_out)),
-                stood_ms: lane.and_then(|(_, l, _)| l.stood).unwrap_or(0) / 1000,
+                verdict: lane.filter(|_| open).map_or(String::new(), |(_, l, _)| l.describe()),
+                failing: lane.map_or(0.0, |(_, l, _)| share(l.failure_share)),
+                towards_out: lane.map_or(0.0, |(_, l, _)| share(l.outage_evidence)),
+                stood_ms: lane.and_then(|(_, l, _)| l.state_age).unwrap_or(0) / 1000,
                 calls,
                 window: lane.map_or(0.0, |(_, l, _)| round(l.window)),
                 tau_ms: lane.map_or(0.0, |(_, l, _)| millis(l.tau)),
-                wait_ms: lane.map_or(0, |(_, l, _)| l.wait.div_ceil(1000)),
+                wait_ms: lane.map_or(0, |(_, l, _)| l.wait_left.div_ceil(1000)),
                 avoided_ms: lane.map_or(0, |(_, _, avoided)| avoided / 1000),
                 idle: seen.idle as u32,
                 dialling: seen.dialling as u32,
-                ready: share(seen.ready),
+                ready: share(seen.without_handshake),
                 handshake_ms: millis(seen.handshake.as_micros() as u64),
-                idle_most_ms: seen.longest_idle.as_millis() as u64,
+                idle_most_ms: seen.max_idle.as_millis() as u64,
                 closed_ms: closed.as_millis() as u64,
             }
         };
@@ -320,13 +321,13 @@
                 partner: site.partner_name(message.destination).into_owned(),
                 key: message.key.clone(),
                 taken: held.since,
-                expires: self.clock.unix(message.expires),
-                attempts: held.history.iter().map(told_attempt).collect(),
+                expires: self.clock.unix_time(message.expires),
+                attempts: held.history.iter().map(attempt_view).collect(),
                 ..Message::default()
             });
         }
-        match site.ends.look(id) {
-            Ok(found) => found.map(|(_, end)| told_end(&end)),
+        match site.ends.find(id) {
+            Ok(found) => found.map(|(_, end)| message_view(&end)),
             Err(error) => {
                 eprintln!("ends: {error}");
                 None
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -2,7 +2,7 @@
 //! protocol itself is in `foldtrack-peers`; the node loop carries out its outputs.
 
 use crate::blocks::Blocks;
-use crate::door::{Input, Inputs};
+use crate::events::{EventSender, LoopEvent};
 use foldtrack_peers::claims::ClaimRecord;
 use foldtrack_peers::seal::{Sealer, MAX_DATAGRAM};
 use foldtrack_peers::store::{ClaimLog, Opened, OpenedClaims, Store};
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// The address can't be bound, or no thread can be started.
-    pub fn start(self, seed: u64, now: u64, inputs: &Inputs) -> std::io::Result<(Peers, PeerIo)> {
+    pub fn start(self, seed: u64, now: u64, events: &EventSender) -> std::io::Result<(Peers, PeerIo)> {
         let config = self.config;
         let named =
             |e: std::io::Error| std::io::Error::new(e.kind(), format!("peers.listen {}: {e}", config.listen));
@@ -70,10 +70,10 @@
         let socket = Arc::new(UdpSocket::from_std(socket).map_err(named)?);
         let queued = Arc::new(AtomicUsize::new(0));
         let dropped = Arc::new(AtomicUsize::new(0));
-        tokio::spawn(read_datagrams(socket.clone(), inputs.clone(), queued.clone(), dropped.clone()));
+        tokio::spawn(read_datagrams(socket.clone(), events.clone(), queued.clone(), dropped.clone()));
         let (records, record_batches) = mpsc::channel();
         let write_error = Arc::new(std::sync::Mutex::new(String::new()));
-        let (store, reply_to, write_error_slot) = (self.store, inputs.clone(), write_error.clone());
+        let (store, reply_to, write_error_slot) = (self.store, events.clone(), write_error.clone());
         std::thread::Builder::new()
             .name("peers".into())
             .spawn(move || persist_records(&store, &record_batches, &reply_to, &write_error_slot))?;
@@ -128,7 +128,7 @@
         let _ = self.socket.try_send_to(bytes, self.addresses[link]);
     }
 
-    /// Sends records to the store thread; [`Input::PeersKept`] reports when they are persisted.
+    /// Sends records to the store thread; [`LoopEvent::PeerRecordsStored`] reports when they are persisted.
     pub fn persist(&self, ticket: u64, records: Vec<Record>) {
         // The thread ends only with the process.
         let _ = self.records.send((ticket, records));
@@ -164,19 +164,19 @@
 
     /// The error for which records are not being persisted, or an empty string.
     pub fn persist_error(&self) -> String {
-        crate::lock::locked(&self.write_error).clone()
+        crate::lock::lock_ignoring_poison(&self.write_error).clone()
     }
 
     /// Logs an event and reports it to operators.
     pub fn report(&self, kind: &str, text: &str) {
         eprintln!("peers: {kind}: {text}");
-        self.blocks.tell(kind, text);
+        self.blocks.publish(kind, text);
     }
 }
 
 /// Reads datagrams for as long as the process runs.
 async fn read_datagrams(
-    socket: Arc<UdpSocket>, inputs: Inputs, queued: Arc<AtomicUsize>, dropped: Arc<AtomicUsize>,
+    socket: Arc<UdpSocket>, events: EventSender, queued: Arc<AtomicUsize>, dropped: Arc<AtomicUsize>,
 ) {
     // One byte more than the maximum: a datagram that fills the buffer was too long and is dropped as
     // oversized.
@@ -191,7 +191,7 @@
                     tokio::task::yield_now().await;
                     continue;
                 }
-                inputs.send(Input::Datagram(bytes[..length].to_vec()));
+                events.send(LoopEvent::Datagram(bytes[..length].to_vec()));
             }
             Err(_) => sleep(READ_RETRY_PAUSE).await,
         }
@@ -201,7 +201,7 @@
 /// Persists records in order for as long as the node loop runs. A failed write is tried again, and nothing
 /// after it is acknowledged meanwhile.
 fn persist_records(
-    store: &Store, records: &mpsc::Receiver<(u64, Vec<Record>)>, inputs: &Inputs,
+    store: &Store, records: &mpsc::Receiver<(u64, Vec<Record>)>, events: &EventSender,
     write_error: &std::sync::Mutex<String>,
 ) {
     while let Ok((mut ticket, mut batch)) = records.recv() {
@@ -212,7 +212,7 @@
         }
         while let Err(error) = store.write(&batch) {
             let text = error.to_string();
-            let mut last = crate::lock::locked(write_error);
+            let mut last = crate::lock::lock_ignoring_poison(write_error);
             if *last != text {
                 eprintln!("peers: orders are not persisted yet: {text}");
                 *last = text;
@@ -220,12 +220,12 @@
             drop(last);
             std::thread::sleep(WRITE_RETRY_PAUSE);
         }
-        let mut last = crate::lock::locked(write_error);
+        let mut last = crate::lock::lock_ignoring_poison(write_error);
         if !last.is_empty() {
             eprintln!("peers: orders are persisted again");
             last.clear();
         }
         drop(last);
-        inputs.send(Input::PeersKept(ticket));
+        events.send(LoopEvent::PeerRecordsStored(ticket));
     }
 }
