--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -36,13 +36,9 @@
     Accepted(Receipt),
     /// The id was submitted before: the message was accepted then, or is `over` and will not be
     /// sent.
-    Duplicate {
-        over: bool,
-    },
+    Duplicate { over: bool },
     /// The message is not accepted; the client may submit it again after this delay.
-    Refused {
-        retry_in_ms: u64,
-    },
+    Refused { retry_in_ms: u64 },
 }
 
 /// Reports to the event loop, when dropped, whether the reply to the client was written.
@@ -68,30 +64,16 @@
         reply: oneshot::Sender<SubmitReply>,
     },
     /// The reply that accepts a message was written, or could not be.
-    ReplySent {
-        number: u64,
-        written: bool,
-    },
+    ReplySent { number: u64, written: bool },
     /// A call has ended.
     CallEnded(CallEnd),
     /// A connection opened ahead of demand: the connection and the time it took, or none if it
     /// failed.
-    Preconnected {
-        target: TargetId,
-        number: u64,
-        opened: Option<(Connection, Duration)>,
-    },
+    Preconnected { target: TargetId, number: u64, opened: Option<(Connection, Duration)> },
     /// Discovery at this address has sent a list of targets.
-    List {
-        list: ServerList,
-        from: SocketAddr,
-    },
+    List { list: ServerList, from: SocketAddr },
     /// The platform answered a batch of notices with this status, or not at all.
-    NoticesReported {
-        numbers: Vec<u64>,
-        status: Option<StatusCode>,
-        to: SocketAddr,
-    },
+    NoticesReported { numbers: Vec<u64>, status: Option<StatusCode>, to: SocketAddr },
     /// Discovery has moved to this address.
     DiscoveryMoved(SocketAddr),
     /// The process is to shut down.
