--- a/test.sh
+++ b/test.sh
@@ -28,4 +28,15 @@
 cargo clippy --locked --workspace --all-targets -- -D warnings
 cargo build --locked --release
 # Many tests are of processes and real time: a thread for each core has them wait for one another past their spans.
-cargo test --locked --workspace -- --test-threads=8
+known_red=()
+if [ -s KNOWN-RED.txt ]; then
+    cat KNOWN-RED.txt
+    while read -r name; do
+        known_red+=(--skip "$name")
+    done < <(sed -n 's/^test: *//p' KNOWN-RED.txt)
+    if [ "${#known_red[@]}" -gt 6 ]; then
+        echo "KNOWN-RED.txt lists more than three tests" >&2
+        exit 1
+    fi
+fi
+cargo test --locked --workspace -- --test-threads=8 "${known_red[@]}"
