--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -1,8 +1,8 @@
-//! Orders of a site's operators, and what its fronts ask.
+//! Operators' orders, and requests of the site's HTTP API and control socket.
 
 use super::Node;
 use crate::events::SiteRequest;
-use foldtrack_control::{Error, OrderResult};
+use foldtrack_control::{Done, Error};
 use foldtrack_delivery::ListKind;
 use foldtrack_ends::Fetched;
 use foldtrack_membership::{Change, Order, OrderError};
@@ -11,68 +11,75 @@
 use tokio::time::Instant;
 
 impl Node {
-    pub(super) fn asked(&mut self, ask: SiteRequest) {
-        match ask {
-            // Whoever asked may have gone.
-            SiteRequest::Ends { after, peek, most, reply } => drop(reply.send(self.fetch(after, peek, most))),
-            SiteRequest::Message { id, reply } => drop(reply.send(self.history(&id))),
-            SiteRequest::Snapshot { reply } => self.picture(reply),
-            SiteRequest::Order { order, reply } => self.order(order, reply),
-            SiteRequest::Network { network, for_ms, reply } => {
-                self.network_among_peers(network, for_ms, reply)
+    /// Handles a request of the HTTP API or the control socket.
+    pub(super) fn handle_request(&mut self, request: SiteRequest) {
+        match request {
+            // The requester may have disconnected.
+            SiteRequest::Ends { after, peek, most, reply } => {
+                drop(reply.send(self.fetch_outcomes(after, peek, most)))
             }
-            SiteRequest::Peers { .. } | SiteRequest::State { .. } => self.asked_of_peers(ask),
+            SiteRequest::Message { id, reply } => drop(reply.send(self.message_history(&id))),
+            SiteRequest::Snapshot { reply } => self.request_snapshot(reply),
+            SiteRequest::Order { order, reply } => self.handle_order(order, reply),
+            SiteRequest::Network { network, for_ms, reply } => self.publish_block(network, for_ms, reply),
+            SiteRequest::Peers { .. } | SiteRequest::State { .. } => self.handle_peer_request(request),
         }
     }
 
-    fn fetch(&mut self, after: Option<u64>, peek: bool, most: usize) -> io::Result<Fetched> {
+    /// Reads outcomes after a cursor, and acknowledges those up to it unless the client only peeks.
+    fn fetch_outcomes(&mut self, after: Option<u64>, peek: bool, most: usize) -> io::Result<Fetched> {
         let now = self.clock.unix_time(self.clock.now());
-        let Some(site) = &mut self.site else { return Err(io::Error::other("no ends are kept here")) };
+        let Some(site) = &mut self.site else {
+            return Err(io::Error::other("this forwarder stores no outcomes"));
+        };
         if let Some(cursor) = after.filter(|_| !peek) {
-            site.ends.acknowledge(cursor, now)?;
+            site.outcomes.acknowledge(cursor, now)?;
         }
-        site.ends.fetch(after.unwrap_or(site.ends.acknowledged()), most)
+        site.outcomes.fetch(after.unwrap_or(site.outcomes.acknowledged()), most)
     }
 
-    /// Carries out an order: first in the log, then in the list that the module goes by, and that within this round,
-    /// so that nothing new is decided against it. The answer waits for the disk, not the loop.
-    fn order(&mut self, order: Order, reply: oneshot::Sender<Result<OrderResult, Error>>) {
+    /// Carries out an order: it is written to the log, and then applied to the scheduler's list of
+    /// targets in the same iteration, so that no later decision ignores it. The reply waits for the
+    /// sync, which runs outside the event loop.
+    fn handle_order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
         let now = self.clock.unix_time(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
             if self.partner_protocols.exposes_secrets(partner, *address) {
-                let text = format!("{partner} is spoken to without TLS, and {address} is not on this machine: its secret would go over the wire in plain text");
+                let text = format!("{partner} is called without TLS, and {address} is not on this machine: its secret would be sent in plain text");
                 return drop(reply.send(Err(error("refused", text))));
             }
         }
         if self.peers.is_some() {
-            return self.order_among_peers(order, reply);
+            return self.publish_order(order, reply);
         }
         let change = match self.membership.apply_order(now, &order) {
             Ok(change) => change,
-            Err(why) => return drop(reply.send(Err(Self::trouble(&why)))),
+            Err(why) => return drop(reply.send(Err(Self::order_error(&why)))),
         };
         if change == Change::Applied {
-            self.list(self.membership.known(), ListKind::Full);
+            self.apply_list(self.membership.current_list(), ListKind::Full);
         }
-        self.note_closed(&order);
-        let done = self.done(&order, change);
+        self.record_closed(&order);
+        let done = self.order_reply(&order, change);
         let file = self.membership.sync_handle();
         tokio::task::spawn_blocking(move || {
             let synced = file.and_then(|file| file.sync_data());
-            let told = synced.map(|()| done).map_err(|e| {
-                error("not_kept", format!("the order holds, but may not outlive a power cut: {e}"))
+            let answer = synced.map(|()| done).map_err(|e| {
+                error("not_kept", format!("the order is in force, but may not survive a power failure: {e}"))
             });
-            reply.send(told)
+            reply.send(answer)
         });
     }
 
-    pub(super) fn trouble(trouble: &OrderError) -> Error {
-        let code = if matches!(trouble, OrderError::Rejected(_)) { "refused" } else { "not_kept" };
-        Error { code: code.into(), text: trouble.to_string() }
+    /// The control protocol's error for a failed order.
+    pub(super) fn order_error(error: &OrderError) -> Error {
+        let code = if matches!(error, OrderError::Rejected(_)) { "refused" } else { "not_kept" };
+        Error { code: code.into(), text: error.to_string() }
     }
 
-    pub(super) fn note_closed(&mut self, order: &Order) {
+    /// Records when an order has closed endpoints.
+    pub(super) fn record_closed(&mut self, order: &Order) {
         let (Some(site), Some(state)) = (&mut self.site, self.membership.state()) else { return };
         site.closed.retain(|name, _| state.endpoints().get(name).is_some_and(|e| !state.accepts_calls(e)));
         let concerns = |name: &String, partner: &String| match order {
@@ -87,7 +94,8 @@
         }
     }
 
-    pub(super) fn done(&self, order: &Order, change: Change) -> OrderResult {
+    /// The reply to an order that was carried out.
+    pub(super) fn order_reply(&self, order: &Order, change: Change) -> Done {
         let none = std::collections::BTreeMap::new();
         let state = self.membership.state();
         let endpoints = state.map_or(&none, |s| s.endpoints());
@@ -103,12 +111,12 @@
         };
         let number = partner.and_then(|p| state?.partners().get(p)).map(|p| p.number);
         let held = self.messages.values().filter(|h| Some(h.message.destination) == number).count() as u32;
-        OrderResult {
+        Done {
             changed: change == Change::Applied,
             version: state.map_or(0, |s| s.version()),
             calls,
             held,
-            ..OrderResult::default()
+            ..Done::default()
         }
     }
 }
