--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -5,8 +5,8 @@
 use crate::lock::lock_ignoring_poison;
 use clap::Args;
 use foldtrack_control::{Client, ControlCommand, ControlResponse, Partner as PartnerStats, Status};
-use foldtrack_load::exchange::{post, Exchange};
-use foldtrack_load::forwarder::{Forwarder, Listed};
+use foldtrack_load::forwarder::{Forwarder, ListedPartner};
+use foldtrack_load::http_client::{post_request, HttpClient};
 use foldtrack_rig::run::Play;
 use foldtrack_rig::story::{Story, What};
 use foldtrack_standin::books::{judge, Books, Fate};
@@ -103,6 +103,7 @@
     done: AtomicBool,
 }
 
+/// Runs the demo.
 pub(super) fn demo(demo: &Demo) -> CommandResult {
     if let Some(forwarders) = demo.forwarders {
         return partitioned_fleet(forwarders as usize, demo.seed);
@@ -113,9 +114,9 @@
         .enumerate()
         .map(|(n, (name, ..))| (*name, Partner::start(demo.seed + n as u64, conduct(name))))
         .collect();
-    let site_partners: Vec<Listed> = partners
+    let site_partners: Vec<ListedPartner> = partners
         .iter()
-        .map(|(name, p)| Listed {
+        .map(|(name, p)| ListedPartner {
             name: name.to_string(),
             address: p.address(),
             rate: (*name == "limited").then_some(60.0),
@@ -169,7 +170,7 @@
 /// come from the same client, in order, and go to the same partner.
 fn submit(worker: u64, demo: &Demo, listen: SocketAddr, start: Instant, sent: &Sent) {
     let mut random = fastrand::Rng::with_seed(demo.seed.wrapping_add(1000 + worker));
-    let mut connection = Exchange::new(listen, CLIENT_TIMEOUT);
+    let mut connection = HttpClient::new(listen, CLIENT_TIMEOUT);
     let mut sequence: BTreeMap<String, u64> = BTreeMap::new();
     for n in (worker..demo.messages).step_by(CLIENTS) {
         let due = start + Duration::from_secs_f64(n as f64 / demo.rate as f64);
@@ -191,8 +192,9 @@
             (format!("/{class}"), format!("class={class};"))
         };
         let id = format!("demo-{n}");
-        let request = post(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
-        match connection.ask(&request, true).map(|answer| answer.status) {
+        let request =
+            post_request(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
+        match connection.send(&request, true).map(|answer| answer.status) {
             Some(202) => drop(lock_ignoring_poison(&sent.accepted).insert(id, class)),
             Some(503) => drop(sent.refused.fetch_add(1, Ordering::SeqCst)),
             _ => drop(sent.failed.fetch_add(1, Ordering::SeqCst)),
--- a/src/bin/foldtrack/cli/emulate.rs
+++ b/src/bin/foldtrack/cli/emulate.rs
@@ -6,7 +6,7 @@
 use foldtrack_delivery::emulator_policy::SchedulerFactory;
 use foldtrack_emulator::baselines::Baseline;
 use foldtrack_emulator::matrix::{mean, rows, Row};
-use foldtrack_emulator::policy::Maker;
+use foldtrack_emulator::policy::PolicyFactory;
 use foldtrack_emulator::world::World;
 use std::path::PathBuf;
 
@@ -39,9 +39,9 @@
 }
 
 /// The policy of a name.
-fn policy(name: &str) -> Result<&'static dyn Maker, CommandError> {
-    let all: Vec<&'static dyn Maker> = std::iter::once(&SchedulerFactory as &dyn Maker)
-        .chain(Baseline::ALL.iter().map(|b| b as &dyn Maker))
+fn policy(name: &str) -> Result<&'static dyn PolicyFactory, CommandError> {
+    let all: Vec<&'static dyn PolicyFactory> = std::iter::once(&SchedulerFactory as &dyn PolicyFactory)
+        .chain(Baseline::ALL.iter().map(|b| b as &dyn PolicyFactory))
         .collect();
     let names: Vec<&str> = all.iter().map(|p| p.name()).collect();
     let unknown =
@@ -49,6 +49,7 @@
     all.iter().copied().find(|p| p.name() == name).ok_or_else(unknown)
 }
 
+/// Runs `foldtrack emulate`; fails if the program's own policy violated a rule.
 pub(super) fn emulate(args: &Emulate) -> CommandResult {
     if args.template {
         return print(DEFAULT_SCENARIO);
@@ -73,7 +74,7 @@
         let line = |r: &Row| {
             serde_json::json!({
                 "policy": r.policy, "seed": r.seed, "served": r.served, "goal": r.goal, "in_time": r.in_time, "late": r.late,
-                "refused": r.refused, "attempts": r.attempts, "full": r.full, "first_s": r.first, "broken": r.broken,
+                "refused": r.refused, "attempts": r.attempts, "full": r.rejected, "first_s": r.first_call_s, "broken": r.violations,
             })
         };
         return print(&all.iter().map(|r| format!("{}\n", line(r))).collect::<String>());
@@ -90,10 +91,10 @@
         report(&all, &args.policies)
     );
     print(&text)?;
-    match all.iter().find(|r| r.policy == "module" && r.broken > 0) {
+    match all.iter().find(|r| r.policy == "module" && r.violations > 0) {
         Some(row) => Err(CommandError(
             EXIT_FAILED,
-            format!("policy `module` violated a rule {} times on seed {}", row.broken, row.seed),
+            format!("policy `module` violated a rule {} times on seed {}", row.violations, row.seed),
         )),
         None => Ok(()),
     }
@@ -122,9 +123,9 @@
             column(|r| r.late),
             column(|r| r.refused),
             column(|r| r.attempts),
-            column(|r| r.full),
-            column(|r| r.first),
-            rows.iter().map(|r| r.broken).sum::<u64>().to_string(),
+            column(|r| r.rejected),
+            column(|r| r.first_call_s),
+            rows.iter().map(|r| r.violations).sum::<u64>().to_string(),
         ]
     };
     let head = [
--- a/src/bin/foldtrack/cli/fleet.rs
+++ b/src/bin/foldtrack/cli/fleet.rs
@@ -51,6 +51,7 @@
     },
 }
 
+/// Runs a `foldtrack fleet` command.
 pub(super) fn fleet(args: &Fleet) -> CommandResult {
     match args {
         Fleet::List => {
--- a/src/bin/foldtrack/cli/journal.rs
+++ b/src/bin/foldtrack/cli/journal.rs
@@ -46,6 +46,7 @@
     Export,
 }
 
+/// Runs a `foldtrack journal` command.
 pub(super) fn journal(args: &Journal) -> CommandResult {
     let state = match &args.state {
         Some(state) => state.clone(),
--- a/src/bin/foldtrack/cli/load.rs
+++ b/src/bin/foldtrack/cli/load.rs
@@ -2,7 +2,7 @@
 
 use super::{print, show, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use clap::{Args, Subcommand};
-use foldtrack_load::report::HEAD;
+use foldtrack_load::report::TABLE_HEADER;
 use foldtrack_load::{run, Plan, Report};
 use std::path::PathBuf;
 
@@ -53,15 +53,16 @@
             });
         }
         let rows: Vec<Vec<String>> = reports.iter().map(Report::row).collect();
-        print(&show::table(&HEAD, &rows, "no runs"))
+        print(&show::table(&TABLE_HEADER, &rows, "no runs"))
     }
 }
 
+/// Runs a `foldtrack load` command.
 pub(super) fn load(load: &Load) -> CommandResult {
     match load {
         Load::Run(args) => {
-            let report =
-                run::through(&args.program()?, &args.plan()?).map_err(|e| CommandError(EXIT_FAILED, e))?;
+            let report = run::run_forwarder(&args.program()?, &args.plan()?)
+                .map_err(|e| CommandError(EXIT_FAILED, e))?;
             args.print(&[report])
         }
         Load::Sweep(args) => {
--- a/src/bin/foldtrack/cli/mod.rs
+++ b/src/bin/foldtrack/cli/mod.rs
@@ -238,6 +238,7 @@
 /// Why a command failed: the exit code, and the text for standard error.
 struct CommandError(u8, String);
 
+/// The result of a command.
 type CommandResult = Result<(), CommandError>;
 
 impl From<ClientError> for CommandError {
@@ -267,6 +268,7 @@
         self.print(&response)
     }
 
+    /// Prints a response as text or JSON.
     fn print(&self, response: &ControlResponse) -> CommandResult {
         if self.json {
             let text =
@@ -310,6 +312,7 @@
     }
 }
 
+/// Runs a command.
 fn run(command: Command) -> CommandResult {
     match command {
         Command::Serve { site, disk_budget, clock_offset, clock_rate, end_with_input } => {
@@ -368,6 +371,7 @@
     }
 }
 
+/// Writes the template of a site file.
 fn init(path: &Path) -> CommandResult {
     if path == Path::new("-") {
         return print(TEMPLATE);
--- a/src/bin/foldtrack/cli/partner.rs
+++ b/src/bin/foldtrack/cli/partner.rs
@@ -61,6 +61,7 @@
     site: PathBuf,
 }
 
+/// Runs `foldtrack partner try`.
 pub(super) fn partner(args: &Partner) -> CommandResult {
     let PartnerCommand::Try(args) = &args.command;
     let site = load(&args.site)?;
--- a/src/bin/foldtrack/cli/send.rs
+++ b/src/bin/foldtrack/cli/send.rs
@@ -206,6 +206,7 @@
     bar: ProgressBar,
 }
 
+/// Runs `foldtrack send`.
 pub(super) fn send(send: &Send) -> CommandResult {
     let to = match send.to {
         Some(to) => to,
--- a/src/bin/foldtrack/cli/show.rs
+++ b/src/bin/foldtrack/cli/show.rs
@@ -96,6 +96,7 @@
     humantime::format_rfc3339_millis(at).to_string()
 }
 
+/// The status of a forwarder.
 fn status(s: &Status) -> String {
     let line = |name: &str, text: String| format!("{name:<10}{text}\n");
     let mut text = line(
@@ -149,6 +150,7 @@
     text
 }
 
+/// A table of partners.
 fn partners(partners: &[Partner]) -> String {
     let row = |p: &Partner| {
         vec![
@@ -187,6 +189,7 @@
     table(&head, &partners.iter().map(row).collect::<Vec<_>>(), "no partners")
 }
 
+/// A table of endpoints.
 fn endpoints(endpoints: &[Endpoint]) -> String {
     let row = |e: &Endpoint| {
         vec![
@@ -233,6 +236,7 @@
     )
 }
 
+/// A table of queues.
 fn queues(queues: &[Queue]) -> String {
     let row = |q: &Queue| {
         let key = if q.key.is_empty() { "-" } else { &q.key };
@@ -245,6 +249,7 @@
     )
 }
 
+/// A table of clients, with blocks, floods, descriptors and sockets.
 fn clients(all: &Clients) -> String {
     let row = |c: &ClientStats| {
         vec![
@@ -295,6 +300,7 @@
     text
 }
 
+/// A table of failed attempts.
 fn failures(failures: &[Failure]) -> String {
     let row = |f: &Failure| {
         vec![
@@ -312,6 +318,7 @@
     table(&head, &failures.iter().map(row).collect::<Vec<_>>(), "no attempt has failed recently")
 }
 
+/// The history of a message.
 fn message(m: &Message) -> String {
     let mut text = format!(
         "{}  {}  {} to {}",
@@ -362,6 +369,7 @@
     text
 }
 
+/// The result of an order.
 fn done(d: &OrderResult) -> String {
     let what = if d.changed { "done" } else { "already in that state" };
     let copies = match (d.copies, d.others) {
@@ -374,6 +382,7 @@
     format!("{what}; {} calls still in flight, {} messages held for the partner{copies}\n", d.calls, d.held)
 }
 
+/// The peers of a forwarder.
 fn peers(p: &Peers) -> String {
     let mode = match p.mode.as_str() {
         "caught_up" => "is up to date with its peers",
@@ -426,6 +435,7 @@
     text + "\n"
 }
 
+/// The orders on a site.
 fn state(s: &SiteState) -> String {
     let row = |s: &Statement| {
         let says = if s.detail.is_empty() { s.word.clone() } else { format!("{} {}", s.word, s.detail) };
--- a/src/bin/foldtrack/control.rs
+++ b/src/bin/foldtrack/control.rs
@@ -119,6 +119,7 @@
     thread: std::sync::Mutex<Option<UnboundedSender<StdStream>>>,
 }
 
+/// Accepts connections, and passes those of the own user and of root to the control thread.
 async fn accept(listener: Listener, server: Arc<ControlServer>) {
     let uid = rustix::process::geteuid().as_raw();
     loop {
@@ -151,6 +152,7 @@
     }
 }
 
+/// Starts the control thread with its first connection.
 fn start_thread(
     stream: StdStream, server: &Arc<ControlServer>, thread: &mut Option<UnboundedSender<StdStream>>,
 ) {
@@ -300,6 +302,7 @@
     }
 }
 
+/// Sends one reply line, within `WRITE_TIMEOUT`.
 async fn write(stream: &mut UnixStream, reply: &Reply) -> io::Result<()> {
     timeout(WRITE_TIMEOUT, stream.write_all(reply.to_line().as_bytes())).await?
 }
@@ -374,6 +377,7 @@
     pending().await
 }
 
+/// An error response.
 fn error(code: &str, text: &str) -> ControlResponse {
     ControlResponse::Error(Error { code: code.into(), text: text.into() })
 }
