--- a/tests/site/admission.rs
+++ b/tests/site/admission.rs
@@ -32,7 +32,7 @@
     config.limits = "descriptors = 400\ncalls = 64";
     config.admission = admission;
     let site = SiteProcess::start(&config);
-    let (quiet, lost) = submit(site.listen, "127.0.9.4", 60);
+    let (baseline, lost) = submit(site.listen, "127.0.9.4", 60);
     assert_eq!(lost, 0);
     let stop = AtomicBool::new(false);
     let messages = if flood_size() > 1_000 { 1_000 } else { 150 };
@@ -52,7 +52,7 @@
         stop.store(true, Ordering::Relaxed);
         let opened = flooding.join().unwrap();
         for (took, lost) in &known {
-            println!("{what}: {opened} flooding; p50 {:?} p99 {:?} (quiet {:?} {:?}), {lost} of {messages} not accepted", took[took.len() / 2], p99(took), quiet[quiet.len() / 2], p99(&quiet));
+            println!("{what}: {opened} flooding; p50 {:?} p99 {:?} (baseline {:?} {:?}), {lost} of {messages} not accepted", took[took.len() / 2], p99(took), baseline[baseline.len() / 2], p99(&baseline));
             assert_eq!(*lost, 0, "{what}");
         }
         let open: u32 = seen.clients.iter().map(|c| c.connections).sum();
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -300,13 +300,13 @@
     let mut long_line = RawControlClient::connect(&site);
     // The connection is closed long before the end of the line. Since input is unread, the client
     // may see a reset instead of the response.
-    let whole = long_line.write(&vec![b'x'; 10 << 20]);
-    assert!(!whole || long_line.line().is_none_or(|l| l["error"]["code"] == "too_long"));
+    let fully_written = long_line.write(&vec![b'x'; 10 << 20]);
+    assert!(!fully_written || long_line.line().is_none_or(|l| l["error"]["code"] == "too_long"));
     partial.write(b"tus\"}\n");
     assert!(partial.line().unwrap()["status"].is_object());
     drop(silent);
     // More idle connections than the limit: an operator can still connect.
-    let crowd: Vec<RawControlClient> = (0..100)
+    let idle_clients: Vec<RawControlClient> = (0..100)
         .map(|_| {
             let mut raw = RawControlClient::connect(&site);
             // The connection may be closed while it writes.
@@ -320,7 +320,7 @@
     eventually("the end", || site.message_state("m1") == "delivered");
     // A wide limit, for slow machines.
     assert!(start.elapsed() < MS(20_000), "took {:?}", start.elapsed());
-    drop(crowd);
+    drop(idle_clients);
     assert!(site.is_running());
 }
 
