--- a/src/bin/hatchline-adapter/host.rs
+++ b/src/bin/hatchline-adapter/host.rs
@@ -1,22 +1,22 @@
-//! One decision module for each instance number; translation between wire and interface.
+//! Runs one scheduler for each instance number and translates between the protocol and the library.
 
-use crate::wire::{Batch, Entry, Input, Malformed, Output, Reply};
+use crate::wire::{Batch, Entry, InputRecord, Malformed, OutputRecord, Reply};
 use hatchline::settings::Parsed;
 use hatchline::{Action, Brain, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 struct Instance {
-    brain: Brain,
+    scheduler: Brain,
     share_left_at: Option<usize>,
     rate_at: Option<usize>,
 }
 
-/// All instances of this process and the numbered lists they refer to.
+/// All instances of this process and the numbered lists that they refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
-    sheets: BTreeMap<u16, Vec<Entry>>,
+    lists: BTreeMap<u16, Vec<Entry>>,
 }
 
 fn outcome(status: u16) -> Result<Outcome, Malformed> {
@@ -46,86 +46,90 @@
         kind: u32::from(entry.kind),
         zone: u32::from(entry.zone),
         state,
-        rate: f64::from(entry.size),
+        rate: f64::from(entry.rate),
         slots: None,
         hold_until: 0,
     })
 }
 
 impl Instance {
-    fn report(&self, values: &[f32]) -> Option<LimitReport> {
+    fn limit_report(&self, values: &[f32]) -> Option<LimitReport> {
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).map(|v| f64::from(*v));
         Some(LimitReport { share_left: value(self.share_left_at)?, rate: value(self.rate_at)? })
     }
 }
 
 impl Host {
-    /// Plays a batch and gives the frame of the reply.
-    pub fn play(&mut self, batch: Batch) -> Result<Vec<u8>, Malformed> {
+    /// Processes a batch and returns the frame of the reply.
+    pub fn process(&mut self, batch: Batch) -> Result<Vec<u8>, Malformed> {
         let clock = batch.clock;
         let mut reply = Reply::new(batch.number);
         let mut touched: BTreeMap<u16, Vec<Action>> = BTreeMap::new();
         for record in batch.records {
-            let (i, event) = match record {
-                Input::Roster { sheet, items } => {
-                    self.sheets.insert(sheet, items);
+            let (instance, event) = match record {
+                InputRecord::DeclareList { list, entries } => {
+                    self.lists.insert(list, entries);
                     continue;
                 }
-                Input::Down { i } => {
-                    self.instances.remove(&i);
-                    touched.remove(&i);
+                InputRecord::Stop { instance } => {
+                    self.instances.remove(&instance);
+                    touched.remove(&instance);
                     continue;
                 }
-                Input::Born { i, salt, env } => {
-                    let Parsed { settings, share_left_at, rate_at, .. } = serde_json::from_slice(&env)
-                        .map_err(|e| Malformed(format!("the settings of instance {i} do not parse: {e}")))?;
-                    let brain = guarded(i, &mut reply, || Brain::new(clock, salt, settings));
-                    touched.insert(i, Vec::new());
-                    if let Some(brain) = brain {
-                        self.instances.insert(i, Instance { brain, share_left_at, rate_at });
+                InputRecord::Start { instance, seed, settings: settings_json } => {
+                    let Parsed { settings, share_left_at, rate_at, .. } =
+                        serde_json::from_slice(&settings_json).map_err(|e| {
+                            Malformed(format!("the settings of instance {instance} do not parse: {e}"))
+                        })?;
+                    let scheduler = guarded(instance, &mut reply, || Brain::new(clock, seed, settings));
+                    touched.insert(instance, Vec::new());
+                    if let Some(scheduler) = scheduler {
+                        self.instances.insert(instance, Instance { scheduler, share_left_at, rate_at });
                     }
                     continue;
                 }
                 other => self.translate(other)?,
             };
-            let Some(instance) = self.instances.get_mut(&i) else {
+            let Some(running) = self.instances.get_mut(&instance) else {
                 continue;
             };
-            let actions = touched.entry(i).or_default();
-            guarded(i, &mut reply, || instance.brain.handle(clock, event, actions));
+            let actions = touched.entry(instance).or_default();
+            guarded(instance, &mut reply, || running.scheduler.handle(clock, event, actions));
         }
-        for (i, mut actions) in touched {
-            let Some(instance) = self.instances.get_mut(&i) else {
+        for (instance, mut actions) in touched {
+            let Some(running) = self.instances.get_mut(&instance) else {
                 continue;
             };
-            guarded(i, &mut reply, || instance.brain.decide(clock, &mut actions));
-            for output in actions.into_iter().filter_map(|action| record(i, action)) {
+            guarded(instance, &mut reply, || running.scheduler.decide(clock, &mut actions));
+            for output in actions.into_iter().filter_map(|action| output_record(instance, action)) {
                 reply.push(&output);
             }
         }
         Ok(reply.finish())
     }
 
-    fn translate(&self, record: Input) -> Result<(u16, Event), Malformed> {
-        let report = |i: u16, values: &[f32]| self.instances.get(&i).and_then(|x| x.report(values));
+    fn translate(&self, record: InputRecord) -> Result<(u16, Event), Malformed> {
+        let limit_report = |instance: u16, values: &[f32]| {
+            self.instances.get(&instance).and_then(|x| x.limit_report(values))
+        };
         Ok(match record {
-            Input::Targets { i, scope, rev, sheet } => {
-                let kind = match scope {
+            InputRecord::List { instance, kind, version, list } => {
+                let list_kind = match kind {
                     0 => ListKind::Delta,
                     1 => ListKind::Full,
                     2 => ListKind::Cached,
                     3 => ListKind::Failed,
                     other => return Err(Malformed(format!("a list has the unknown scope {other}"))),
                 };
-                let endpoints = match (kind, self.sheets.get(&sheet)) {
+                let endpoints = match (list_kind, self.lists.get(&list)) {
                     (ListKind::Failed, _) => Vec::new(),
                     (_, Some(entries)) => entries.iter().map(endpoint).collect::<Result<_, _>>()?,
-                    (_, None) => return Err(Malformed(format!("list {sheet} was never declared"))),
+                    (_, None) => return Err(Malformed(format!("list {list} was never declared"))),
                 };
-                (i, Event::List { kind, version: rev, endpoints })
+                (instance, Event::List { kind: list_kind, version, endpoints })
             }
-            Input::Query { i, id, class, destination, key, expires, .. } => (
-                i,
+            InputRecord::Request { instance, id, class, destination, key, expires, .. } => (
+                instance,
                 Event::Request {
                     id,
                     class: u32::from(class),
@@ -134,9 +138,11 @@
                     expires,
                 },
             ),
-            Input::Started { i, id, attempt, .. } => (i, Event::Started { id, attempt: u32::from(attempt) }),
-            Input::Resolved { i, id, attempt, target, status, took, ended, wait_ms, feedback } => (
-                i,
+            InputRecord::StreamStarted { instance, id, attempt, .. } => {
+                (instance, Event::Started { id, attempt: u32::from(attempt) })
+            }
+            InputRecord::Outcome { instance, id, attempt, target, status, took, ended, wait_ms, report } => (
+                instance,
                 Event::Outcome {
                     id,
                     attempt: u32::from(attempt),
@@ -145,56 +151,59 @@
                     took: u64::from(took),
                     ended,
                     wait: if status == 2 { u64::from(wait_ms) * 1000 } else { 0 },
-                    report: report(i, &feedback),
+                    report: limit_report(instance, &report),
                 },
             ),
-            Input::Lapsed { i, id } => (i, Event::Lapsed { id }),
-            Input::Wakeup { i, cookie } => (i, Event::Timer { token: cookie }),
-            Input::Echo { i, target, status, took, feedback } => (
-                i,
+            InputRecord::Abandoned { instance, id } => (instance, Event::Lapsed { id }),
+            InputRecord::Timer { instance, token } => (instance, Event::Timer { token }),
+            InputRecord::ProbeOutcome { instance, target, status, took, report } => (
+                instance,
                 Event::Probed {
                     target,
                     outcome: outcome(status)?,
                     took: u64::from(took),
-                    report: report(i, &feedback),
+                    report: limit_report(instance, &report),
                 },
             ),
-            Input::Peer { i, who, body } => (i, Event::Peer { from: who, data: body }),
-            Input::Born { .. } | Input::Down { .. } | Input::Roster { .. } => {
+            InputRecord::PeerMessage { instance, from, data } => (instance, Event::Peer { from, data }),
+            InputRecord::Start { .. } | InputRecord::Stop { .. } | InputRecord::DeclareList { .. } => {
                 return Err(Malformed("a record without an event".into()))
             }
         })
     }
 }
 
-/// Runs the module; a panic there becomes a `Fault` of the instance.
-fn guarded<T>(i: u16, reply: &mut Reply, work: impl FnOnce() -> T) -> Option<T> {
+/// Calls the scheduler of an instance. A panic becomes a `Fault` record of the instance.
+fn guarded<T>(instance: u16, reply: &mut Reply, work: impl FnOnce() -> T) -> Option<T> {
     match catch_unwind(AssertUnwindSafe(work)) {
         Ok(value) => Some(value),
         Err(panic) => {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            reply.push(&Output::Fault { i, message: text.to_string() });
+            reply.push(&OutputRecord::Fault { instance, message: text.to_string() });
             None
         }
     }
 }
 
-/// What the wire has for an action. A call begins there in the moment in which it is decided on: none can be overtaken.
-fn record(i: u16, action: Action) -> Option<Output> {
-    let narrow = |span: u64| u32::try_from(span).unwrap_or(u32::MAX);
+/// Converts an action to a record. In the simulator a call starts at the moment of its decision, so no call
+/// can be withheld and a detected outage needs no record.
+fn output_record(instance: u16, action: Action) -> Option<OutputRecord> {
+    let to_u32 = |span: u64| u32::try_from(span).unwrap_or(u32::MAX);
     Some(match action {
         Action::FoundOut { .. } => return None,
-        Action::Send { id, target, until } => Output::Forward { i, id, not_past: until, target },
-        Action::Cancel { id, attempt } => Output::Revoke { i, id, attempt: attempt as u8 },
-        Action::Refuse { id, retry_after } => Output::Refuse { i, id, cool_down: narrow(retry_after) },
-        Action::Fail { id } => Output::Surrender { i, id },
-        Action::Probe { target } => Output::Probe { i, target },
-        Action::Timer { after, token } => Output::After { i, sleep_for: narrow(after), cookie: token },
-        Action::CloseIdle { target } => Output::ShutIdle { i, target },
-        Action::Subscribe { on } => Output::KeepInformed { i, enable: on },
-        Action::FetchList => Output::Lookup { i },
-        Action::Tell { to, data } => Output::Share { i, peer: to.unwrap_or(u32::MAX), body: data },
-        Action::Log { text } => Output::JournalLine { i, message: text },
+        Action::Send { id, target, until } => OutputRecord::Send { instance, id, until, target },
+        Action::Cancel { id, attempt } => OutputRecord::Cancel { instance, id, attempt: attempt as u8 },
+        Action::Refuse { id, retry_after } => {
+            OutputRecord::Refuse { instance, id, retry_after: to_u32(retry_after) }
+        }
+        Action::Fail { id } => OutputRecord::Fail { instance, id },
+        Action::Probe { target } => OutputRecord::Probe { instance, target },
+        Action::Timer { after, token } => OutputRecord::Timer { instance, after: to_u32(after), token },
+        Action::CloseIdle { target } => OutputRecord::CloseIdle { instance, target },
+        Action::Subscribe { on } => OutputRecord::Subscribe { instance, on },
+        Action::FetchList => OutputRecord::FetchList { instance },
+        Action::Tell { to, data } => OutputRecord::PeerMessage { instance, to: to.unwrap_or(u32::MAX), data },
+        Action::Log { text } => OutputRecord::Log { instance, text },
     })
 }
--- a/src/bin/hatchline-adapter/main.rs
+++ b/src/bin/hatchline-adapter/main.rs
@@ -1,4 +1,4 @@
-//! Hosts decision modules behind a framed binary stream on standard input and output.
+//! Runs delivery schedulers for a simulator that talks a framed binary protocol on standard input and output.
 #![warn(missing_docs)]
 
 mod host;
@@ -12,14 +12,14 @@
     let mut output = BufWriter::with_capacity(1 << 20, std::io::stdout().lock());
     let mut host = host::Host::default();
     while let Some(batch) = wire::read_batch(&mut input)? {
-        let reply = host.play(batch)?;
+        let reply = host.process(batch)?;
         output.write_all(&reply).and_then(|()| output.flush())?;
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
-    // A panic of the module is reported on the wire; the usual message on standard error stays.
+    // A panic of a scheduler is reported to the simulator; the panic message on standard error remains.
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/bin/hatchline-adapter/wire.rs
+++ b/src/bin/hatchline-adapter/wire.rs
@@ -1,9 +1,9 @@
-//! Framing and records: bytes to plain values and back. No meaning is attached here.
+//! Frames and records of the simulator's binary protocol: conversion between bytes and plain values.
 
 use std::fmt;
 use std::io::Read;
 
-/// Input that cannot be read.
+/// The input violates the protocol or cannot be read.
 #[derive(Debug)]
 pub struct Malformed(pub String);
 
@@ -19,69 +19,119 @@
     }
 }
 
-/// A line of a list.
+/// An entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub target: u32,
     pub zone: u8,
     pub kind: u16,
     pub destination: u16,
+    /// State code of the endpoint.
     pub status: u8,
-    pub size: f32,
+    /// Rate limit of the destination.
+    pub rate: f32,
     pub launched: u64,
 }
 
-/// A record of a batch.
+/// A record of a batch: an event of an instance, or the declaration of a list.
 #[derive(Clone, Debug, PartialEq)]
-#[rustfmt::skip]
-pub enum Input {
-    Born { i: u16, salt: u64, env: Vec<u8> },
-    Targets { i: u16, scope: u8, rev: u32, sheet: u16 },
-    Query { i: u16, id: u64, class: u16, destination: f32, flags: u16, tenant: u16, hint: u32, key: u64, expires: u64 },
-    Started { i: u16, id: u64, attempt: u8, target: u32, took: u32 },
-    Resolved { i: u16, id: u64, attempt: u8, target: u32, status: u16, took: u32, ended: bool, wait_ms: u32,
-        feedback: Vec<f32> },
-    Lapsed { i: u16, id: u64 },
-    Wakeup { i: u16, cookie: u32 },
-    Echo { i: u16, target: u32, status: u16, took: u32, feedback: Vec<f32> },
-    Peer { i: u16, who: u32, body: Vec<u8> },
-    Down { i: u16 },
-    Roster { sheet: u16, items: Vec<Entry> },
+pub enum InputRecord {
+    /// Starts an instance with its settings.
+    Start { instance: u16, seed: u64, settings: Vec<u8> },
+    /// Applies a declared list to an instance.
+    List { instance: u16, kind: u8, version: u32, list: u16 },
+    /// A message is submitted.
+    Request {
+        instance: u16,
+        id: u64,
+        class: u16,
+        destination: f32,
+        flags: u16,
+        tenant: u16,
+        hint: u32,
+        key: u64,
+        expires: u64,
+    },
+    /// The answer of a streamed message has started.
+    StreamStarted { instance: u16, id: u64, attempt: u8, target: u32, took: u32 },
+    /// An attempt has ended.
+    Outcome {
+        instance: u16,
+        id: u64,
+        attempt: u8,
+        target: u32,
+        status: u16,
+        took: u32,
+        ended: bool,
+        wait_ms: u32,
+        report: Vec<f32>,
+    },
+    /// The client does not want a message any more.
+    Abandoned { instance: u16, id: u64 },
+    /// A timer has expired.
+    Timer { instance: u16, token: u32 },
+    /// A probe has ended.
+    ProbeOutcome { instance: u16, target: u32, status: u16, took: u32, report: Vec<f32> },
+    /// A message from another sender.
+    PeerMessage { instance: u16, from: u32, data: Vec<u8> },
+    /// Stops an instance.
+    Stop { instance: u16 },
+    /// Declares a numbered list of endpoints for later records.
+    DeclareList { list: u16, entries: Vec<Entry> },
 }
 
-/// A record of a reply.
+/// A record of a reply: an action of an instance.
 #[derive(Clone, Debug, PartialEq)]
-#[rustfmt::skip]
-pub enum Output {
-    Forward { i: u16, id: u64, not_past: u64, target: u32 },
-    Share { i: u16, peer: u32, body: Vec<u8> },
-    After { i: u16, sleep_for: u32, cookie: u32 },
-    Lookup { i: u16 },
-    Refuse { i: u16, id: u64, cool_down: u32 },
-    JournalLine { i: u16, message: String },
-    KeepInformed { i: u16, enable: bool },
-    ShutIdle { i: u16, target: u32 },
-    Revoke { i: u16, id: u64, attempt: u8 },
-    Surrender { i: u16, id: u64 },
-    Fault { i: u16, message: String },
-    Probe { i: u16, target: u32 },
+pub enum OutputRecord {
+    /// Calls a target with a message.
+    Send { instance: u16, id: u64, until: u64, target: u32 },
+    /// Sends a message to another sender.
+    PeerMessage { instance: u16, to: u32, data: Vec<u8> },
+    /// Sets a timer.
+    Timer { instance: u16, after: u32, token: u32 },
+    /// Fetches the list of endpoints.
+    FetchList { instance: u16 },
+    /// Refuses a message.
+    Refuse { instance: u16, id: u64, retry_after: u32 },
+    /// Writes a log line.
+    Log { instance: u16, text: String },
+    /// Subscribes to the list of endpoints, or unsubscribes.
+    Subscribe { instance: u16, on: bool },
+    /// Closes idle connections to a target.
+    CloseIdle { instance: u16, target: u32 },
+    /// Cancels an attempt.
+    Cancel { instance: u16, id: u64, attempt: u8 },
+    /// Ends a message as failed.
+    Fail { instance: u16, id: u64 },
+    /// The instance panicked.
+    Fault { instance: u16, message: String },
+    /// Probes a target.
+    Probe { instance: u16, target: u32 },
 }
 
-/// A batch of events.
+/// A batch of records with the time of its events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
+    /// Number that the reply repeats.
     pub number: u32,
+    /// Time of the events in microseconds.
     pub clock: u64,
-    pub records: Vec<Input>,
+    pub records: Vec<InputRecord>,
 }
 
+/// Size of the header of a batch, in bytes.
 const BATCH_HEADER: usize = 20;
+/// Size of the header of a reply, in bytes.
 const REPLY_HEADER: usize = 12;
+/// Size of the header of a record, in bytes.
 const RECORD_HEADER: usize = 5;
+/// Size of an entry of a list, in bytes.
 const ENTRY: usize = 22;
 
+/// Reads little-endian values from a slice.
 struct Cursor<'a> {
     bytes: &'a [u8],
+    /// What is parsed, for error messages.
     what: &'static str,
 }
 
@@ -89,7 +139,7 @@
     fn take(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
         if self.bytes.len() < n {
             return Err(Malformed(format!(
-                "{} is too short: {n} bytes wanted, {} left",
+                "{} is too short: {n} bytes needed, {} left",
                 self.what,
                 self.bytes.len()
             )));
@@ -98,30 +148,38 @@
         self.bytes = rest;
         Ok(head)
     }
+
     fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
         let mut out = [0; N];
         out.copy_from_slice(self.take(N)?);
         Ok(out)
     }
+
     fn u8(&mut self) -> Result<u8, Malformed> {
         Ok(self.array::<1>()?[0])
     }
+
     fn u16(&mut self) -> Result<u16, Malformed> {
         Ok(u16::from_le_bytes(self.array()?))
     }
+
     fn u32(&mut self) -> Result<u32, Malformed> {
         Ok(u32::from_le_bytes(self.array()?))
     }
+
     fn u64(&mut self) -> Result<u64, Malformed> {
         Ok(u64::from_le_bytes(self.array()?))
     }
+
     fn f32(&mut self) -> Result<f32, Malformed> {
         Ok(f32::from_le_bytes(self.array()?))
     }
+
     fn floats(&mut self) -> Result<Vec<f32>, Malformed> {
         let n = self.u8()?;
         (0..n).map(|_| self.f32()).collect()
     }
+
     fn end(&self) -> Result<(), Malformed> {
         if self.bytes.is_empty() {
             return Ok(());
@@ -130,7 +188,7 @@
     }
 }
 
-/// Reads one frame; `None` at the end of the input between frames.
+/// Reads one frame. Returns `None` if the input ends between two frames.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, Malformed> {
     let mut frame = vec![0; BATCH_HEADER];
     let mut have = 0;
@@ -152,7 +210,7 @@
     parse_batch(&frame).map(Some)
 }
 
-/// Parses a whole frame.
+/// Parses a complete frame.
 pub fn parse_batch(frame: &[u8]) -> Result<Batch, Malformed> {
     let mut c = Cursor { bytes: frame, what: "a frame" };
     let (number, len, clock, count) = (c.u32()?, c.u32()?, c.u64()?, c.u32()?);
@@ -168,35 +226,64 @@
     Ok(Batch { number, clock, records })
 }
 
-#[rustfmt::skip]
-fn parse_record(code: u8, bytes: &[u8]) -> Result<Input, Malformed> {
+fn parse_record(code: u8, bytes: &[u8]) -> Result<InputRecord, Malformed> {
     let mut c = Cursor { bytes, what: "a record" };
     let record = match code {
         1 => {
-            let (i, salt, n) = (c.u16()?, c.u64()?, c.u32()? as usize);
-            Input::Born { i, salt, env: c.take(n)?.to_vec() }
+            let (instance, seed, n) = (c.u16()?, c.u64()?, c.u32()? as usize);
+            InputRecord::Start { instance, seed, settings: c.take(n)?.to_vec() }
         }
-        2 => Input::Targets { i: c.u16()?, scope: c.u8()?, rev: c.u32()?, sheet: c.u16()? },
-        3 => Input::Query { i: c.u16()?, id: c.u64()?, class: c.u16()?, destination: c.f32()?, flags: c.u16()?,
-            tenant: c.u16()?, hint: c.u32()?, key: c.u64()?, expires: c.u64()? },
-        4 => Input::Started { i: c.u16()?, id: c.u64()?, attempt: c.u8()?, target: c.u32()?, took: c.u32()? },
-        5 => Input::Resolved { i: c.u16()?, id: c.u64()?, attempt: c.u8()?, target: c.u32()?, status: c.u16()?,
-            took: c.u32()?, ended: c.u8()? != 0, wait_ms: c.u32()?, feedback: c.floats()? },
-        6 => Input::Lapsed { i: c.u16()?, id: c.u64()? },
-        7 => Input::Wakeup { i: c.u16()?, cookie: c.u32()? },
-        8 => Input::Echo { i: c.u16()?, target: c.u32()?, status: c.u16()?, took: c.u32()?, feedback: c.floats()? },
+        2 => InputRecord::List { instance: c.u16()?, kind: c.u8()?, version: c.u32()?, list: c.u16()? },
+        3 => InputRecord::Request {
+            instance: c.u16()?,
+            id: c.u64()?,
+            class: c.u16()?,
+            destination: c.f32()?,
+            flags: c.u16()?,
+            tenant: c.u16()?,
+            hint: c.u32()?,
+            key: c.u64()?,
+            expires: c.u64()?,
+        },
+        4 => InputRecord::StreamStarted {
+            instance: c.u16()?,
+            id: c.u64()?,
+            attempt: c.u8()?,
+            target: c.u32()?,
+            took: c.u32()?,
+        },
+        5 => InputRecord::Outcome {
+            instance: c.u16()?,
+            id: c.u64()?,
+            attempt: c.u8()?,
+            target: c.u32()?,
+            status: c.u16()?,
+            took: c.u32()?,
+            ended: c.u8()? != 0,
+            wait_ms: c.u32()?,
+            report: c.floats()?,
+        },
+        6 => InputRecord::Abandoned { instance: c.u16()?, id: c.u64()? },
+        7 => InputRecord::Timer { instance: c.u16()?, token: c.u32()? },
+        8 => InputRecord::ProbeOutcome {
+            instance: c.u16()?,
+            target: c.u32()?,
+            status: c.u16()?,
+            took: c.u32()?,
+            report: c.floats()?,
+        },
         9 => {
-            let (i, who, n) = (c.u16()?, c.u32()?, c.u16()? as usize);
-            Input::Peer { i, who, body: c.take(n)?.to_vec() }
+            let (instance, from, n) = (c.u16()?, c.u32()?, c.u16()? as usize);
+            InputRecord::PeerMessage { instance, from, data: c.take(n)?.to_vec() }
         }
-        10 => Input::Down { i: c.u16()? },
+        10 => InputRecord::Stop { instance: c.u16()? },
         11 => {
-            let (sheet, n) = (c.u16()?, c.u32()? as usize);
+            let (list, n) = (c.u16()?, c.u32()? as usize);
             if c.bytes.len() / ENTRY < n {
                 return Err(Malformed(format!("a list of {n} entries is too short")));
             }
-            let items = (0..n).map(|_| parse_entry(&mut c)).collect::<Result<_, _>>()?;
-            Input::Roster { sheet, items }
+            let entries = (0..n).map(|_| parse_entry(&mut c)).collect::<Result<_, _>>()?;
+            InputRecord::DeclareList { list, entries }
         }
         _ => return Err(Malformed(format!("a record has the unknown code {code}"))),
     };
@@ -211,7 +298,7 @@
         kind: c.u16()?,
         destination: c.u16()?,
         status: c.u8()?,
-        size: c.f32()?,
+        rate: c.f32()?,
         launched: c.u64()?,
     })
 }
@@ -230,38 +317,78 @@
         Reply { bytes, count: 0 }
     }
 
-    /// Adds a record.
-    #[rustfmt::skip]
-    pub fn push(&mut self, record: &Output) {
+    /// Appends a record.
+    pub fn push(&mut self, record: &OutputRecord) {
         let start = self.bytes.len();
         let b = &mut self.bytes;
         b.extend([0; RECORD_HEADER]);
-        let put = |b: &mut Vec<u8>, i: &u16| b.extend(i.to_le_bytes());
+        let put_instance = |b: &mut Vec<u8>, instance: &u16| b.extend(instance.to_le_bytes());
         let code = match record {
-            Output::Forward { i, id, not_past, target } => {
-                put(b, i); b.extend(id.to_le_bytes()); b.extend(not_past.to_le_bytes()); b.extend(target.to_le_bytes());
+            OutputRecord::Send { instance, id, until, target } => {
+                put_instance(b, instance);
+                b.extend(id.to_le_bytes());
+                b.extend(until.to_le_bytes());
+                b.extend(target.to_le_bytes());
                 65
             }
-            Output::Share { i, peer, body } => {
-                put(b, i); b.extend(peer.to_le_bytes()); put_short(b, body);
+            OutputRecord::PeerMessage { instance, to, data } => {
+                put_instance(b, instance);
+                b.extend(to.to_le_bytes());
+                put_short(b, data);
                 66
             }
-            Output::After { i, sleep_for, cookie } => {
-                put(b, i); b.extend(sleep_for.to_le_bytes()); b.extend(cookie.to_le_bytes());
+            OutputRecord::Timer { instance, after, token } => {
+                put_instance(b, instance);
+                b.extend(after.to_le_bytes());
+                b.extend(token.to_le_bytes());
                 67
             }
-            Output::Lookup { i } => { put(b, i); 68 }
-            Output::Refuse { i, id, cool_down } => {
-                put(b, i); b.extend(id.to_le_bytes()); b.extend(cool_down.to_le_bytes());
+            OutputRecord::FetchList { instance } => {
+                put_instance(b, instance);
+                68
+            }
+            OutputRecord::Refuse { instance, id, retry_after } => {
+                put_instance(b, instance);
+                b.extend(id.to_le_bytes());
+                b.extend(retry_after.to_le_bytes());
                 69
             }
-            Output::JournalLine { i, message } => { put(b, i); put_short(b, message.as_bytes()); 70 }
-            Output::KeepInformed { i, enable } => { put(b, i); b.push(u8::from(*enable)); 71 }
-            Output::ShutIdle { i, target } => { put(b, i); b.extend(target.to_le_bytes()); 72 }
-            Output::Revoke { i, id, attempt } => { put(b, i); b.extend(id.to_le_bytes()); b.push(*attempt); 73 }
-            Output::Surrender { i, id } => { put(b, i); b.extend(id.to_le_bytes()); 74 }
-            Output::Fault { i, message } => { put(b, i); put_short(b, message.as_bytes()); 75 }
-            Output::Probe { i, target } => { put(b, i); b.extend(target.to_le_bytes()); 76 }
+            OutputRecord::Log { instance, text } => {
+                put_instance(b, instance);
+                put_short(b, text.as_bytes());
+                70
+            }
+            OutputRecord::Subscribe { instance, on } => {
+                put_instance(b, instance);
+                b.push(u8::from(*on));
+                71
+            }
+            OutputRecord::CloseIdle { instance, target } => {
+                put_instance(b, instance);
+                b.extend(target.to_le_bytes());
+                72
+            }
+            OutputRecord::Cancel { instance, id, attempt } => {
+                put_instance(b, instance);
+                b.extend(id.to_le_bytes());
+                b.push(*attempt);
+                73
+            }
+            OutputRecord::Fail { instance, id } => {
+                put_instance(b, instance);
+                b.extend(id.to_le_bytes());
+                74
+            }
+            OutputRecord::Fault { instance, message } => {
+                put_instance(b, instance);
+                put_short(b, message.as_bytes());
+                75
+            }
+            OutputRecord::Probe { instance, target } => {
+                put_instance(b, instance);
+                b.extend(target.to_le_bytes());
+                76
+            }
         };
         let size = (b.len() - start - RECORD_HEADER) as u32;
         b[start] = code;
@@ -269,7 +396,7 @@
         self.count += 1;
     }
 
-    /// The finished frame.
+    /// Completes the frame and returns its bytes.
     pub fn finish(mut self) -> Vec<u8> {
         let len = self.bytes.len() as u32;
         self.bytes[4..8].copy_from_slice(&len.to_le_bytes());
@@ -278,11 +405,11 @@
     }
 }
 
-/// Bytes behind a 16-bit count; what does not fit the count is cut off.
-fn put_short(b: &mut Vec<u8>, body: &[u8]) {
-    let body = &body[..body.len().min(usize::from(u16::MAX))];
-    b.extend((body.len() as u16).to_le_bytes());
-    b.extend(body);
+/// Appends bytes after a 16-bit length; bytes beyond the largest length are cut off.
+fn put_short(b: &mut Vec<u8>, data: &[u8]) {
+    let data = &data[..data.len().min(usize::from(u16::MAX))];
+    b.extend((data.len() as u16).to_le_bytes());
+    b.extend(data);
 }
 
 #[cfg(test)]
--- a/src/bin/hatchline-adapter/wire_tests.rs
+++ b/src/bin/hatchline-adapter/wire_tests.rs
@@ -1,4 +1,4 @@
-//! The worked frames as bytes, every record at every shorter length, and what is malformed.
+//! Tests of the protocol: example frames as bytes, records cut at every length, and malformed input.
 
 use super::*;
 
@@ -17,30 +17,30 @@
     out
 }
 
-/// Each event as bytes beside its value.
-fn events() -> Vec<(Vec<u8>, Input)> {
-    let e = |target, size: f32, launched| Entry {
+/// Every input record as bytes and as a value.
+fn input_records() -> Vec<(Vec<u8>, InputRecord)> {
+    let e = |target, rate: f32, launched| Entry {
         target,
         zone: 0,
         kind: 0,
         destination: 57,
         status: 3,
-        size,
+        rate,
         launched,
     };
     vec![
         (
             bytes("01 10000000 0300 0100000000000000 02000000 7b7d"),
-            Input::Born { i: 3, salt: 1, env: b"{}".to_vec() },
+            InputRecord::Start { instance: 3, seed: 1, settings: b"{}".to_vec() },
         ),
         (
             bytes("02 09000000 0300 02 29000000 0000"),
-            Input::Targets { i: 3, scope: 2, rev: 41, sheet: 0 },
+            InputRecord::List { instance: 3, kind: 2, version: 41, list: 0 },
         ),
         (
             bytes("03 28000000 0300 c4913a5d1f680000 0000 00006442 0100 0000 e02e0000 640ad2557c3bf091 da05840000000000"),
-            Input::Query {
-                i: 3,
+            InputRecord::Request {
+                instance: 3,
                 id: 0x681f_5d3a_91c4,
                 class: 0,
                 destination: 57.0,
@@ -53,12 +53,12 @@
         ),
         (
             bytes("04 13000000 0300 c4913a5d1f680000 00 074a1203 22240000"),
-            Input::Started { i: 3, id: 0x681f_5d3a_91c4, attempt: 0, target: 0x03124a07, took: 0x2422 },
+            InputRecord::StreamStarted { instance: 3, id: 0x681f_5d3a_91c4, attempt: 0, target: 0x03124a07, took: 0x2422 },
         ),
         (
             bytes("05 23000000 0300 c4913a5d1f680000 00 074a1203 0100 44480000 01 00000000 02 cdcccc3e0000a03f"),
-            Input::Resolved {
-                i: 3,
+            InputRecord::Outcome {
+                instance: 3,
                 id: 0x681f_5d3a_91c4,
                 attempt: 0,
                 target: 0x03124a07,
@@ -66,40 +66,40 @@
                 took: 0x4844,
                 ended: true,
                 wait_ms: 0,
-                feedback: vec![0.4, 1.25],
+                report: vec![0.4, 1.25],
             },
         ),
-        (bytes("06 0a000000 0300 192b6f0e6b3d0100"), Input::Lapsed { i: 3, id: 0x0001_3d6b_0e6f_2b19 }),
-        (bytes("07 06000000 0300 4d000000"), Input::Wakeup { i: 3, cookie: 77 }),
+        (bytes("06 0a000000 0300 192b6f0e6b3d0100"), InputRecord::Abandoned { instance: 3, id: 0x0001_3d6b_0e6f_2b19 }),
+        (bytes("07 06000000 0300 4d000000"), InputRecord::Timer { instance: 3, token: 77 }),
         (
             bytes("08 15000000 0300 f211902c 0100 78050000 02 cdcccc3e0000a03f"),
-            Input::Echo { i: 3, target: 0x2c9011f2, status: 1, took: 1400, feedback: vec![0.4, 1.25] },
+            InputRecord::ProbeOutcome { instance: 3, target: 0x2c9011f2, status: 1, took: 1400, report: vec![0.4, 1.25] },
         ),
         (
             bytes("09 0c000000 0300 02000000 0400 68692037"),
-            Input::Peer { i: 3, who: 2, body: b"hi 7".to_vec() },
+            InputRecord::PeerMessage { instance: 3, from: 2, data: b"hi 7".to_vec() },
         ),
-        (bytes("0a 02000000 0300"), Input::Down { i: 3 }),
+        (bytes("0a 02000000 0300"), InputRecord::Stop { instance: 3 }),
         (
             bytes(
                 "0b 32000000 0000 02000000 074a1203 00 0000 3900 03 0000803f 0000000000000000
                  f211902c 00 0000 3900 03 0000c03f 20145d0000000000",
             ),
-            Input::Roster { sheet: 0, items: vec![e(0x03124a07, 1.0, 0), e(0x2c9011f2, 1.5, 0x5d1420)] },
+            InputRecord::DeclareList { list: 0, entries: vec![e(0x03124a07, 1.0, 0), e(0x2c9011f2, 1.5, 0x5d1420)] },
         ),
     ]
 }
 
 #[test]
-fn every_event_is_read() {
-    for (raw, value) in events() {
+fn every_input_record_is_parsed() {
+    for (raw, value) in input_records() {
         assert_eq!(parse_batch(&frame(&[&raw])).unwrap().records, vec![value]);
     }
 }
 
 #[test]
-fn every_shorter_record_is_malformed() {
-    for (raw, value) in events() {
+fn truncated_or_extended_records_are_malformed() {
+    for (raw, value) in input_records() {
         for cut in 5..raw.len() {
             let mut short = raw[..cut].to_vec();
             short[1..5].copy_from_slice(&((cut - 5) as u32).to_le_bytes());
@@ -113,8 +113,8 @@
 }
 
 #[test]
-fn a_stream_cut_at_any_length_is_malformed_but_between_frames() {
-    let whole = frame(&[&events()[4].0, &events()[5].0]);
+fn a_stream_that_ends_inside_a_frame_is_malformed() {
+    let whole = frame(&[&input_records()[4].0, &input_records()[5].0]);
     for cut in 1..whole.len() {
         assert!(read_batch(&mut &whole[..cut]).is_err(), "cut to {cut}");
     }
@@ -137,43 +137,49 @@
 }
 
 #[test]
-fn the_worked_reply_is_written() {
+fn the_example_reply_is_encoded() {
     let mut reply = Reply::new(12);
     let id = 0x681f_5d3a_91c4;
-    reply.push(&Output::Forward { i: 3, id, not_past: 0x8194da, target: 0x03124a07 });
-    reply.push(&Output::After { i: 3, sleep_for: 500_000, cookie: 77 });
-    reply.push(&Output::JournalLine { i: 5, message: "two servers unknown".into() });
-    let wanted = bytes(
+    reply.push(&OutputRecord::Send { instance: 3, id, until: 0x8194da, target: 0x03124a07 });
+    reply.push(&OutputRecord::Timer { instance: 3, after: 500_000, token: 77 });
+    reply.push(&OutputRecord::Log { instance: 5, text: "two servers unknown".into() });
+    let expected = bytes(
         "0c000000 57000000 03000000
          41 16000000 0300 c4913a5d1f680000 da94810000000000 074a1203
          43 0a000000 0300 20a10700 4d000000
          46 17000000 0500 1300 74776f207365727665727320756e6b6e6f776e",
     );
-    let mut wanted = wanted;
-    let len = wanted.len() as u32;
-    wanted[4..8].copy_from_slice(&len.to_le_bytes());
-    assert_eq!(reply.finish(), wanted);
+    let mut expected = expected;
+    let len = expected.len() as u32;
+    expected[4..8].copy_from_slice(&len.to_le_bytes());
+    assert_eq!(reply.finish(), expected);
 }
 
 #[test]
-fn every_other_action_is_written() {
+fn every_other_output_record_is_encoded() {
     let id = 0x0001_3d6b_0e6f_2b19;
     let cases = [
         (
-            Output::Share { i: 3, peer: u32::MAX, body: b"hi 7".to_vec() },
+            OutputRecord::PeerMessage { instance: 3, to: u32::MAX, data: b"hi 7".to_vec() },
             "42 0c000000 0300 ffffffff 0400 68692037",
         ),
-        (Output::Lookup { i: 3 }, "44 02000000 0300"),
-        (Output::Refuse { i: 3, id, cool_down: 250_000 }, "45 0e000000 0300 192b6f0e6b3d0100 90d00300"),
-        (Output::KeepInformed { i: 3, enable: true }, "47 03000000 0300 01"),
-        (Output::ShutIdle { i: 3, target: 0x2c9011f2 }, "48 06000000 0300 f211902c"),
-        (Output::Revoke { i: 3, id: 0x681f_5d3a_91c4, attempt: 0 }, "49 0b000000 0300 c4913a5d1f680000 00"),
-        (Output::Surrender { i: 3, id }, "4a 0a000000 0300 192b6f0e6b3d0100"),
+        (OutputRecord::FetchList { instance: 3 }, "44 02000000 0300"),
         (
-            Output::Fault { i: 3, message: "index out of range".into() },
+            OutputRecord::Refuse { instance: 3, id, retry_after: 250_000 },
+            "45 0e000000 0300 192b6f0e6b3d0100 90d00300",
+        ),
+        (OutputRecord::Subscribe { instance: 3, on: true }, "47 03000000 0300 01"),
+        (OutputRecord::CloseIdle { instance: 3, target: 0x2c9011f2 }, "48 06000000 0300 f211902c"),
+        (
+            OutputRecord::Cancel { instance: 3, id: 0x681f_5d3a_91c4, attempt: 0 },
+            "49 0b000000 0300 c4913a5d1f680000 00",
+        ),
+        (OutputRecord::Fail { instance: 3, id }, "4a 0a000000 0300 192b6f0e6b3d0100"),
+        (
+            OutputRecord::Fault { instance: 3, message: "index out of range".into() },
             "4b 16000000 0300 1200 696e646578206f7574206f662072616e6765",
         ),
-        (Output::Probe { i: 3, target: 0x2c9011f2 }, "4c 06000000 0300 f211902c"),
+        (OutputRecord::Probe { instance: 3, target: 0x2c9011f2 }, "4c 06000000 0300 f211902c"),
     ];
     for (record, hex) in cases {
         let mut reply = Reply::new(1);
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,400 +1,400 @@
-//! All decisions of the delivery service. Settings, events and actions: `src/interface.rs`.
-//! Per destination: a bucketed histogram of answer times and a count of attempts without an answer give
-//! the time-out and resend point τ of least expected completion time (see [`AnswerTimes`]). Around that
-//! stand a window of calls in flight, a gate for destinations that look out, and pacing under limits.
+//! The delivery scheduler decides what is sent where and when; `src/interface.rs` defines its interface. For
+//! each route a histogram of answer times and a count of unanswered attempts give the time-out and resend
+//! point τ of least expected completion time (see [`LatencyHistogram`]). A window of calls in flight, a
+//! circuit breaker and pacing under rate limits decide when calls may go out.
 
-use crate::answers::{AnswerTimes, BUCKETS};
-use crate::estimate::{overtaken, Outlook};
+use crate::estimate::{wait_factor, WaitEstimate};
 use crate::interface::*;
-use crate::pace::PACE_DOWN;
+use crate::latency::{LatencyHistogram, BUCKETS};
+use crate::pace::PACE_CUT;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Answers before τ is trusted; planned resends in a row without an answer that mean τ is too low.
-const WARM_UP: u32 = 20;
-const TAU_RUN: u32 = 3;
-/// τ is stretched by up to this part at random, so that senders with one τ do not resend together.
+const MIN_ANSWERS: u32 = 20; // answers before τ is used
+const UNANSWERED_RUN: u32 = 3; // planned resends in a row without an answer after which τ is too low
+/// τ is extended at random by up to this fraction, so that senders with the same τ do not resend together.
 const TAU_JITTER: f64 = 0.25;
-/// Resends that each answer pays for, and how many may be saved up.
-const RESEND_SHARE: f64 = 0.2;
-const RESEND_SAVED: f64 = 5.0;
-/// Retries that each first try pays for, that a span of upkeep adds, and that are saved up at least. Guards a
-/// failing destination against being made worse: attempts stay under twice the messages.
-const RETRY_SHARE: f64 = 1.0;
-const RETRY_UPKEEP: f64 = 1.0;
-const RETRY_SAVED: f64 = 20.0;
-/// Set in the queue of messages that were tried before, beside the zone that binds them.
+const RESENDS_PER_ANSWER: f64 = 0.2; // resends that each answer allows
+const SAVED_RESENDS: f64 = 5.0; // resends that may be saved up
+/// Retries that each first try allows. They do not overload a failing destination: attempts < twice the
+/// messages.
+const RETRIES_PER_TRY: f64 = 1.0;
+const RETRY_REFILL: f64 = 1.0; // retries that each maintenance interval allows
+const SAVED_RETRIES: f64 = 20.0; // retries that may be saved up, or one for each slot if there are more slots
+/// Flag in a queue tag: the messages were tried before. The other bits are the zone that binds them, plus 1.
 const RETRY: u32 = 1 << 31;
-/// Part of the slots that calls to one destination may take; half while it is failing.
-const DESTINATION_SHARE: f64 = 0.75;
-/// Span of the upkeep timer, and microseconds in a second.
-const UPKEEP: Micros = 100_000;
-const SECOND: f64 = 1e6;
-/// A trouble that was over sooner, in microseconds, was a suspicion: no destination goes cold in that time.
-const SUSPICION: Micros = 1_000_000;
-/// Parts by which a served call, at most, and a span of upkeep raise the pace.
-const PACE_UP: f64 = 0.08;
-const PACE_RISE: f64 = 0.005;
-/// A limit that changes by more than this has moved; less is noise.
-const LIMIT_MOVES: f64 = 1.5;
-/// Weight that what was taken on, by class, keeps with each further message.
-const MIX_KEEP: f64 = 0.998;
-/// Served calls a second above which they are many enough to tell a capacity.
-const MANY: f64 = 10.0;
-/// Weights of the calls out and of what is served now in their means over half a second and eight seconds.
-const OUT_WEIGHT: f64 = 0.2;
-const STEADY_WEIGHT: f64 = 0.0125;
-/// Weight that the rate of served calls keeps over a span of upkeep.
-const RATE_KEEP: f64 = 0.95;
-/// Part of the room for held messages that is kept free.
-const KEEP_FREE: f64 = 0.05;
-/// Unanswered call time, in mean answer times, that makes silence unlikely to be chance.
-const SILENCE_MEANS: f64 = 12.0;
-/// Calls of all senders in the tip time which do no harm; least capacity of a destination in calls a second;
-/// spans of a trouble so far between two trials.
-const SLACK: f64 = 3.0;
-const LEAST_TOGETHER: f64 = 2.5;
-const TROUBLE_SPANS: f64 = 3.0;
-/// Factors on the learned pause when a retry after a refusal is served, and when it is refused again.
-const SPREAD_DOWN: f64 = 0.8;
-const SPREAD_UP: f64 = 1.5;
-/// Part of the multiple that would push a cold destination over which all senders together may use.
-const RAMP_CAUTION: f64 = 0.6;
-
-impl AnswerTimes {
-    /// Moves τ to the candidate of least Ê, then up while the paper's condition (6) holds; gives its Ê.
-    /// The mean of the answers by τ is M/p already: divided by p again it would miss the paper's tables.
-    fn retune(&mut self, c: f64) -> Option<f64> {
-        let total = self.count.iter().sum::<f64>() + self.unanswered;
+const SLOT_SHARE: f64 = 0.75; // share of the slots for calls to one destination; half if it is lossy
+const MAINTENANCE: Micros = 100_000; // interval of the maintenance timer
+const SECOND: f64 = 1e6; // microseconds in a second
+/// Failures that end sooner were a false suspicion of an outage: no destination goes cold in that time.
+const FALSE_SUSPICION: Micros = 1_000_000;
+const PACE_GAIN: f64 = 0.08; // largest relative growth of the pace for a served call
+const PACE_DRIFT: f64 = 0.005; // relative growth of the pace in a maintenance interval
+const NOISE: f64 = 1.5; // factor up to which a change of a reported limit is noise
+const MIX_DECAY: f64 = 0.998; // decay of the class mix for each accepted message
+const HIGH_RATE: f64 = 10.0; // served calls a second that are enough to estimate a capacity
+const IN_FLIGHT_WEIGHT: f64 = 0.2; // weight of the calls in flight in their mean over half a second
+const STEADY_WEIGHT: f64 = 0.0125; // weight of the served rate in its mean over eight seconds
+const RATE_DECAY: f64 = 0.95; // decay of the served rate in a maintenance interval
+const RESERVE: f64 = 0.05; // share of the places for held messages that is kept free
+const SILENCE_MEANS: f64 = 12.0; // unanswered call time, in mean answer times, that is unlikely to be chance
+const HARMLESS_CALLS: f64 = 3.0; // calls of all senders in the overload time that a cold destination bears
+const MIN_RATE: f64 = 2.5; // least capacity assumed for a destination, in calls a second
+const TRIAL_SPACING: f64 = 3.0; // largest trial interval, in multiples of the time since the first failure
+const PAUSE_DOWN: f64 = 0.8; // factor on the learned pause when a retry after a rejection is served
+const PAUSE_UP: f64 = 1.5; // factor on the learned pause when it is rejected again
+const SAFE_LOAD: f64 = 0.6; // part of the load that overloads a cold destination which is used in total
+
+impl LatencyHistogram {
+    /// Moves τ to the candidate of least expected time Ê, then up while condition (6) of the paper holds.
+    /// Returns Ê. The mean of the answers up to τ is M/p already; dividing by p again misses the paper's
+    /// tables.
+    fn retune(&mut self, cost: f64) -> Option<f64> {
+        let total = self.counts.iter().sum::<f64>() + self.unanswered;
         let (mut n, mut s) = (0.0, 0.0);
         let mut expected = [f64::INFINITY; BUCKETS];
         let mut share = [0.0; BUCKETS];
         for i in 0..BUCKETS {
-            n += self.count[i];
-            s += self.sum[i];
+            n += self.counts[i];
+            s += self.sums[i];
             if n > 0.05 {
                 let p = n / total;
                 share[i] = p;
-                expected[i] = s / n + (1.0 - p) / p * ((i + 1) as f64 * self.width + c);
+                expected[i] = s / n + (1.0 - p) / p * ((i + 1) as f64 * self.width + cost);
             }
         }
         let finite = (0..BUCKETS).filter(|i| expected[*i].is_finite());
         let mut j = finite.min_by(|a, b| expected[*a].total_cmp(&expected[*b]))?;
-        let density = |j: usize| self.count[j] / (total * self.width);
-        let grows = |j: usize| self.count[j] > 0.05 && (1.0 - share[j]) / density(j) - c < expected[j];
+        let density = |j: usize| self.counts[j] / (total * self.width);
+        let grows = |j: usize| self.counts[j] > 0.05 && (1.0 - share[j]) / density(j) - cost < expected[j];
         while j + 1 < BUCKETS && grows(j) {
             j += 1;
         }
-        let raised = if self.run >= TAU_RUN { self.tau } else { 0.0 };
+        let raised = if self.unanswered_run >= UNANSWERED_RUN { self.tau } else { 0.0 };
         self.tau = ((j + 1) as f64 * self.width).max(raised);
         Some(expected[j])
     }
 
-    /// Guards against a slow spell past τ, where (6) sees no density: a run of planned resends unanswered
-    /// doubles τ; least Ê brings it down. Harms where most calls are dropped: resends come late.
-    fn unanswered(&mut self, planned: bool) {
+    /// If answers slow down past τ, where (6) sees no density, a run of unanswered planned resends doubles
+    /// τ; the least Ê lowers it again. The cost: where most calls are dropped, resends come late.
+    fn record_unanswered(&mut self, planned: bool) {
         self.unanswered += 1.0;
-        self.run += u32::from(planned);
-        if planned && self.run.is_multiple_of(TAU_RUN) {
+        self.unanswered_run += u32::from(planned);
+        if planned && self.unanswered_run.is_multiple_of(UNANSWERED_RUN) {
             self.tau *= 2.0;
         }
     }
 }
 
-/// The decisions of one forwarder.
-#[rustfmt::skip] // fields stand by topic
+/// Decides for one forwarder which message is sent where and when.
 #[derive(Debug, Default)]
 pub struct Brain {
-    s: Settings, now: Micros, out: Vec<Action>, seed: u64,
-    messages: BTreeMap<MessageId, Message>, turns: BTreeMap<u64, Turns>,
-    destinations: BTreeMap<DestinationId, Destination>, targets: BTreeMap<TargetId, Target>,
-    /// The places of `spare` are of lanes that were forgotten: nothing names them.
-    lanes: Vec<Lane>, spare: Vec<usize>,
-    /// When to look at a message again: its time is up, or its key has rested.
-    agenda: BTreeSet<(Micros, MessageId)>,
-    upkeep_at: Micros, span: f64, spread: f64, wake_at: Micros, armed: Micros,
-    calls_out: u32, next_call: u64, blocked: bool, stopping: Option<Micros>, list_version: u32, logged: u32,
-    /// Kinds of destination that have turned a connection away for want of room.
-    crowded: BTreeSet<usize>,
+    config: Settings,
+    now: Micros,
+    actions: Vec<Action>, // not returned yet
+    rng_state: u64,
+    messages: BTreeMap<MessageId, Message>,
+    keys: BTreeMap<u64, KeyQueue>, // by order key
+    destinations: BTreeMap<DestinationId, Destination>,
+    targets: BTreeMap<TargetId, Target>,
+    routes: Vec<Route>,
+    free_routes: Vec<usize>, // unused entries of `routes`, which nothing refers to
+    timers: BTreeSet<(Micros, MessageId)>, // when a message expires or the pause of its key is over
+    maintain_at: Micros,
+    span: f64,        // seconds over which arrivals are counted, decaying like them
+    pause: f64,       // pause after a rejection in microseconds, learned from the retries that follow
+    wake_at: Micros,  // when a route that takes no call now may take one
+    timer_at: Micros, // when the requested timer fires
+    in_flight: u32,
+    last_call: u64,
+    blocked: bool, // a message was ready in the last decision, but all slots were taken
+    stopping: Option<Micros>, // when the process ends
+    list_version: u32,
+    log_lines: u32,
+    crowded: BTreeSet<usize>, // kinds of destination that run out of connections
 }
 
 impl Brain {
-    /// A sender that has just come up.
+    /// Creates the scheduler of a sender that has just started.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Self {
-        let seed = seed ^ 0x9e37_79b9_7f4a_7c15;
-        let (upkeep_at, armed) = (now + UPKEEP, Micros::MAX);
-        let fresh = Brain { s: settings, seed, now, upkeep_at, armed, ..Brain::default() };
-        Brain { spread: fresh.even().min(fresh.least_aim()), ..fresh }
+        let rng_state = seed ^ 0x9e37_79b9_7f4a_7c15;
+        let (maintain_at, timer_at) = (now + MAINTENANCE, Micros::MAX);
+        let scheduler = Self { config: settings, rng_state, now, maintain_at, timer_at, ..Self::default() };
+        Self { pause: scheduler.safe_gap().min(scheduler.least_aim()), ..scheduler }
     }
 
-    /// Takes in one thing that happened. Sends are chosen in [`Brain::decide`].
+    /// Processes one event. [`Brain::decide`] chooses what is sent.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::List { kind, version, endpoints } => self.list(kind, version, endpoints),
+            Event::List { kind, version, endpoints } => self.update_list(kind, version, endpoints),
             Event::Request { id, class, destination, order_key, expires } => {
-                self.knock(id, Message::new(class, destination, order_key, expires));
+                self.admit(id, Message::new(class, destination, order_key, expires));
             }
-            Event::Restored { id, class, destination, order_key, expires, attempts, first_run: ran } => {
+            Event::Restored { id, class, destination, order_key, expires, attempts, first_run } => {
                 let m = Message::new(class, destination, order_key, expires);
-                self.restored(id, Message { attempts: Attempt::over(attempts), ran, ..m });
+                self.restore(id, Message { attempts: Attempt::completed(attempts), first_run, ..m });
             }
             Event::Stopping { by } => self.stopping = Some(by),
             Event::Started { id, .. } | Event::Lapsed { id } => self.finish(id),
             Event::Outcome { id, attempt, target, outcome, took, ended, wait, report, .. } => {
-                // Waits bind the lane, whatever has become of the message; none is shortened.
-                let lane = self.targets.get(&target).and_then(|t| self.lanes.get_mut(t.lane));
-                lane.into_iter().for_each(|l| l.wait_until = l.wait_until.max(now.saturating_add(wait)));
+                // A requested wait binds the route even if the message is gone; none is shortened.
+                let route = self.targets.get(&target).and_then(|t| self.routes.get_mut(t.route));
+                route.into_iter().for_each(|r| r.wait_until = r.wait_until.max(now.saturating_add(wait)));
                 let sent = now.saturating_sub(took);
-                let end = End { outcome, sent, wait, report, planned: false };
-                self.outcome(id, attempt as usize, end, ended)
+                let end = CallEnd { outcome, sent, wait, report, planned: false };
+                self.attempt_ended(id, attempt as usize, end, ended)
             }
-            Event::Timer { .. } if self.armed <= now => self.armed = Micros::MAX,
+            Event::Timer { .. } if self.timer_at <= now => self.timer_at = Micros::MAX,
             Event::Timer { .. } | Event::Peer { .. } | Event::Probed { .. } => {}
         }
-        out.append(&mut self.out);
+        out.append(&mut self.actions);
     }
 
-    /// Span between attempts of one sender at which all together bring a cold destination no harm.
-    fn even(&self) -> f64 {
-        f64::from(self.s.senders.max(1)) * self.s.rules.tip_after as f64 / SLACK
+    /// Interval between attempts of one sender at which all senders together do a cold destination no harm.
+    fn safe_gap(&self) -> f64 {
+        f64::from(self.config.senders.max(1)) * self.config.rules.tip_after as f64 / HARMLESS_CALLS
     }
 
-    /// Least span between attempts at a lane in trouble. Guards what is out, shut or cold against many
-    /// senders that each try seldom: each keeps to its part of what would push it over, by its own traffic,
-    /// evenly, or by the trouble's span, in which each message brought one sender at most. Harms if few came.
-    fn gap(&self, lane: usize, at: Micros) -> f64 {
-        let r = &self.s.rules;
-        let part = self.share(lane) * r.cold_from * r.tip_multiple.max(1.0) * RAMP_CAUTION / SECOND;
-        let since = at - self.lanes[lane].trouble.unwrap_or(at).min(at);
-        (1.0 / part.max(1e-12)).min(self.even()).min(TROUBLE_SPANS * since as f64)
+    /// Least interval between attempts on a failing route. It keeps many senders that each try rarely from
+    /// overloading a destination that is out, waiting or cold. Each keeps to its share of that load: by its
+    /// own traffic, evenly, or by the time of the failures, in which each message brought one sender at most.
+    /// The cost: needless waits if few came.
+    fn trial_gap(&self, route: usize, at: Micros) -> f64 {
+        let rules = &self.config.rules;
+        let own =
+            self.recovery_rate(route) * rules.cold_from * rules.tip_multiple.max(1.0) * SAFE_LOAD / SECOND;
+        let failing_for = at - self.routes[route].failing_since.unwrap_or(at).min(at);
+        (1.0 / own.max(1e-12)).min(self.safe_gap()).min(TRIAL_SPACING * failing_for as f64)
     }
 
-    /// Calls a second that count as its own at a lane in trouble or cold: its traffic, and of a fleet no more
-    /// than comes, with caution, to the limit for all together, however much more there is to send.
-    fn share(&self, lane: usize) -> f64 {
-        let part = self.lanes[lane].part;
-        self.own(lane).min(if part > 0.0 { part / RAMP_CAUTION } else { f64::MAX })
+    /// Calls a second that count as a sender's own on a failing or cold route: its traffic, and in a fleet at
+    /// most what adds up to the limit for all senders after the safety margin, however much more is waiting.
+    fn recovery_rate(&self, route: usize) -> f64 {
+        let fair_share = self.routes[route].fair_share;
+        self.arrival_rate(route).min(if fair_share > 0.0 { fair_share / SAFE_LOAD } else { f64::MAX })
     }
 
-    /// A message at the door: where clients heed waits it is refused if it would be late, or its destination
-    /// has its part of the room.
-    fn knock(&mut self, id: MessageId, m: Message) {
+    /// Admission control. If clients honour advised waits, a message is refused if it would be late, or if
+    /// its destination already holds its share of the places.
+    fn admit(&mut self, id: MessageId, m: Message) {
         let left = m.expires.saturating_sub(self.now) as f64;
-        self.heat(m.destination);
-        if let Some(d) = self.destinations.get(&m.destination).filter(|_| self.s.may_advise_wait) {
-            let mut outlook = self.outlook(d);
-            outlook.turn = self.turn(&m);
-            let ratio = overtaken(&d.mix, &self.s.classes);
-            let patience = self.s.classes.get(m.class).map_or(0, |c| c.patience);
-            let free = f64::from(self.s.max_held) * (1.0 - KEEP_FREE) - 2.0 - self.messages.len() as f64;
-            if left > 0.0 && outlook.refuses(ratio, left, patience, free) {
-                let retry_after = self.wait_told(outlook.wait());
-                return self.out.push(Action::Refuse { id, retry_after });
+        self.count_arrival(m.destination);
+        if let Some(d) = self.destinations.get(&m.destination).filter(|_| self.config.may_advise_wait) {
+            let mut estimate = self.wait_estimate(d);
+            estimate.key_wait = self.key_wait(&m);
+            let wait_factor = wait_factor(&d.class_mix, &self.config.classes);
+            let patience = self.config.classes.get(m.class).map_or(0, |c| c.patience);
+            let free = f64::from(self.config.max_held) * (1.0 - RESERVE) - 2.0 - self.messages.len() as f64;
+            if left > 0.0 && estimate.refuses(wait_factor, left, patience, free) {
+                let retry_after = self.jittered_wait(estimate.wait());
+                return self.actions.push(Action::Refuse { id, retry_after });
             }
         }
-        self.request(id, m);
+        self.accept(id, m);
     }
 
-    /// How what waits for a destination fares. Of routes apart the first to open counts.
-    fn outlook(&self, d: &Destination) -> Outlook {
-        let ready = |l: &Lane| {
-            l.targets.iter().any(|t| self.targets.get(t).is_some_and(|t| t.state == EndpointState::Ready))
+    /// The wait for a destination. Of several independent routes the first to become available counts.
+    fn wait_estimate(&self, d: &Destination) -> WaitEstimate {
+        let is_ready = |route: &Route| {
+            route.targets.iter().any(|t| self.targets.get(t).is_some_and(|t| t.state == EndpointState::Ready))
         };
-        let lanes = || d.lanes.iter().map(|lane| &self.lanes[*lane]).filter(|l| ready(l));
-        let shut = |l: &Lane| {
-            let out = l.trouble.filter(|_| matches!(l.gate, Gate::Out { .. }));
-            out.map_or(0, |since| self.now - since).max(l.wait_until.saturating_sub(self.now))
+        let ready_routes = || d.routes.iter().map(|id| &self.routes[*id]).filter(|route| is_ready(route));
+        let unavailable_for = |r: &Route| {
+            let out_since = r.failing_since.filter(|_| matches!(r.circuit, Circuit::Open { .. }));
+            out_since.map_or(0, |since| self.now - since).max(r.wait_until.saturating_sub(self.now))
         };
-        Outlook {
+        WaitEstimate {
             held: d.held,
-            served: lanes().map(Lane::serves).sum(),
-            behind: d.behind.map_or(0, |since| self.now - since),
-            shut: lanes().map(shut).min().unwrap_or(0),
-            turn: 0.0,
+            served_rate: ready_routes().map(Route::capacity).sum(),
+            backlog_for: d.backlog_since.map_or(0, |since| self.now - since),
+            unavailable_for: ready_routes().map(unavailable_for).min().unwrap_or(0),
+            key_wait: 0.0,
         }
     }
 
-    /// Microseconds that the messages before it in its key's line take at the least.
-    fn turn(&self, m: &Message) -> f64 {
-        let line = self.turns.get(&m.order_key).filter(|_| m.order_key != 0);
-        let lane = self.destinations.get(&m.destination).and_then(|d| self.lanes.get(*d.lanes.first()?));
-        line.zip(lane).map_or(0.0, |((line, _), l)| line.len() as f64 * l.times.mean())
+    /// Least time in microseconds that the earlier messages of the same order key take.
+    fn key_wait(&self, m: &Message) -> f64 {
+        let key_queue = self.keys.get(&m.order_key).filter(|_| m.order_key != 0);
+        let route = self.destinations.get(&m.destination).and_then(|d| self.routes.get(*d.routes.first()?));
+        key_queue.zip(route).map_or(0.0, |((waiting, _), r)| waiting.len() as f64 * r.latency.mean())
     }
 
-    /// When a client may come again for a destination, in microseconds: what is held for it has been served,
-    /// or some of the room is free. 0 where nothing tells, or no advice is heeded.
+    /// Time in microseconds after which a client may come back for a destination: what is held for it has
+    /// been served, or places are free. 0 if this is unknown, or if clients ignore advised waits.
     pub fn advice(&mut self, destination: DestinationId) -> Micros {
-        let wait = self.destinations.get(&destination).map_or(0.0, |d| self.outlook(d).wait());
-        let all: f64 = self.lanes.iter().map(Lane::serves).sum();
-        let room = KEEP_FREE * self.messages.len() as f64 / all * SECOND;
-        self.wait_told(if wait <= 0.0 && all > 0.0 { room } else { wait })
+        let wait = self.destinations.get(&destination).map_or(0.0, |d| self.wait_estimate(d).wait());
+        let capacity: f64 = self.routes.iter().map(Route::capacity).sum();
+        let until_free = RESERVE * self.messages.len() as f64 / capacity * SECOND;
+        self.jittered_wait(if wait <= 0.0 && capacity > 0.0 { until_free } else { wait })
     }
 
-    /// A wait as it is told: stretched a little at random, so that clients do not come back all at once.
-    fn wait_told(&mut self, wait: f64) -> Micros {
-        let most = if self.s.may_advise_wait { self.s.max_advised_wait } else { return 0 };
-        ((wait * (1.0 + TAU_JITTER * self.random())) as Micros).min(most)
+    /// Extends an advised wait a little at random, so that clients do not all come back at once.
+    fn jittered_wait(&mut self, wait: f64) -> Micros {
+        let longest = if self.config.may_advise_wait { self.config.max_advised_wait } else { return 0 };
+        ((wait * (1.0 + TAU_JITTER * self.random())) as Micros).min(longest)
     }
 
-    fn request(&mut self, id: MessageId, mut m: Message) {
+    /// Holds a message and queues it, unless its class is unknown or its time is up.
+    fn accept(&mut self, id: MessageId, mut m: Message) {
         let expires = m.expires;
         if self.messages.contains_key(&id) {
             return;
         }
-        let timely = expires > self.now || m.ran.is_some();
-        let Some(c) = self.s.classes.get(m.class).filter(|_| timely) else {
-            return self.out.push(Action::Refuse { id, retry_after: 0 });
+        let in_time = expires > self.now || m.first_run.is_some();
+        let Some(class) = self.config.classes.get(m.class).filter(|_| in_time) else {
+            return self.actions.push(Action::Refuse { id, retry_after: 0 });
         };
-        m.born = expires.saturating_sub(c.deadline);
-        m.order_key *= u64::from(c.in_order);
+        m.accepted = expires.saturating_sub(class.deadline);
+        m.order_key *= u64::from(class.in_order);
         let order_key = m.order_key;
         let d = self.destinations.entry(m.destination).or_default();
         d.held += 1;
-        d.mix.resize(self.s.classes.len(), 0.0);
-        d.mix.iter_mut().for_each(|part| *part *= MIX_KEEP);
-        d.mix[m.class] += 1.0;
+        d.class_mix.resize(self.config.classes.len(), 0.0);
+        d.class_mix.iter_mut().for_each(|part| *part *= MIX_DECAY);
+        d.class_mix[m.class] += 1.0;
         self.messages.insert(id, m);
-        self.agenda.insert((self.give_up_at(expires), id));
+        self.timers.insert((self.give_up_at(expires), id));
         if order_key != 0 {
-            self.turns.entry(order_key).or_default().0.push_back(id);
+            self.keys.entry(order_key).or_default().0.push_back(id);
         }
         self.enqueue(id);
         self.make_room();
     }
 
-    /// Takes a message over from before a restart. Calls that it cut off may run on: the key rests. What may
-    /// not be sent again, as unsafe ones that may have run, ends at once.
-    fn restored(&mut self, id: MessageId, m: Message) {
-        if self.s.classes.get(m.class).is_some_and(|c| c.in_order) && m.order_key != 0 {
-            self.turns.entry(m.order_key).or_default().1 = self.now + self.s.rules.order_pause;
+    /// Takes over a message from before a restart. Calls that were cut off may still run, so the key is
+    /// paused. What may not be sent again, such as an at-most-once message that may have run, ends.
+    fn restore(&mut self, id: MessageId, m: Message) {
+        if self.config.classes.get(m.class).is_some_and(|c| c.in_order) && m.order_key != 0 {
+            self.keys.entry(m.order_key).or_default().1 = self.now + self.config.rules.order_pause;
         }
-        self.heat(m.destination);
-        self.request(id, m);
-        if self.messages.get(&id).is_some_and(|m| !self.allowed(m).0) {
+        self.count_arrival(m.destination);
+        self.accept(id, m);
+        if self.messages.get(&id).is_some_and(|m| !self.permissions(m).0) {
             self.give_up(id);
         }
     }
 
-    /// Guards the room against a backlog for one destination, whatever holds it up, that would turn all else
-    /// away: of the longest queue the message of least worth goes. Harms a backlog about to move.
+    /// Load shedding: keeps the backlog of one destination from shutting out all others, whatever its cause.
+    /// Ends the message of least worth in the longest queue. The cost: it may have been about to go.
     fn make_room(&mut self) {
-        let room = (f64::from(self.s.max_held) * KEEP_FREE).ceil() as usize + 1;
-        if self.messages.len() + room <= self.s.max_held as usize {
+        let reserve = (f64::from(self.config.max_held) * RESERVE).ceil() as usize + 1;
+        if self.messages.len() + reserve <= self.config.max_held as usize {
             return;
         }
         let longest =
             self.destinations.values().max_by_key(|d| d.ready.values().map(BTreeSet::len).sum::<usize>());
-        let oldest = longest.into_iter().flat_map(|d| &d.ready).filter_map(|((c, _), set)| {
-            let (born, id) = set.first()?;
-            Some((self.value(*c, self.now.saturating_sub(*born) as f64), *id))
+        let oldest = longest.into_iter().flat_map(|d| &d.ready).filter_map(|((class, _), set)| {
+            let (accepted, id) = set.first()?;
+            Some((self.value(*class, self.now.saturating_sub(*accepted) as f64), *id))
         });
         if let Some((_, id)) = oldest.min_by(|a, b| a.0.total_cmp(&b.0)) {
             self.give_up(id);
         }
     }
 
-    // A little before its time, so that the answer counts.
+    /// When to give up: a little before the message expires, so that the outcome still counts.
     fn give_up_at(&self, expires: Micros) -> Micros {
-        expires.saturating_sub(2 * self.s.tick)
-    }
-
-    /// The one place that says what may follow for a message, from its class and its attempts' outcomes:
-    /// whether it may be sent, the zone (plus one) that binds it, and whether it may be refused.
-    fn allowed(&self, m: &Message) -> (bool, u32, bool) {
-        let c = &self.s.classes[m.class];
-        let out = m.attempts.iter().any(|a| a.done.is_none());
-        let tries_left = m.attempts.len() < self.s.max_attempts.max(1) as usize;
-        let open = !m.over && !out && tries_left && m.expires > self.now;
-        let Some((_, zone)) = m.ran else { return (open, 0, !m.over) };
-        match c.effect {
-            Effect::Repeatable => (open, 0, !m.over),
+        expires.saturating_sub(2 * self.config.tick)
+    }
+
+    /// What may follow for a message, from its class and the outcomes of its attempts; nothing else decides
+    /// this: whether it may be sent, the zone (plus one) that binds it, and whether it may be refused.
+    fn permissions(&self, m: &Message) -> (bool, u32, bool) {
+        let class = &self.config.classes[m.class];
+        let in_flight = m.attempts.iter().any(|a| a.outcome.is_none());
+        let tries_left = m.attempts.len() < self.config.max_attempts.max(1) as usize;
+        let may_send = !m.ended && !in_flight && tries_left && m.expires > self.now;
+        let Some((_, zone)) = m.first_run else { return (may_send, 0, !m.ended) };
+        match class.effect {
+            Effect::Repeatable => (may_send, 0, !m.ended),
             Effect::Keyed => {
-                let all = c.group == Group::All;
-                (open && self.now < self.called_off(m), if all { 0 } else { zone + 1 }, !m.over && all)
+                let all = class.group == Group::All;
+                (may_send && self.now < self.cutoff(m), if all { 0 } else { zone + 1 }, !m.ended && all)
             }
             Effect::Unsafe => (false, 0, false),
         }
     }
 
-    /// By when its next attempt is called off: its time is up, or its destination forgets the key of one that
-    /// may have run. Guards against a connection that comes up late, or bytes that a cut line holds back.
-    /// Harms repeats that would have been answered just past it.
-    fn called_off(&self, m: &Message) -> Micros {
-        let c = &self.s.classes[m.class];
-        let forgets = m.ran.filter(|_| c.effect == Effect::Keyed).map(|(at, _)| at + c.window);
-        forgets.map_or(m.expires, |at| m.expires.min(at.saturating_sub(self.s.tick)))
+    /// When the next attempt is cancelled: the message expires, or its destination forgets the key of an
+    /// attempt that may have run. Guards against connections that come up late and bytes that a broken line
+    /// delivers late. The cost: repeats that would have been answered just after it.
+    fn cutoff(&self, m: &Message) -> Micros {
+        let c = &self.config.classes[m.class];
+        let forgotten = m.first_run.filter(|_| c.effect == Effect::Keyed).map(|(at, _)| at + c.window);
+        forgotten.map_or(m.expires, |at| m.expires.min(at.saturating_sub(self.config.tick)))
     }
 
-    /// Puts a message among those ready to go, if it may be sent and has the turn of its key.
+    /// Queues a message that may be sent and is the first of its order key.
     fn enqueue(&mut self, id: MessageId) {
         let Some(m) = self.messages.get(&id).filter(|m| m.queue.is_none()) else { return };
-        let (true, zone, _) = self.allowed(m) else { return };
-        match self.turns.get(&m.order_key) {
-            Some((line, _)) if line.front() != Some(&id) => return,
-            Some((_, rest)) if *rest > self.now && m.attempts.is_empty() => {
-                self.agenda.insert((*rest, id));
+        let (true, zone, _) = self.permissions(m) else { return };
+        match self.keys.get(&m.order_key) {
+            Some((waiting, _)) if waiting.front() != Some(&id) => return,
+            Some((_, paused_until)) if *paused_until > self.now && m.attempts.is_empty() => {
+                self.timers.insert((*paused_until, id));
                 return;
             }
             _ => {}
         }
         let retry = if m.attempts.is_empty() { 0 } else { RETRY };
-        let (queue, born) = ((m.class, zone | retry), m.born);
+        let (queue, accepted) = ((m.class, zone | retry), m.accepted);
         let d = self.destinations.entry(m.destination).or_default();
-        d.ready.entry(queue).or_default().insert((born, id));
+        d.ready.entry(queue).or_default().insert((accepted, id));
         self.messages.entry(id).and_modify(|m| m.queue = Some(queue));
     }
 
-    /// Ends a message that is not (or no longer) out: refused where that is true to the client, else failed.
+    /// Ends a message without attempts in flight: refused if it may be submitted again, otherwise failed.
     fn give_up(&mut self, id: MessageId) {
-        let Some(m) = self.messages.get(&id).filter(|m| !m.over) else { return };
-        let (refuse, destination) = (self.allowed(m).2, m.destination);
-        let retry_after = if refuse { self.advice(destination) } else { 0 };
-        self.out.push(if refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        let Some(m) = self.messages.get(&id).filter(|m| !m.ended) else { return };
+        let (may_refuse, destination) = (self.permissions(m).2, m.destination);
+        let retry_after = if may_refuse { self.advice(destination) } else { 0 };
+        self.actions.push(if may_refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.finish(id);
     }
 
-    fn outcome(&mut self, id: MessageId, attempt: usize, mut end: End, ended: bool) {
+    /// Processes the outcome of an attempt.
+    fn attempt_ended(&mut self, id: MessageId, number: usize, mut end: CallEnd, ended: bool) {
         let Some(m) = self.messages.get_mut(&id) else { return };
-        let Some(a) = m.attempts.get_mut(attempt).filter(|a| a.done.is_none()) else { return };
+        let Some(attempt) = m.attempts.get_mut(number).filter(|a| a.outcome.is_none()) else { return };
         let outcome = end.outcome;
-        a.done = Some(outcome);
-        let (target, call) = (a.target, a.call);
-        end.planned = a.planned && outcome == Outcome::TimedOut;
+        attempt.outcome = Some(outcome);
+        let (target, call) = (attempt.target, attempt.call);
+        end.planned = attempt.planned && outcome == Outcome::TimedOut;
         (outcome == Outcome::HeldBack).then(|| m.attempts.pop());
-        if m.attempts.iter().all(|a| a.done.is_some_and(|o| !o.may_have_run())) {
-            m.ran = None;
+        if m.attempts.iter().all(|a| a.outcome.is_some_and(|o| !o.may_have_run())) {
+            m.first_run = None;
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::Spoilt) {
-            if let Some(turns) = self.turns.get_mut(&m.order_key) {
-                turns.1 = turns.1.max(self.now + self.s.rules.order_pause);
+            if let Some(key_queue) = self.keys.get_mut(&m.order_key) {
+                key_queue.1 = key_queue.1.max(self.now + self.config.rules.order_pause);
             }
         }
-        if let Some(lane) = self.targets.get(&target).map(|t| t.lane) {
-            let l = &mut self.lanes[lane];
-            // The messages of a call share its fate: it is judged, and its slot free, with the last of them.
-            let done = l.calls.get_mut(&call).is_some_and(|c| {
-                c.messages.retain(|m| m.0 != id);
-                end.sent = c.sent;
-                c.messages.is_empty()
+        if let Some(route) = self.targets.get(&target).map(|t| t.route) {
+            let r = &mut self.routes[route];
+            // The messages of a call share its outcome: the last of them counts it and frees the slot.
+            let call_ended = r.calls.get_mut(&call).is_some_and(|call| {
+                call.messages.retain(|entry| entry.0 != id);
+                end.sent = call.sent;
+                call.messages.is_empty()
             });
-            if done {
-                l.calls.remove(&call);
-                self.calls_out -= 1;
+            if call_ended {
+                r.calls.remove(&call);
+                self.in_flight -= 1;
                 if !matches!(outcome, Outcome::NotSent | Outcome::HeldBack | Outcome::Cancelled) {
-                    self.judge(lane, target, &end);
+                    self.update_route(route, target, &end);
                 }
             }
         }
         let Some(m) = self.messages.get(&id) else { return };
-        if ended || m.over || outcome == Outcome::Ok {
+        if ended || m.ended || outcome == Outcome::Ok {
             self.finish(id);
-        } else if m.attempts.iter().all(|a| a.done.is_some()) {
-            if self.allowed(m).0 && self.now < self.give_up_at(m.expires) {
+        } else if m.attempts.iter().all(|a| a.outcome.is_some()) {
+            if self.permissions(m).0 && self.now < self.give_up_at(m.expires) {
                 if outcome == Outcome::NotSent {
-                    // What kept it back may last: at once again and again would use up its attempts.
-                    let pause = self.s.tick << m.attempts.len().min(8);
-                    self.agenda.insert((self.now + pause, id));
+                    // The cause may persist, and immediate retries would use up all attempts.
+                    let pause = self.config.tick << m.attempts.len().min(8);
+                    self.timers.insert((self.now + pause, id));
                 } else {
                     self.enqueue(id);
                 }
@@ -404,527 +404,536 @@
         }
     }
 
-    /// Draws the conclusions of one call's end for its lane.
-    fn judge(&mut self, lane: usize, target: TargetId, end: &End) {
-        let End { outcome, sent, report, planned, .. } = *end;
+    /// Updates a route after a call has ended.
+    fn update_route(&mut self, route: usize, target: TargetId, end: &CallEnd) {
+        let CallEnd { outcome, sent, report, planned, .. } = *end;
         let jitter = 1.0 + self.random();
         let least_aim = self.least_aim();
-        let least_pace = f64::from(self.s.max_attempts) * SECOND / self.longest_deadline();
-        let (own, gap) = (self.own(lane), self.gap(lane, self.now.max(self.lanes[lane].wait_until)));
-        if self.lanes[lane].full_run > 0 && matches!(outcome, Outcome::Ok | Outcome::Full) {
-            self.spread *= if outcome == Outcome::Ok { SPREAD_DOWN } else { SPREAD_UP };
-            self.spread = self.spread.min(self.even()).min(self.longest_deadline()).max(UPKEEP as f64);
-        }
-        let (spread, even, half_aim) = (self.spread, self.even(), least_aim / 2.0);
-        let l = &mut self.lanes[lane];
-        if let Some(r) = report.filter(|r| r.rate > 0.0) {
-            l.limit_is(r.rate, self.s.senders, least_aim / SECOND);
-            l.reported = true;
-        }
-        l.judged = self.now;
-        let (was, fleet) = (l.gate, l.part > 0.0);
+        let least_pace = f64::from(self.config.max_attempts) * SECOND / self.longest_deadline();
+        let (own, gap) =
+            (self.arrival_rate(route), self.trial_gap(route, self.now.max(self.routes[route].wait_until)));
+        if self.routes[route].rejections > 0 && matches!(outcome, Outcome::Ok | Outcome::Full) {
+            self.pause *= if outcome == Outcome::Ok { PAUSE_DOWN } else { PAUSE_UP };
+            self.pause = self.pause.min(self.safe_gap()).min(self.longest_deadline()).max(MAINTENANCE as f64);
+        }
+        let (learned, safe_gap, half_aim) = (self.pause, self.safe_gap(), least_aim / 2.0);
+        let r = &mut self.routes[route];
+        if let Some(limit) = report.filter(|r| r.rate > 0.0) {
+            r.set_limit(limit.rate, self.config.senders, least_aim / SECOND);
+            r.reported = true;
+        }
+        r.last_end = self.now;
+        let (before, fleet) = (r.circuit, r.fair_share > 0.0);
         match outcome {
             Outcome::Ok => {
-                l.times.answered((self.now - sent) as f64);
-                l.evidence.answered(sent, self.now);
-                let part = if l.evidence.is_lossy() { 0.5 } else { DESTINATION_SHARE };
-                let more = if l.evidence.on_trial(self.now) { 0.0 } else { 1.0 };
-                l.window = (l.window + more).min((f64::from(self.s.slots) * part).floor().max(1.0));
-                l.budget = (l.budget + RESEND_SHARE).min(RESEND_SAVED);
-                l.rate += (1.0 - RATE_KEEP) * SECOND / UPKEEP as f64;
-                let left = report.filter(|r| r.rate > 0.0).map_or(0.3, |r| r.share_left);
+                r.latency.record_answer((self.now - sent) as f64);
+                r.detector.record_answer(sent, self.now);
+                let share = if r.detector.is_lossy() { 0.5 } else { SLOT_SHARE };
+                let step = if r.detector.window_on_trial(self.now) { 0.0 } else { 1.0 };
+                r.window = (r.window + step).min((f64::from(self.config.slots) * share).floor().max(1.0));
+                r.resends = (r.resends + RESENDS_PER_ANSWER).min(SAVED_RESENDS);
+                r.served_rate += (1.0 - RATE_DECAY) * SECOND / MAINTENANCE as f64;
+                let remaining_share = report.filter(|r| r.rate > 0.0).map_or(0.3, |r| r.share_left);
                 if fleet {
-                    l.served_in_fleet(left, self.now);
+                    r.served_in_fleet(remaining_share, self.now);
                 } else {
-                    l.pace *= 1.0 + PACE_UP * (2.0 * left).min(1.0);
-                    if l.limit > 0.0 {
-                        l.pace = l.pace.min(l.limit);
-                    } else if l.pace > 4.0 * own.max(1.0) {
-                        l.pace = 0.0;
+                    r.pace *= 1.0 + PACE_GAIN * (2.0 * remaining_share).min(1.0);
+                    if r.limit > 0.0 {
+                        r.pace = r.pace.min(r.limit);
+                    } else if r.pace > 4.0 * own.max(1.0) {
+                        r.pace = 0.0;
                     }
                 }
-                (l.full_run, l.last_ok) = (0, self.now);
-                // One answer is enough in a fleet, which goes on slowly: a row of trials of each is a burst.
-                (fleet && matches!(l.gate, Gate::Out { .. })).then(|| l.evidence.was_never_out(self.now));
-                let out = l.evidence.is_out(self.now);
-                let trouble = if out { l.trouble } else { l.trouble.take() };
-                let suspicion = trouble.is_some_and(|t| self.now < t + SUSPICION);
-                let usual = (self.now - sent) as f64 <= l.times.longest();
-                let short = trouble.is_some_and(|t| self.now < t + 2 * self.s.rules.tip_after);
-                l.gate = match l.gate {
-                    Gate::Out { .. } if out => Gate::Out { next: self.now, backoff: l.times.mean() },
-                    Gate::Out { .. } if suspicion && usual => {
-                        // It was never out: half of what it took a moment ago, and the rest as it is served.
-                        l.window = l.window.max(l.window_before / 2.0);
-                        l.evidence.was_never_out(self.now);
-                        Gate::Open
+                (r.rejections, r.last_ok) = (0, self.now);
+                // In a fleet one answer is enough, as each goes on slowly: several trials each are a burst.
+                (fleet && matches!(r.circuit, Circuit::Open { .. })).then(|| r.detector.retract(self.now));
+                let out = r.detector.is_out(self.now);
+                let since = if out { r.failing_since } else { r.failing_since.take() };
+                let brief = since.is_some_and(|t| self.now < t + FALSE_SUSPICION);
+                let usual_latency = (self.now - sent) as f64 <= r.latency.longest();
+                let warm = since.is_some_and(|t| self.now < t + 2 * self.config.rules.tip_after);
+                r.circuit = match r.circuit {
+                    Circuit::Open { .. } if out => {
+                        Circuit::Open { next: self.now, backoff: r.latency.mean() }
                     }
-                    Gate::Out { .. } if short => Gate::Open,
-                    Gate::Out { .. } => Gate::Ramp { since: self.now },
+                    Circuit::Open { .. } if brief && usual_latency => {
+                        // A false suspicion: half of the window at once, the rest as calls are served.
+                        r.window = r.window.max(r.window_before / 2.0);
+                        r.detector.retract(self.now);
+                        Circuit::Closed
+                    }
+                    Circuit::Open { .. } if warm => Circuit::Closed,
+                    Circuit::Open { .. } => Circuit::SlowStart { since: self.now },
                     other => other,
                 };
             }
             Outcome::Full => {
-                l.full_run += 1;
-                l.trouble.get_or_insert(self.now);
-                let due = l.halve(sent, self.now);
-                let run = f64::from(l.full_run.min(6));
-                let pause = (l.times.mean() * jitter * run).min(half_aim);
-                l.wait_until = l.wait_until.max(self.now + pause as Micros);
+                r.rejections += 1;
+                r.failing_since.get_or_insert(self.now);
+                let halved = r.halve_window(sent, self.now);
+                let run = f64::from(r.rejections.min(6));
+                let pause = (r.latency.mean() * jitter * run).min(half_aim);
+                r.wait_until = r.wait_until.max(self.now + pause as Micros);
                 if fleet {
-                    // Many senders that keep to their parts need not stay away for long besides.
-                    l.refused_in_fleet(2.0 - jitter, self.now);
+                    // Senders that keep to their shares need no long pause in addition.
+                    r.rejected_in_fleet(2.0 - jitter, self.now);
                 } else {
-                    if due && (l.full_run > 1 || l.pace + l.limit + end.wait as f64 > 0.0) {
-                        // One alone is no limit yet where none is known. Never under what is being served.
-                        let first = l.window * SECOND / l.times.mean().max(1e3);
-                        let down = if l.pace > 0.0 { l.pace * PACE_DOWN } else { first };
-                        l.pace = down.max(l.rate).max(least_pace);
+                    if halved && (r.rejections > 1 || r.pace + r.limit + end.wait as f64 > 0.0) {
+                        // One rejection alone reveals no limit. The pace stays above the served rate.
+                        let initial = r.window * SECOND / r.latency.mean().max(1e3);
+                        let lowered = if r.pace > 0.0 { r.pace * PACE_CUT } else { initial };
+                        r.pace = lowered.max(r.served_rate).max(least_pace);
                     }
-                    let more = (jitter - 1.0) * gap.max(spread * run).min(even) - half_aim;
-                    l.wait_until += more.max(0.0) as Micros;
+                    let extension = (jitter - 1.0) * gap.max(learned * run).min(safe_gap) - half_aim;
+                    r.wait_until += extension.max(0.0) as Micros;
                 }
             }
             Outcome::Spoilt => {
-                l.evidence.spoilt(self.now);
-                l.last_ok = self.now;
-                l.trouble = l.trouble.or(l.evidence.is_lossy().then_some(sent));
+                r.detector.record_unreadable(self.now);
+                r.last_ok = self.now;
+                r.failing_since = r.failing_since.or(r.detector.is_lossy().then_some(sent));
             }
             _ => {
-                if l.gate == Gate::Open && (outcome != Outcome::Error) {
-                    l.times.unanswered(planned);
+                if r.circuit == Circuit::Closed && (outcome != Outcome::Error) {
+                    r.latency.record_unanswered(planned);
                 }
                 if planned {
-                    l.budget -= 1.0;
+                    r.resends -= 1.0;
                 } else {
-                    l.evidence.failed(sent, self.now);
-                    l.trouble.get_or_insert(sent);
-                    let due = outcome != Outcome::Error && l.halved <= sent;
-                    let _ = due && l.evidence.asks_for_cut(self.now) && l.halve(sent, self.now);
+                    r.detector.record_failure(sent, self.now);
+                    r.failing_since.get_or_insert(sent);
+                    let may_halve = outcome != Outcome::Error && r.halved_at <= sent;
+                    let _ = may_halve && r.detector.should_cut(self.now) && r.halve_window(sent, self.now);
                 }
             }
         }
-        let fails = !matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Spoilt) && !planned;
-        l.may_have_run = if fails { outcome != Outcome::ConnectFailed } else { l.may_have_run };
-        match l.gate {
-            Gate::Out { .. } if outcome == Outcome::Ok => {}
-            Gate::Out { backoff, .. } => {
-                l.gate = Gate::Out { next: self.now + (backoff.max(gap) * jitter * 0.75) as Micros, backoff };
+        let failed = !matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Spoilt) && !planned;
+        r.may_have_run = if failed { outcome != Outcome::ConnectFailed } else { r.may_have_run };
+        match r.circuit {
+            Circuit::Open { .. } if outcome == Outcome::Ok => {}
+            Circuit::Open { backoff, .. } => {
+                r.circuit =
+                    Circuit::Open { next: self.now + (backoff.max(gap) * jitter * 0.75) as Micros, backoff };
+            }
+            _ if r.detector.is_out(self.now) || end.wait > self.config.rules.tip_after => {
+                self.open_circuit(route)
             }
-            _ if l.evidence.is_out(self.now) || end.wait > self.s.rules.tip_after => self.shut(lane),
             _ => {}
         }
-        // Idle connections fill the table of an endpoint that takes few, or are dropped unseen: closed after
-        // use where one was denied or this sender comes seldom. Costs a handshake if the next call was near.
-        // A refusal without a report, where others have one, is a table filled by a fleet. Who holds a place
-        // there never meets one, so it counts for all destinations of the kind.
-        let reports = self.s.senders >= FLEET && self.lanes.iter().any(|l| l.reported);
-        let l = &self.lanes[lane];
-        let no_room = reports && outcome == Outcome::Full && report.is_none() && end.wait == 0;
-        if no_room && self.crowded.insert(l.kind) {
-            let same = self.targets.iter().filter(|(_, t)| self.lanes[t.lane].kind == l.kind);
-            self.out.extend(same.map(|(id, _)| Action::CloseIdle { target: *id }));
-        }
-        let seldom = (l.heat - 1.0) * self.s.connection_idle as f64 / SECOND <= self.span;
+        // Idle connections fill the table of an endpoint that accepts few, or are dropped unnoticed. They are
+        // closed after use if a connection failed there or this sender comes rarely, at the cost of a
+        // handshake. A rejection without a limit report, where others have one, means a table that a fleet
+        // has filled. Senders with a connection never see one, so it applies to all destinations of the kind.
+        let reports = self.config.senders >= FLEET && self.routes.iter().any(|r| r.reported);
+        let r = &self.routes[route];
+        let connections_full = reports && outcome == Outcome::Full && report.is_none() && end.wait == 0;
+        if connections_full && self.crowded.insert(r.kind) {
+            let same_kind = self.targets.iter().filter(|(_, t)| self.routes[t.route].kind == r.kind);
+            self.actions.extend(same_kind.map(|(id, _)| Action::CloseIdle { target: *id }));
+        }
+        let rare = (r.arrivals - 1.0) * self.config.connection_idle as f64 / SECOND <= self.span;
         if let Some(t) = self.targets.get_mut(&target) {
-            // One endpoint of several may be out alone: it rests while the others serve.
-            t.avoid_until = if fails || no_room { self.now + least_aim as Micros } else { 0 };
-            t.denied |= outcome == Outcome::ConnectFailed;
-            let last = outcome != Outcome::ConnectFailed && !l.calls.values().any(|c| c.target == target);
-            let short = t.denied || self.crowded.contains(&l.kind) || seldom && outcome == Outcome::Ok;
-            self.out.extend((last && short).then_some(Action::CloseIdle { target }));
+            // One of several endpoints may be out alone: it is avoided while the others serve.
+            t.avoid_until = if failed || connections_full { self.now + least_aim as Micros } else { 0 };
+            t.connect_failed |= outcome == Outcome::ConnectFailed;
+            let idle = outcome != Outcome::ConnectFailed && !r.calls.values().any(|c| c.target == target);
+            let close = t.connect_failed || self.crowded.contains(&r.kind) || rare && outcome == Outcome::Ok;
+            self.actions.extend((idle && close).then_some(Action::CloseIdle { target }));
         }
-        let back = was != self.lanes[lane].gate && matches!(self.lanes[lane].gate, Gate::Ramp { .. });
-        back.then(|| self.log(format!("destination of {target} answers again: slow start")));
+        let recovered = before != self.routes[route].circuit
+            && matches!(self.routes[route].circuit, Circuit::SlowStart { .. });
+        recovered.then(|| self.log(format!("destination of target {target} answers again: slow start")));
     }
 
-    /// A destination looks out: nothing but single trials until one is answered.
-    fn shut(&mut self, lane: usize) {
+    /// Opens the circuit of a route: only single trials until one is answered.
+    fn open_circuit(&mut self, route: usize) {
         let least_aim = self.least_aim();
-        let start = self.now.max(self.lanes[lane].wait_until);
-        let (jitter, gap) = (0.5 + self.random(), self.gap(lane, start));
-        let l = &mut self.lanes[lane];
-        l.evidence.found_out();
-        // Where calls were many a wrong verdict costs as many: the first trial tells soon.
-        let least = least_aim / 10.0 / l.evidence.many_before();
-        let backoff = (2.0 * l.times.mean()).clamp(least, least_aim / 4.0);
-        l.gate = Gate::Out { next: start + (backoff.max(gap) * jitter) as Micros, backoff };
-        l.window_before = l.window;
-        (l.trouble, l.window) = (l.trouble.or(Some(self.now)), 1.0);
-        let name = l.targets.first().copied().unwrap_or(0);
-        self.out.push(Action::FoundOut { target: name });
-        self.log(format!("destination of {name} looks out: single trials"));
-    }
-
-    /// Calls are out far past the usual time and none has been answered since. The next answer opens again.
-    fn silent(&self, lane: usize) -> Option<Micros> {
-        let l = &self.lanes[lane];
-        let (_, oldest) = l.calls.iter().find(|(_, c)| c.sent >= l.last_ok && !c.trial)?;
+        let start = self.now.max(self.routes[route].wait_until);
+        let (jitter, trial_gap) = (0.5 + self.random(), self.trial_gap(route, start));
+        let r = &mut self.routes[route];
+        r.detector.record_outage();
+        // At high call rates a false verdict costs many messages: the first trial goes out sooner.
+        let least_backoff = least_aim / 10.0 / r.detector.rate_factor_before();
+        let backoff = (2.0 * r.latency.mean()).clamp(least_backoff, least_aim / 4.0);
+        r.circuit = Circuit::Open { next: start + (backoff.max(trial_gap) * jitter) as Micros, backoff };
+        r.window_before = r.window;
+        (r.failing_since, r.window) = (r.failing_since.or(Some(self.now)), 1.0);
+        let first = r.targets.first().copied().unwrap_or(0);
+        self.actions.push(Action::FoundOut { target: first });
+        self.log(format!("destination of target {first} is out: sending single trials"));
+    }
+
+    /// Since when calls have been overdue, with no answer since. The next answer closes the circuit again.
+    fn silent_since(&self, route: usize) -> Option<Micros> {
+        let r = &self.routes[route];
+        let (_, oldest) = r.calls.iter().find(|(_, call)| call.sent >= r.last_ok && !call.trial)?;
         let age = (self.now - oldest.sent) as f64;
-        let mean = l.times.mean();
-        if age > self.patience(l) {
+        let mean = r.latency.mean();
+        if age > self.overdue_age(r) {
             return Some(oldest.sent);
         }
-        let calls = l.calls.values().filter(|c| c.sent >= l.last_ok);
-        let waited: f64 = calls.map(|c| (self.now - c.sent) as f64).sum();
-        let unlikely = (l.times.tau > 0.0) && waited > SILENCE_MEANS * mean && age > 3.0 * mean;
+        let calls = r.calls.values().filter(|call| call.sent >= r.last_ok);
+        let total_wait: f64 = calls.map(|call| (self.now - call.sent) as f64).sum();
+        let unlikely = (r.latency.tau > 0.0) && total_wait > SILENCE_MEANS * mean && age > 3.0 * mean;
         unlikely.then_some(oldest.sent)
     }
 
-    /// Age at which a call is past all that is usual; longer where little has been answered yet.
-    fn patience(&self, l: &Lane) -> f64 {
-        let (t, long) = (&l.times, l.times.longest());
-        match t.tau > 0.0 {
-            true => (1.25 * long).max(4.0 * t.mean()),
-            false => (3.0 * long).max(self.least_aim()),
+    /// Age at which a call is overdue, in microseconds; longer while few answers are known.
+    fn overdue_age(&self, r: &Route) -> f64 {
+        let (latency, longest) = (&r.latency, r.latency.longest());
+        match latency.tau > 0.0 {
+            true => (1.25 * longest).max(4.0 * latency.mean()),
+            false => (3.0 * longest).max(self.least_aim()),
         }
     }
 
-    /// Whether a lane takes a call now, and whether as a trial; if not, when to look again.
-    fn can_call(&mut self, lane: usize, cap: u32) -> Result<bool, Micros> {
-        let (own, aim, draw) = (self.share(lane), self.least_aim(), self.placed(self.now));
-        let usual = self.patience(&self.lanes[lane]) as Micros;
-        if self.stopping.is_some_and(|by| self.now + usual > by) {
-            return Err(Micros::MAX); // it would be cut off, and may have run
+    /// Whether a route takes a call now, and whether as a trial; if not, when to check again.
+    fn can_call(&mut self, route: usize, cap: u32) -> Result<bool, Micros> {
+        let (own, aim, draw) = (self.recovery_rate(route), self.least_aim(), self.uniform_draw(self.now));
+        let longest_usual = self.overdue_age(&self.routes[route]) as Micros;
+        if self.stopping.is_some_and(|by| self.now + longest_usual > by) {
+            return Err(Micros::MAX); // the call would be cut off, and may have run
         }
-        let r = &self.s.rules;
-        let l = &mut self.lanes[lane];
-        let (mut rate, mut depth) = (l.pace, (l.pace / 2.0).max(1.0));
-        let start = if let Gate::Out { next, .. } = l.gate { next } else { 0 }.max(l.wait_until);
+        let rules = &self.config.rules;
+        let r = &mut self.routes[route];
+        let (mut rate, mut burst) = (r.pace, (r.pace / 2.0).max(1.0));
+        let start = if let Circuit::Open { next, .. } = r.circuit { next } else { 0 }.max(r.wait_until);
         if start > self.now {
             return Err(start);
         }
-        if let Gate::Ramp { since } = l.gate {
-            // This sender's part of a cautious share of what would push it over, rising over the ramp. Does
-            // harm where the destination was not cold.
-            let part = ((self.now - since) as f64 / r.ramp_time.max(1) as f64).min(1.0);
-            let warm = r.cold_from + (1.0 - r.cold_from) * part;
-            // What it served lately it can do, also where clients come less often meanwhile.
-            let own = own.max(if l.before > MANY && l.part <= 0.0 { l.before } else { 0.0 });
-            let capacity = own.max(l.limit.max(LEAST_TOGETHER) / f64::from(self.s.senders.max(1)));
-            (rate, depth) = (capacity * warm * r.tip_multiple.max(1.0) * RAMP_CAUTION, 1.0);
+        if let Circuit::SlowStart { since } = r.circuit {
+            // This sender's share of a safe part of the load that would overload the destination, rising over
+            // the slow start. Needlessly slow if the destination was not cold.
+            let progress = ((self.now - since) as f64 / rules.ramp_time.max(1) as f64).min(1.0);
+            let warm_share = rules.cold_from + (1.0 - rules.cold_from) * progress;
+            // What it served lately it can still do, also if clients come less often meanwhile.
+            let own = own.max(if r.peak_rate > HIGH_RATE && r.fair_share <= 0.0 { r.peak_rate } else { 0.0 });
+            let capacity = own.max(r.limit.max(MIN_RATE) / f64::from(self.config.senders.max(1)));
+            (rate, burst) = (capacity * warm_share * rules.tip_multiple.max(1.0) * SAFE_LOAD, 1.0);
         }
         let refill =
-            if rate > 0.0 { rate * self.now.saturating_sub(l.filled) as f64 / SECOND } else { f64::MAX };
-        l.tokens = (l.tokens + refill).min(depth);
-        l.rested_in_fleet(rate, aim, draw, self.now);
-        l.filled = self.now;
-        match l.gate {
-            Gate::Out { .. } => Ok(true),
-            _ if rate > 0.0 && l.tokens < 1.0 => {
-                Err(self.now + ((1.0 - l.tokens) / rate.max(1e-9) * SECOND) as Micros + 1)
+            if rate > 0.0 { rate * self.now.saturating_sub(r.filled) as f64 / SECOND } else { f64::MAX };
+        r.tokens = (r.tokens + refill).min(burst);
+        r.resumed_in_fleet(rate, aim, draw, self.now);
+        r.filled = self.now;
+        match r.circuit {
+            Circuit::Open { .. } => Ok(true),
+            _ if rate > 0.0 && r.tokens < 1.0 => {
+                Err(self.now + ((1.0 - r.tokens) / rate.max(1e-9) * SECOND) as Micros + 1)
             }
-            _ if (l.calls.len() as u32) < (l.window as u32).min(cap).max(1) => Ok(false),
+            _ if (r.calls.len() as u32) < (r.window as u32).min(cap).max(1) => Ok(false),
             _ => Err(Micros::MAX),
         }
     }
 
-    /// The most urgent of a queue's oldest and the oldest whose worth still falls: by what an aim more loses.
-    fn candidate(&self, class: usize, set: &BTreeSet<(Micros, MessageId)>) -> Option<(f64, MessageId)> {
-        let c = &self.s.classes[class];
-        let floor = match self.s.decay {
+    /// The more urgent of the oldest message and the oldest that still loses worth, by the loss over one aim.
+    fn most_urgent(&self, class: usize, set: &BTreeSet<(Micros, MessageId)>) -> Option<(f64, MessageId)> {
+        let c = &self.config.classes[class];
+        let floor_age = match self.config.decay {
             Decay::Linear => c.deadline,
             Decay::Halving => c.aim + (c.aim as f64 * -c.late_value.max(0.01).log2()) as Micros,
         };
-        let falling = set.range((self.now.saturating_sub(floor), 0)..).next();
+        let falling = set.range((self.now.saturating_sub(floor_age), 0)..).next();
         let both = set.first().into_iter().chain(falling);
-        let urgency = |born: Micros| {
-            let (age, aim) = (self.now.saturating_sub(born) as f64, c.aim as f64);
+        let urgency = |accepted: Micros| {
+            let (age, aim) = (self.now.saturating_sub(accepted) as f64, c.aim as f64);
             self.value(class, age) - self.value(class, age + aim) + 1e-6 * age / aim.max(1.0)
         };
-        both.map(|(born, id)| (urgency(*born), *id)).max_by(|a, b| a.0.total_cmp(&b.0))
+        both.map(|(accepted, id)| (urgency(*accepted), *id)).max_by(|a, b| a.0.total_cmp(&b.0))
     }
 
-    /// The best endpoint of a lane: not one that failed, few calls in flight.
-    fn endpoint(&self, lane: usize, zone: Option<u32>) -> Option<TargetId> {
-        let l = &self.lanes[lane];
-        let all = l.targets.iter().map(|id| (id, &self.targets[id]));
+    /// The best endpoint of a route: none that failed lately, with the fewest calls in flight.
+    fn endpoint(&self, route: usize, zone: Option<u32>) -> Option<TargetId> {
+        let r = &self.routes[route];
+        let all = r.targets.iter().map(|id| (id, &self.targets[id]));
         let usable = all.filter(|(_, t)| t.state == EndpointState::Ready && zone.is_none_or(|z| z == t.zone));
-        let patience = self.patience(l);
+        let threshold = self.overdue_age(r);
         let best = usable.min_by_key(|(id, t)| {
-            // An endpoint that sits on a call past all that is usual is silent, though the others answer.
-            let stuck = |c: &Call| c.target == **id && (self.now - c.sent) as f64 > patience;
-            let avoid = t.avoid_until > self.now || l.calls.values().any(stuck);
-            // Among the idlest any: the first of a list, or the one used last, is the same for all senders.
-            let calls = l.calls.values().filter(|c| c.target == **id).count();
-            (avoid, calls, self.drawn(u64::from(**id)))
+            // An endpoint with an overdue call is silent even if the others answer.
+            let overdue = |call: &Call| call.target == **id && (self.now - call.sent) as f64 > threshold;
+            let avoid = t.avoid_until > self.now || r.calls.values().any(overdue);
+            // Random among the least busy: the first listed or last used would be the same for all senders.
+            let calls = r.calls.values().filter(|call| call.target == **id).count();
+            (avoid, calls, self.hashed_draw(u64::from(**id)))
         });
         best.map(|(id, _)| *id)
     }
 
-    /// The best send for one destination now: urgency, message, lane, endpoint, trial.
-    fn best_send(&mut self, dest: DestinationId) -> Option<Pick> {
-        let d = self.destinations.get(&dest)?;
-        let share = (f64::from(self.s.slots) * DESTINATION_SHARE) as u32;
-        let cap = share.min(d.slots.unwrap_or(share)).max(1);
-        let calls: usize = d.lanes.iter().map(|l| self.lanes[*l].calls.len()).sum();
+    /// The best send to a destination now.
+    fn best_send(&mut self, destination: DestinationId) -> Option<SendChoice> {
+        let d = self.destinations.get(&destination)?;
+        let slot_share = (f64::from(self.config.slots) * SLOT_SHARE) as u32;
+        let cap = slot_share.min(d.slots.unwrap_or(slot_share)).max(1);
+        let calls: usize = d.routes.iter().map(|id| self.routes[*id].calls.len()).sum();
         if calls as u32 >= cap || d.ready.is_empty() {
             return None;
         }
         let mut open = Vec::new();
-        for lane in d.lanes.clone() {
-            match self.can_call(lane, cap) {
-                Ok(trial) => open.push((lane, trial)),
+        for route in d.routes.clone() {
+            match self.can_call(route, cap) {
+                Ok(trial) => open.push((route, trial)),
                 Err(at) => self.wake_at = self.wake_at.min(at),
             }
         }
-        let d = self.destinations.get(&dest)?;
-        let fee_of = |lane: usize| self.lanes[lane].fee;
-        let usable = |l: &&usize| self.lanes[**l].gate == Gate::Open && self.endpoint(**l, None).is_some();
-        let least_fee = d.lanes.iter().filter(usable).map(|l| fee_of(*l)).fold(f64::INFINITY, f64::min);
-        let worth = self.s.classes.iter().map(|c| c.worth).sum::<f64>() / self.s.classes.len() as f64;
-        let mut best: Option<Pick> = None;
-        for ((class, bound), set) in &d.ready {
-            let Some((urgency, id)) = self.candidate(*class, set) else { continue };
-            let (m, retry) = (&self.messages[&id], bound & RETRY != 0);
-            let unsafe_now = self.s.classes[*class].effect == Effect::Unsafe;
+        let d = self.destinations.get(&destination)?;
+        let cost_of = |route: usize| self.routes[route].cost;
+        let live =
+            |i: &&usize| self.routes[**i].circuit == Circuit::Closed && self.endpoint(**i, None).is_some();
+        let least_cost = d.routes.iter().filter(live).map(|id| cost_of(*id)).fold(f64::INFINITY, f64::min);
+        let worth =
+            self.config.classes.iter().map(|c| c.worth).sum::<f64>() / self.config.classes.len() as f64;
+        let mut best: Option<SendChoice> = None;
+        for ((class, tag), set) in &d.ready {
+            let Some((urgency, id)) = self.most_urgent(*class, set) else { continue };
+            let (m, retry) = (&self.messages[&id], tag & RETRY != 0);
+            let once = self.config.classes[*class].effect == Effect::Unsafe;
             let mut choice: Option<((f64, f64), usize, TargetId, bool)> = None;
-            for (lane, trial) in &open {
-                let l = &self.lanes[*lane];
-                // First tries before retries, where these have used up their part.
-                if retry && l.retries < 1.0 {
+            for (route, trial) in &open {
+                let r = &self.routes[*route];
+                // Once the retry budget is used up, first tries go before retries.
+                if retry && r.retries < 1.0 {
                     continue;
                 }
-                // Unsafe messages are lost by an attempt without an answer: they stay away from what fails
-                // or is silent, but make a trial when nothing else has for an aim.
-                // What has failed a part of its calls for an aim goes on to: waiting longer gains nothing.
-                let aim = self.s.classes[*class].aim;
-                let lossy = l.evidence.is_lossy() && !l.evidence.stays_lossy(self.now, aim);
-                let risky = l.may_have_run && (*trial || lossy);
-                let lately = lossy && self.now < l.judged + aim;
-                if unsafe_now && risky && (self.now < m.born + aim || lately) {
+                // An at-most-once message is lost if its attempt is not answered. It avoids a lossy or silent
+                // route, but becomes the trial if nothing else has for an aim. If some of the calls have
+                // failed for an aim, waiting longer gains nothing.
+                let aim = self.config.classes[*class].aim;
+                let lossy = r.detector.is_lossy() && !r.detector.stays_lossy(self.now, aim);
+                let risky = r.may_have_run && (*trial || lossy);
+                let recent = lossy && self.now < r.last_end + aim;
+                if once && risky && (self.now < m.accepted + aim || recent) {
                     continue;
                 }
-                let over = fee_of(*lane) - least_fee;
-                if over > 0.0 && urgency < over * worth && self.now < m.born + aim / 2 {
+                let extra_cost = cost_of(*route) - least_cost;
+                if extra_cost > 0.0 && urgency < extra_cost * worth && self.now < m.accepted + aim / 2 {
                     continue;
                 }
-                let zone = (bound & !RETRY).checked_sub(1);
-                let Some(target) = self.endpoint(*lane, zone) else { continue };
-                let busy = l.calls.len() as f64 / l.window.max(1.0) + f64::from(u8::from(*trial));
-                let load = (over.max(0.0), busy);
-                if choice.is_none_or(|c| load < c.0) {
-                    choice = Some((load, *lane, target, *trial));
+                let zone = (tag & !RETRY).checked_sub(1);
+                let Some(target) = self.endpoint(*route, zone) else { continue };
+                let busy = r.calls.len() as f64 / r.window.max(1.0) + f64::from(u8::from(*trial));
+                let load = (extra_cost.max(0.0), busy);
+                if choice.is_none_or(|chosen| load < chosen.0) {
+                    choice = Some((load, *route, target, *trial));
                 }
             }
-            if let Some((_, lane, target, trial)) = choice {
-                let rank = if trial && unsafe_now { urgency - self.s.classes[*class].worth } else { urgency };
-                if best.is_none_or(|b| rank > b.0) {
-                    best = Some((rank, id, lane, target, trial));
+            if let Some((_, route, target, trial)) = choice {
+                let rank = if trial && once { urgency - self.config.classes[*class].worth } else { urgency };
+                if best.is_none_or(|chosen| rank > chosen.0) {
+                    best = Some((rank, id, route, target, trial));
                 }
             }
         }
         best
     }
 
-    /// Carries out one send; `call` joins the call that is being filled.
-    fn send(&mut self, id: MessageId, lane: usize, target: TargetId, trial: bool, call: Option<u64>) -> u64 {
-        let (jitter, longest) = (1.0 + TAU_JITTER * self.random(), self.least_aim() / 2.0);
+    /// Sends a message, in a new call or in `call`, which is being filled. Returns the number of the call.
+    fn send(&mut self, id: MessageId, route: usize, target: TargetId, trial: bool, call: Option<u64>) -> u64 {
+        let (jitter, longest_backoff) = (1.0 + TAU_JITTER * self.random(), self.least_aim() / 2.0);
         self.dequeue(id);
-        let gap = self.gap(lane, self.now);
+        let trial_gap = self.trial_gap(route, self.now);
         let call = call.unwrap_or_else(|| {
-            self.next_call += 1;
-            self.calls_out += 1;
-            let l = &mut self.lanes[lane];
-            l.tokens -= 1.0;
-            l.calls.insert(self.next_call, Call { target, sent: self.now, trial, ..Call::default() });
-            if let Gate::Out { backoff, .. } = l.gate {
-                let next = self.now + (backoff.max(gap) * jitter) as Micros;
-                l.gate = Gate::Out { next, backoff: (backoff * 1.3).min(longest) };
+            self.last_call += 1;
+            self.in_flight += 1;
+            let r = &mut self.routes[route];
+            r.tokens -= 1.0;
+            r.calls.insert(self.last_call, Call { target, sent: self.now, trial, ..Call::default() });
+            if let Circuit::Open { backoff, .. } = r.circuit {
+                let next = self.now + (backoff.max(trial_gap) * jitter) as Micros;
+                r.circuit = Circuit::Open { next, backoff: (backoff * 1.3).min(longest_backoff) };
             }
-            self.next_call
+            self.last_call
         });
-        let (first, saved) = (self.messages.get(&id).is_some_and(|m| m.attempts.is_empty()), self.s.slots);
-        let off = self.messages.get(&id).map_or(0, |m| self.called_off(m));
-        let l = &mut self.lanes[lane];
-        let part = if first { RETRY_SHARE } else { -1.0 };
-        l.retries = (l.retries + part).clamp(0.0, RETRY_SAVED.max(f64::from(saved)));
+        let (first, cap) = (self.messages.get(&id).is_some_and(|m| m.attempts.is_empty()), self.config.slots);
+        let deadline = self.messages.get(&id).map_or(0, |m| self.cutoff(m));
+        let r = &mut self.routes[route];
+        let change = if first { RETRIES_PER_TRY } else { -1.0 };
+        r.retries = (r.retries + change).clamp(0.0, SAVED_RETRIES.max(f64::from(cap)));
         let zone = self.targets.get(&target).map_or(0, |t| t.zone);
         let Some(m) = self.messages.get_mut(&id) else { return call };
-        let c = &self.s.classes[m.class];
-        let tau = (l.times.tau * jitter) as Micros;
-        let again = match c.effect {
+        let c = &self.config.classes[m.class];
+        let tau = (r.latency.tau * jitter) as Micros;
+        let retry = match c.effect {
             Effect::Repeatable => true,
-            Effect::Keyed => self.now + tau + 2 * self.s.tick < m.ran.map_or(self.now, |r| r.0) + c.window,
+            Effect::Keyed => {
+                self.now + tau + 2 * self.config.tick < m.first_run.map_or(self.now, |r| r.0) + c.window
+            }
             Effect::Unsafe => false,
         };
-        let last = m.attempts.len() + 1 >= self.s.max_attempts as usize;
-        // The lesser of τ and the time left; the time left where no resend may follow.
+        let last = m.attempts.len() + 1 >= self.config.max_attempts as usize;
+        // The attempt may last until τ if a resend may follow, otherwise for all the time left.
         let planned =
-            again && !last && l.times.tau > 0.0 && (l.budget > 0.0 || trial) && self.now + tau < m.expires;
-        let until = if planned { self.now + tau } else { off };
-        m.ran.get_or_insert((self.now, zone));
+            retry && !last && r.latency.tau > 0.0 && (r.resends > 0.0 || trial) && self.now + tau < m.expires;
+        let until = if planned { self.now + tau } else { deadline };
+        m.first_run.get_or_insert((self.now, zone));
         let number = m.attempts.len() as u32;
-        l.calls.get_mut(&call).into_iter().for_each(|c| c.messages.push((id, number)));
-        m.attempts.push(Attempt { target, call, planned, done: None });
-        self.out.push(Action::Send { id, target, until });
+        r.calls.get_mut(&call).into_iter().for_each(|call| call.messages.push((id, number)));
+        m.attempts.push(Attempt { target, call, planned, outcome: None });
+        self.actions.push(Action::Send { id, target, until });
         call
     }
 
-    /// Fills a call further, where the destination takes several messages in one. A trial goes alone.
-    fn fill(&mut self, dest: DestinationId, lane: usize, target: TargetId, call: u64) {
-        let batch = self.s.batch.get(self.lanes[lane].kind).copied().unwrap_or(1);
+    /// Adds messages to a call if the destination accepts several in one. A trial carries one message.
+    fn fill_call(&mut self, destination: DestinationId, route: usize, target: TargetId, call: u64) {
+        let max_batch = self.config.batch.get(self.routes[route].kind).copied().unwrap_or(1);
         let zone = self.targets.get(&target).map_or(0, |t| t.zone + 1);
-        for _ in 1..batch {
-            let Some(d) = self.destinations.get(&dest) else { return };
-            let open = d.ready.iter().filter(|((_, z), _)| z & !RETRY == 0 || z & !RETRY == zone);
-            let next = open.filter_map(|((c, _), set)| self.candidate(*c, set));
+        for _ in 1..max_batch {
+            let Some(d) = self.destinations.get(&destination) else { return };
+            let unbound = d.ready.iter().filter(|((_, tag), _)| tag & !RETRY == 0 || tag & !RETRY == zone);
+            let next = unbound.filter_map(|((class, _), set)| self.most_urgent(*class, set));
             let Some((_, id)) = next.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
-            let (m, l) = (&self.messages[&id], &self.lanes[lane]);
-            let unsafe_now = self.s.classes[m.class].effect == Effect::Unsafe;
-            if !self.allowed(m).0 || (unsafe_now && l.may_have_run && l.evidence.is_lossy()) {
+            let (m, r) = (&self.messages[&id], &self.routes[route]);
+            let once = self.config.classes[m.class].effect == Effect::Unsafe;
+            if !self.permissions(m).0 || (once && r.may_have_run && r.detector.is_lossy()) {
                 return;
             }
-            self.send(id, lane, target, false, Some(call));
+            self.send(id, route, target, false, Some(call));
         }
     }
 
-    /// Chooses what is sent now. Call it once after the last event of a moment.
+    /// Chooses what is sent now. To be called once after the last event of a moment.
     pub fn decide(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.now = now;
-        while let Some((_, id)) = self.agenda.first().copied().filter(|(at, _)| *at <= now) {
-            self.agenda.pop_first();
+        while let Some((_, id)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
+            self.timers.pop_first();
             let Some(m) = self.messages.get(&id) else { continue };
             match self.give_up_at(m.expires) > now {
                 true => self.enqueue(id),
-                false if m.attempts.iter().all(|a| a.done.is_some()) => self.give_up(id),
+                false if m.attempts.iter().all(|a| a.outcome.is_some()) => self.give_up(id),
                 false => {}
             }
         }
         self.wake_at = Micros::MAX;
-        (self.now >= self.upkeep_at).then(|| self.upkeep());
+        (self.now >= self.maintain_at).then(|| self.maintain());
         let ready: Vec<DestinationId> =
             self.destinations.iter().filter(|(_, d)| !d.ready.is_empty()).map(|(id, _)| *id).collect();
         let mut best: Vec<_> = ready.into_iter().filter_map(|d| Some((d, self.best_send(d)?))).collect();
-        while self.calls_out < self.s.slots {
+        while self.in_flight < self.config.slots {
             let top = (0..best.len()).max_by(|a, b| best[*a].1 .0.total_cmp(&best[*b].1 .0));
             let Some(i) = top else { break };
-            let (dest, (_, id, lane, target, trial)) = best[i];
+            let (destination, (_, id, route, target, trial)) = best[i];
             let m = &self.messages[&id];
-            let left = self.called_off(m).saturating_sub(self.now) as f64;
-            // A keyed message whose window has lapsed while it was held may not go either.
-            if !self.allowed(m).0 || left < self.lanes[lane].times.least() {
+            let time_left = self.cutoff(m).saturating_sub(self.now) as f64;
+            // Nor may a keyed message whose deduplication window ended while it was held.
+            if !self.permissions(m).0 || time_left < self.routes[route].latency.shortest() {
                 self.give_up(id);
             } else {
-                let call = self.send(id, lane, target, trial, None);
-                (!trial).then(|| self.fill(dest, lane, target, call));
+                let call = self.send(id, route, target, trial, None);
+                (!trial).then(|| self.fill_call(destination, route, target, call));
             }
-            match self.best_send(dest) {
+            match self.best_send(destination) {
                 Some(next) => best[i].1 = next,
                 None => drop(best.swap_remove(i)),
             }
         }
-        let waiting = self.destinations.values_mut().filter(|d| !d.ready.is_empty());
-        waiting.for_each(|d| d.behind = d.behind.or(Some(now)));
+        let backlogged = self.destinations.values_mut().filter(|d| !d.ready.is_empty());
+        backlogged.for_each(|d| d.backlog_since = d.backlog_since.or(Some(now)));
         self.blocked = !best.is_empty();
-        let next = self.agenda.first().map_or(Micros::MAX, |a| a.0);
-        let at = self.upkeep_at.min(self.wake_at).min(next);
-        if at < self.armed {
-            self.armed = at;
-            self.out.push(Action::Timer { after: at.saturating_sub(self.now).max(1), token: 0 });
-        }
-        out.append(&mut self.out);
-    }
-
-    /// Timer work over the lanes: ageing, τ, rates, silence.
-    fn upkeep(&mut self) {
-        self.upkeep_at = self.now + UPKEEP;
-        self.turns.retain(|_, (line, rest)| !line.is_empty() || *rest > self.now);
-        let keep = 0.5f64.powf(UPKEEP as f64 / self.longest_deadline());
-        self.span = self.span * keep + UPKEEP as f64 / SECOND;
-        for lane in 0..self.lanes.len() {
-            let l = &mut self.lanes[lane];
-            l.times.age(keep);
-            l.heat *= keep;
-            // A resend throws work away and does it again: its cost c is a mean answer.
-            (l.times.answers >= WARM_UP).then(|| l.times.retune(l.times.mean()));
-            l.steady += STEADY_WEIGHT * (l.rate - l.steady);
-            l.before = (l.before * keep).max(l.rate);
-            l.rate *= RATE_KEEP;
-            l.out += OUT_WEIGHT * (l.calls.len() as f64 - l.out);
-            l.retries = l.retries.max((l.retries + RETRY_UPKEEP).min(RETRY_SAVED));
-            l.pace += if l.pace > 0.0 && l.limit <= 0.0 { PACE_RISE * (l.pace + 0.5) } else { 0.0 };
-            if matches!(l.gate, Gate::Ramp { since } if self.now > since + self.s.rules.ramp_time) {
-                l.gate = Gate::Open;
+        let next = self.timers.first().map_or(Micros::MAX, |a| a.0);
+        let at = self.maintain_at.min(self.wake_at).min(next);
+        if at < self.timer_at {
+            self.timer_at = at;
+            self.actions.push(Action::Timer { after: at.saturating_sub(self.now).max(1), token: 0 });
+        }
+        out.append(&mut self.actions);
+    }
+
+    /// Periodic maintenance of the routes: decay, τ, rates and detection of silence.
+    fn maintain(&mut self) {
+        self.maintain_at = self.now + MAINTENANCE;
+        self.keys.retain(|_, (waiting, paused_until)| !waiting.is_empty() || *paused_until > self.now);
+        let keep = 0.5f64.powf(MAINTENANCE as f64 / self.longest_deadline());
+        self.span = self.span * keep + MAINTENANCE as f64 / SECOND;
+        let slow_start = self.config.rules.ramp_time;
+        for route in 0..self.routes.len() {
+            let r = &mut self.routes[route];
+            r.latency.age(keep);
+            r.arrivals *= keep;
+            // A resend repeats work that is thrown away, so it costs a mean answer time.
+            (r.latency.answers >= MIN_ANSWERS).then(|| r.latency.retune(r.latency.mean()));
+            r.steady_rate += STEADY_WEIGHT * (r.served_rate - r.steady_rate);
+            r.peak_rate = (r.peak_rate * keep).max(r.served_rate);
+            r.served_rate *= RATE_DECAY;
+            r.mean_calls += IN_FLIGHT_WEIGHT * (r.calls.len() as f64 - r.mean_calls);
+            r.retries = r.retries.max((r.retries + RETRY_REFILL).min(SAVED_RETRIES));
+            r.pace += if r.pace > 0.0 && r.limit <= 0.0 { PACE_DRIFT * (r.pace + 0.5) } else { 0.0 };
+            if matches!(r.circuit, Circuit::SlowStart { since } if self.now > since + slow_start) {
+                r.circuit = Circuit::Closed;
             }
-            let out = matches!(l.gate, Gate::Out { .. });
-            if let Some(since) = self.silent(lane).filter(|_| !out) {
-                let l = &mut self.lanes[lane];
-                (l.may_have_run, l.trouble) = (true, l.trouble.or(Some(since)));
-                self.shut(lane);
+            let is_out = matches!(r.circuit, Circuit::Open { .. });
+            if let Some(since) = self.silent_since(route).filter(|_| !is_out) {
+                let r = &mut self.routes[route];
+                (r.may_have_run, r.failing_since) = (true, r.failing_since.or(Some(since)));
+                self.open_circuit(route);
             }
         }
-        self.release();
-        self.forget();
-    }
-
-    /// Takes back slots from calls past all that is usual, whatever leaves them without an end, so that one
-    /// silent endpoint does not hold up the others. Where the destination is out, what may be repeated at
-    /// will goes at once; the rest a few at a time while a send is blocked. Harms very late answers.
-    fn release(&mut self) {
-        let mut few = if self.blocked { self.s.slots.div_ceil(16) } else { 0 };
-        for lane in 0..if self.s.may_cancel { self.lanes.len() } else { 0 } {
-            let patience = self.patience(&self.lanes[lane]);
-            let silent = matches!(self.lanes[lane].gate, Gate::Out { .. }) && self.lanes[lane].may_have_run;
-            let old = |c: &&mut Call| !c.given_up && (self.now - c.sent) as f64 > patience;
-            for c in self.lanes[lane].calls.values_mut().filter(old) {
-                let repeatable = |m: &Message| self.s.classes[m.class].effect == Effect::Repeatable;
-                let free =
-                    silent && c.messages.iter().all(|m| self.messages.get(&m.0).is_some_and(repeatable));
-                if free || few > 0 {
-                    (few, c.given_up) = (few - u32::from(!free), true);
-                    let off = c.messages.iter().map(|(id, n)| Action::Cancel { id: *id, attempt: *n });
-                    self.out.extend(off);
+        self.cancel_overdue();
+        self.forget_unlisted();
+    }
+
+    /// Cancels overdue calls, whatever keeps them from ending, so that a silent endpoint does not block the
+    /// others. If the circuit is open, repeatable messages are cancelled at once; others a few at a time
+    /// while a send is blocked. The cost: very late answers are lost.
+    fn cancel_overdue(&mut self) {
+        let mut few = if self.blocked { self.config.slots.div_ceil(16) } else { 0 };
+        for route in 0..if self.config.may_cancel { self.routes.len() } else { 0 } {
+            let threshold = self.overdue_age(&self.routes[route]);
+            let out =
+                matches!(self.routes[route].circuit, Circuit::Open { .. }) && self.routes[route].may_have_run;
+            let overdue = |call: &&mut Call| !call.cancelled && (self.now - call.sent) as f64 > threshold;
+            for call in self.routes[route].calls.values_mut().filter(overdue) {
+                let repeatable = |m: &Message| self.config.classes[m.class].effect == Effect::Repeatable;
+                let at_once = out
+                    && call.messages.iter().all(|entry| self.messages.get(&entry.0).is_some_and(repeatable));
+                if at_once || few > 0 {
+                    (few, call.cancelled) = (few - u32::from(!at_once), true);
+                    let cancels = call.messages.iter().map(|(id, n)| Action::Cancel { id: *id, attempt: *n });
+                    self.actions.extend(cancels);
                 }
             }
         }
     }
 }
 
-impl Lane {
-    /// Messages a second that it serves while more are ready, 0 where too little is known: what it has served
-    /// lately, and a dip of a second is none; or by Little's law what it has out, or its pace.
-    fn serves(&self) -> f64 {
-        let served = 1.0 - self.evidence.share();
-        let little = self.out * served / self.times.mean().max(1.0) * SECOND;
-        let known = self.times.answers >= WARM_UP && !matches!(self.gate, Gate::Out { .. });
-        f64::from(u8::from(known)) * self.rate.max(self.steady).max(little).max(self.pace * served)
+impl Route {
+    /// Messages a second that it can serve while more are ready, 0 if too little is known: the rate served
+    /// lately, ignoring a dip of a second; the rate by Little's law from the calls in flight; or the pace.
+    fn capacity(&self) -> f64 {
+        let served = 1.0 - self.detector.failure_share();
+        let by_calls = self.mean_calls * served / self.latency.mean().max(1.0) * SECOND;
+        let known = self.latency.answers >= MIN_ANSWERS && !matches!(self.circuit, Circuit::Open { .. });
+        f64::from(u8::from(known))
+            * self.served_rate.max(self.steady_rate).max(by_calls).max(self.pace * served)
     }
 
-    /// Halves the window, once for all calls that were out together.
-    fn halve(&mut self, sent: Micros, now: Micros) -> bool {
-        let due = self.halved <= sent;
+    /// Halves the window, once for all calls that were in flight together.
+    fn halve_window(&mut self, sent: Micros, now: Micros) -> bool {
+        let due = self.halved_at <= sent;
         if due {
-            (self.window, self.halved) = ((self.window / 2.0).max(1.0), now);
+            (self.window, self.halved_at) = ((self.window / 2.0).max(1.0), now);
         }
         due
     }
 
-    /// A known limit starts the pace at an even part, where that is more than chance brings within an aim.
-    /// When it moves by far, the pace keeps its part of it: by steps for each served call it would take up to
-    /// a minute to come back from a limit that was low for some seconds.
-    fn limit_is(&mut self, rate: f64, senders: u32, aim: f64) {
+    /// A known limit starts the pace at an even share if that is more than chance brings within an aim. When
+    /// the limit changes by far, the pace changes in proportion: by the growth for each served call it would
+    /// take up to a minute to recover from a limit that was low for some seconds.
+    fn set_limit(&mut self, rate: f64, senders: u32, aim: f64) {
         let even = rate / f64::from(senders.max(1));
-        self.part = if senders >= FLEET { even } else { 0.0 };
+        self.fair_share = if senders >= FLEET { even } else { 0.0 };
         if self.limit <= 0.0 {
-            self.pace = if self.part > 0.0 || even * aim > 3.0 { even } else { 0.0 };
-        } else if self.part > 0.0 || rate > LIMIT_MOVES * self.limit || self.limit > LIMIT_MOVES * rate {
+            self.pace = if self.fair_share > 0.0 || even * aim > 3.0 { even } else { 0.0 };
+        } else if self.fair_share > 0.0 || rate > NOISE * self.limit || self.limit > NOISE * rate {
             self.pace *= rate / self.limit;
         }
         self.limit = rate;
     }
 }
 
-#[path = "draws.rs"]
-mod draws;
-#[path = "figures.rs"]
-mod figures;
-#[path = "listed.rs"]
-mod listed;
-#[path = "queues.rs"]
+mod derived;
+mod endpoint_list;
 mod queues;
-#[path = "view.rs"]
-mod view;
+mod random;
+mod status_report;
 
 #[cfg(test)]
 #[path = "brain_tests.rs"]
--- a/src/emulated.rs
+++ b/src/emulated.rs
@@ -1,20 +1,20 @@
-//! The module as a policy of the emulator: the same decisions, in simulated time.
+//! The scheduler as a policy of the emulator: the same decisions, in simulated time.
 
 use crate::{
     Action, Brain, Class, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind, ListedRate, Outcome,
     Rules, Settings,
 };
-use foldtrack_emulator::policy::{Deed, Effect as Told, Ending, Maker, News, Policy, Site};
+use foldtrack_emulator::policy::{Deed, Effect as EmulatedEffect, Ending, Maker, News, Policy, Site};
 use foldtrack_emulator::{Micros, SECOND};
 
-/// A forwarder handles what has come in once in so long.
+/// Shortest time between two moments at which a forwarder processes events.
 const TICK: Micros = 5_000;
-/// What is told to drain gets nothing new after this time.
+/// Time after which a drained endpoint gets no new calls.
 const DRAIN_GRACE: Micros = 2 * SECOND;
-/// After an end that may still run a key rests for so long.
+/// Pause of an order key after an attempt that may still run.
 const ORDER_PAUSE: Micros = 100_000;
 
-/// Makes modules with the settings of a fleet's site.
+/// Creates a scheduler for each forwarder of an emulated fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Modules;
 
@@ -24,8 +24,8 @@
     }
 
     fn make(&self, site: &Site) -> Box<dyn Policy> {
-        let brain = Brain::new(0, site.seed, settings(site));
-        Box::new(Module { brain, version: 0, actions: Vec::new() })
+        let scheduler = Brain::new(0, site.seed, settings(site));
+        Box::new(SchedulerPolicy { scheduler, version: 0, actions: Vec::new() })
     }
 }
 
@@ -36,12 +36,12 @@
         worth: c.worth,
         late_value: c.late,
         effect: match c.effect {
-            Told::Repeatable => Effect::Repeatable,
-            Told::Keyed(_) => Effect::Keyed,
-            Told::Once => Effect::Unsafe,
+            EmulatedEffect::Repeatable => Effect::Repeatable,
+            EmulatedEffect::Keyed(_) => Effect::Keyed,
+            EmulatedEffect::Once => Effect::Unsafe,
         },
         window: match c.effect {
-            Told::Keyed(window) => window,
+            EmulatedEffect::Keyed(window) => window,
             _ => 0,
         },
         in_order: c.in_order,
@@ -68,8 +68,9 @@
     }
 }
 
-struct Module {
-    brain: Brain,
+struct SchedulerPolicy {
+    scheduler: Brain,
+    /// Version of the endpoint list.
     version: u32,
     actions: Vec<Action>,
 }
@@ -85,7 +86,7 @@
     }
 }
 
-impl Policy for Module {
+impl Policy for SchedulerPolicy {
     fn hear(&mut self, now: Micros, news: News, deeds: &mut Vec<Deed>) {
         let event = match news {
             News::List(lines) => {
@@ -115,24 +116,24 @@
             },
             News::Wake { token } => Event::Timer { token },
         };
-        self.brain.handle(now, event, &mut self.actions);
-        self.tell(deeds);
+        self.scheduler.handle(now, event, &mut self.actions);
+        self.translate_actions(deeds);
     }
 
     fn decide(&mut self, now: Micros, deeds: &mut Vec<Deed>) {
-        self.brain.decide(now, &mut self.actions);
-        self.tell(deeds);
+        self.scheduler.decide(now, &mut self.actions);
+        self.translate_actions(deeds);
     }
 }
 
-impl Module {
-    fn tell(&mut self, deeds: &mut Vec<Deed>) {
+impl SchedulerPolicy {
+    fn translate_actions(&mut self, deeds: &mut Vec<Deed>) {
         deeds.extend(self.actions.drain(..).filter_map(|action| match action {
             Action::Send { id, target, until } => Some(Deed::Send { id, target, until }),
             Action::Refuse { id, retry_after } => Some(Deed::Refuse { id, again_after: retry_after }),
             Action::Fail { id } => Some(Deed::Fail { id }),
             Action::Timer { after, token } => Some(Deed::Wake { after, token }),
-            // Probes, lists and calls that are called off are none of this world's.
+            // The emulator has no probes, no list subscriptions and no cancelled calls.
             _ => None,
         }));
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,420 +1,421 @@
-//! What goes into the decision module and what comes out: settings, events, actions.
+//! Settings, events and actions of the delivery scheduler.
 //!
-//! A forwarder that embeds [`crate::Brain`] does this in a loop: pass each thing that happened to
-//! `handle`, call `decide` after the last one of that moment, carry out the actions in their order.
-//! All times are microseconds of one clock that only advances; it may start anywhere.
+//! A forwarder that embeds [`crate::Brain`] runs a loop: it passes each event to `handle`, calls `decide`
+//! after the last event of a moment, and carries out the actions in their order. All times are microseconds
+//! of one monotonic clock with an arbitrary start.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a time span, in microseconds.
 pub type Micros = u64;
-/// A message, named by the caller; never used twice.
+/// A message, numbered by the caller. Numbers are never reused.
 pub type MessageId = u64;
-/// An endpoint of a destination, named by the caller.
+/// An endpoint of a destination, numbered by the caller.
 pub type TargetId = u32;
 /// A destination: a partner with one or more endpoints.
 pub type DestinationId = u32;
 
-/// Senders from which on each is one of many: it sees less than a tenth of what all of them send.
+/// Number of senders from which on a fleet is large: each sender sees less than a tenth of the traffic.
 pub const FLEET: u32 = 10;
 
-/// What a repeat of a message of a class does.
+/// Effect of repeating a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Effect {
-    /// May be repeated at will.
+    /// The message may be repeated freely.
     #[default]
     Repeatable,
-    /// The destination drops repeats for a time.
+    /// The destination drops repeats for a time, by their idempotency key.
     Keyed,
-    /// Must never take effect twice.
+    /// The message must not take effect more than once.
     Unsafe,
 }
 
 /// Which endpoints of a destination drop repeats of a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Group {
-    /// All of them.
+    /// All endpoints.
     #[default]
     All,
-    /// Those in the zone of the first attempt that may have run.
+    /// The endpoints in the zone of the first attempt that may have run.
     Zone,
 }
 
-/// How worth falls once the aim has passed.
+/// How the worth of a message decreases after its aim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Decay {
-    /// Evenly, down to the late value at the deadline.
+    /// Linearly to the late value at the deadline.
     #[default]
     Linear,
-    /// By half with each further aim, not under the late value.
+    /// By half with each further aim, but not below the late value.
     Halving,
 }
 
-/// A class of message.
+/// A class of messages.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Delivered within this span a message earns its full worth.
+    /// Target latency. A message delivered within it earns its full worth.
     pub aim: Micros,
-    /// Span in which a message may be delivered.
+    /// Time within which a message may be delivered.
     pub deadline: Micros,
-    /// What a delivery is worth.
+    /// Worth of a delivery.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the worth that is left at the deadline.
     pub late_value: f64,
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub effect: Effect,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: which endpoints drop repeats.
     pub group: Group,
-    /// For keyed classes: how long, from the first attempt that may have run.
+    /// For keyed classes: how long repeats are dropped, from the first attempt that may have run.
     pub window: Micros,
-    /// Messages with the same order key go one at a time, as they came.
+    /// Messages with the same order key are sent one at a time, in the order of their arrival.
     pub in_order: bool,
-    /// A message that would wait for longer than this is refused at the door; 0 where only its deadline counts.
+    /// A message with a longer estimated wait than this is refused; 0 if only its deadline counts.
     pub patience: Micros,
-    /// Answers come as streams: an attempt whose stream began belongs to the client.
+    /// Answers are streams: once the stream of an attempt has started, the attempt belongs to the client.
     pub streaming: bool,
 }
 
-/// Figures of the rules that a deployment promises to keep.
+/// Limits that the rules of a deployment guarantee or require.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// A drained or removed endpoint gets nothing new after this span.
+    /// Time after which a drained or removed endpoint gets no new calls.
     pub drain_grace: Micros,
-    /// Share of its capacity that a destination has at least on return from an outage.
+    /// Least share of its capacity that a destination has right after an outage.
     pub cold_from: f64,
-    /// Span after which it has all of it.
+    /// Time after an outage until a destination has its full capacity again.
     pub ramp_time: Micros,
-    /// Load of more than this multiple of the present capacity ...
+    /// Load, as a multiple of the present capacity, above which a cold destination goes down again ...
     pub tip_multiple: f64,
-    /// ... for this long brings a cold destination down.
+    /// ... if it lasts for this time.
     pub tip_after: Micros,
-    /// Rest of an order key after an attempt whose end is not sure.
+    /// Pause of an order key after an attempt with an uncertain outcome.
     pub order_pause: Micros,
-    /// Where the list is fetched: a sender that has not asked for so long counts as told.
+    /// Where the endpoint list is fetched: a sender that has not fetched it for this time counts as informed.
     pub ask_within: Micros,
 }
 
-/// What the list says of a destination's rate.
+/// What the endpoint list says about the rate limit of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum ListedRate {
     /// Nothing.
     #[default]
     Unknown,
-    /// Calls a second that the destination takes from all senders together.
+    /// Calls a second that the destination accepts from all senders together.
     Exact,
     /// The same, but up to half too high or too low.
     Rough,
 }
 
-/// All that a sender is told at its start.
+/// Settings of a sender.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Senders that share the destinations, this one included.
+    /// Number of senders that share the destinations, including this one.
     pub senders: u32,
-    /// Calls that may be out at once.
+    /// Largest number of calls in flight.
     pub slots: u32,
-    /// Messages that may be held, sent or not.
+    /// Largest number of messages held, whether sent or not.
     pub max_held: u32,
-    /// Attempts for one message at most.
+    /// Largest number of attempts for one message.
     pub max_attempts: u32,
-    /// An attempt may be called off.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Checks may be sent.
+    /// Endpoints may be probed.
     pub may_probe: bool,
-    /// Two attempts of one message may be out at once.
+    /// Two attempts of one message may be in flight at once.
     pub may_duplicate: bool,
-    /// Refused clients are told how long to stay away.
+    /// Refused clients are told when to come back.
     pub may_advise_wait: bool,
-    /// Longest advice that clients heed.
+    /// Longest advised wait that clients honour.
     pub max_advised_wait: Micros,
-    /// The list must be subscribed to.
+    /// The endpoint list has to be subscribed to.
     pub subscribe: bool,
-    /// Classes of message; requests name their place.
+    /// Classes of messages. Messages refer to them by index.
     pub classes: Vec<Class>,
-    /// How worth falls after the aim.
+    /// How worth decreases after the aim.
     pub decay: Decay,
-    /// The rules' figures.
+    /// Limits given by the rules of the deployment.
     pub rules: Rules,
-    /// By kind of destination: messages that one call carries at most.
+    /// By kind of destination: largest number of messages in one call.
     pub batch: Vec<u32>,
-    /// By kind of destination: endpoints are routes apart, each with its own limit, pace and outages.
+    /// By kind of destination: each endpoint is an independent route with its own limit, pace and outages.
     pub routes_apart: Vec<bool>,
-    /// By zone: price of a message that a route apart takes on.
+    /// By zone: cost of a message on an independent route.
     pub zone_fee: Vec<f64>,
-    /// Price of a call refused above a limit.
+    /// Cost of a call that is rejected because of a limit.
     pub refused_price: f64,
     /// Meaning of [`Endpoint::rate`].
     pub listed_rate: ListedRate,
-    /// Idle connections close after this span.
+    /// Time after which idle connections close.
     pub connection_idle: Micros,
-    /// A connection not made within this span has failed.
+    /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
     /// Calls that one connection carries at once.
     pub streams_per_connection: u32,
-    /// Shortest span between two moments at which events arrive.
+    /// Shortest time between two moments at which events arrive.
     pub tick: Micros,
 }
 
-/// State of an endpoint in the list. It tells nothing of health.
+/// State of an endpoint in the list. It says nothing about its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum EndpointState {
-    /// Listed.
+    /// In service.
     #[default]
     Ready,
-    /// Send nothing new.
+    /// Gets no new calls.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// A line of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Its name.
+    /// Number of the endpoint.
     pub target: TargetId,
-    /// The destination it belongs to.
+    /// The destination that it belongs to.
     pub destination: DestinationId,
-    /// The destination's kind, a place in the settings' lists by kind.
+    /// Kind of the destination: an index into the settings by kind.
     pub kind: u32,
-    /// The zone it stands in.
+    /// The zone that it is in.
     pub zone: u32,
     /// Its state.
     pub state: EndpointState,
-    /// See [`ListedRate`].
+    /// Rate limit of the destination in calls a second; see [`ListedRate`].
     pub rate: f64,
-    /// Calls out to the destination at once at most; none where only the share of all slots binds. The latest line
-    /// of a destination counts.
+    /// Largest number of calls in flight to the destination; none if only the share of all slots applies. The
+    /// latest entry of a destination counts.
     pub slots: Option<u32>,
-    /// Nothing is to be sent on its way before then: somebody else was told to wait there. 0 for no such thing; a wait that
-    /// is known already is not shortened.
+    /// Nothing may be sent on its route before this time, because another sender was asked to wait; 0 for
+    /// none. A known wait is not shortened.
     pub hold_until: Micros,
 }
 
 /// How a list event relates to the list so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Only the changed entries.
     Delta,
-    /// The whole list; what it lacks is gone.
+    /// The whole list; endpoints that it lacks are gone.
     Full,
-    /// The whole list as last known before a restart, perhaps outdated.
+    /// The whole list as last known before a restart, possibly outdated.
     Cached,
-    /// A fetch or subscription failed; the list so far stays.
+    /// Fetching or subscribing failed; the list so far remains.
     Failed,
 }
 
-/// End of an attempt or a probe.
+/// Outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
     /// Answered with an error; may have taken effect.
     Error,
-    /// Turned away unseen: over a limit, queue full, shut or draining.
+    /// Rejected without being processed: over a limit, queue full, or draining.
     Full,
-    /// No answer in time; may have taken effect or still do.
+    /// No answer in time; may have taken effect, or may still do so.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection; did not run.
     ConnectFailed,
     /// The connection broke; may have taken effect.
     Reset,
-    /// Called off; may have taken effect.
+    /// Cancelled; may have taken effect.
     Cancelled,
-    /// Answered in a way that can't be read; may have taken effect.
+    /// The response is unreadable; may have taken effect.
     Spoilt,
-    /// Not sent at all: no slot, message over, or out of attempts.
+    /// Not sent: no slot, the message has ended, or it is out of attempts.
     NotSent,
-    /// Held back before its first byte, since news has overtaken the decision: a wait, an outage, a drain. Uses up no try, and
-    /// its number is given to the next attempt.
+    /// Withheld before the first byte, because the decision was outdated: by a requested wait, an outage or a
+    /// drain. It does not count as an attempt, and the next attempt gets its number.
     HeldBack,
 }
 
 impl Outcome {
-    /// The attempt may have taken effect, or may yet.
+    /// Whether the attempt may have taken effect, or may yet do so.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::HeldBack)
     }
 }
 
-/// What a destination tells of its limit beside an answer; some time old and not exact.
+/// Rate limit that a destination reports with an answer. It is somewhat outdated and not exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitReport {
     /// Share of the allowance that is left.
     pub share_left: f64,
-    /// Calls a second that the limit allows, 0 where there is none.
+    /// The limit in calls a second, 0 if there is none.
     pub rate: f64,
 }
 
-/// Something that happened.
+/// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of endpoints.
+    /// The list of endpoints has changed.
     List {
-        /// How it relates to the list so far.
+        /// How the event relates to the list so far.
         kind: ListKind,
-        /// Grows with each change.
+        /// Increases with each change.
         version: u32,
-        /// The lines.
+        /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A message was handed in.
+    /// A client has submitted a message.
     Request {
-        /// Its name.
+        /// Number of the message.
         id: MessageId,
         /// Its class.
         class: u32,
-        /// Where it is to go.
+        /// Its destination.
         destination: DestinationId,
-        /// Key of its order, 0 for none.
+        /// Its order key, 0 for none.
         order_key: u64,
-        /// It may be delivered until then.
+        /// Time until which it may be delivered.
         expires: Micros,
     },
-    /// A message that was taken on before a restart and is not over; in the order in which they were taken.
+    /// A message that was accepted before a restart and has not ended. These events come in the order in
+    /// which the messages were accepted.
     Restored {
-        /// Its name.
+        /// Number of the message.
         id: MessageId,
         /// Its class.
         class: u32,
-        /// Where it is to go.
+        /// Its destination.
         destination: DestinationId,
-        /// Key of its order, 0 for none.
+        /// Its order key, 0 for none.
         order_key: u64,
-        /// It may be delivered until then; perhaps in the past.
+        /// Time until which it may be delivered; possibly in the past.
         expires: Micros,
-        /// How the attempts so far ended. One that was cut off by the restart counts as [`Outcome::Reset`].
+        /// Outcomes of the attempts so far. An attempt that the restart cut off counts as [`Outcome::Reset`].
         attempts: Vec<Outcome>,
-        /// Start and zone of the first attempt that may have run.
+        /// Time and zone of the first attempt that may have run.
         first_run: Option<(Micros, u32)>,
     },
-    /// The process is to end: calls that are out then are cut off.
+    /// The process is going to end, which cuts off the calls in flight.
     Stopping {
-        /// The time of its end.
+        /// When the process ends.
         by: Micros,
     },
-    /// The answer of a streamed message has begun.
+    /// The answer of a streamed message has started.
     Started {
         /// The message.
         id: MessageId,
-        /// Its attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// An attempt is over. Each [`Action::Send`] gets exactly one.
+    /// An attempt has ended. There is exactly one for each [`Action::Send`].
     Outcome {
         /// The message.
         id: MessageId,
-        /// Its attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// Where it went.
+        /// The endpoint that it was sent to.
         target: TargetId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
-        /// Span since it was sent.
+        /// Time since it was sent.
         took: Micros,
-        /// The message is over, by this or earlier.
+        /// The message has ended, by this attempt or earlier.
         ended: bool,
-        /// The wait told, 0 for none; for [`Outcome::HeldBack`] what is left of it.
+        /// The wait that the destination requested, 0 for none; for [`Outcome::HeldBack`] the rest of it.
         wait: Micros,
-        /// What the destination tells of its limit.
+        /// The limit that the destination reported.
         report: Option<LimitReport>,
     },
-    /// A probe is over.
+    /// A probe has ended.
     Probed {
-        /// Where it went.
+        /// The endpoint that was probed.
         target: TargetId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
-        /// Span since it was sent.
+        /// Time since it was sent.
         took: Micros,
-        /// What the destination tells of its limit.
+        /// The limit that the destination reported.
         report: Option<LimitReport>,
     },
-    /// Nobody wants this message any more.
+    /// The client does not want the message any more.
     Lapsed {
         /// The message.
         id: MessageId,
     },
-    /// A timer asked for is due.
+    /// A timer has expired.
     Timer {
-        /// As asked for.
+        /// The token of the [`Action::Timer`].
         token: u32,
     },
-    /// Another sender wrote; where senders may talk.
+    /// A message from another sender, where senders may communicate.
     Peer {
-        /// Its rank.
+        /// Rank of the sender.
         from: u32,
-        /// What it wrote.
+        /// Content.
         data: Vec<u8>,
     },
 }
 
-/// Something to be done, in the order given.
+/// An output of the scheduler, to be carried out in the given order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call `target` with the message; drop the attempt at `until`.
+    /// Call `target` with the message. The attempt ends at `until`.
     Send {
         /// The message.
         id: MessageId,
-        /// Where to.
+        /// The endpoint.
         target: TargetId,
-        /// Time-out, as a point in time.
+        /// Time-out of the attempt, as a point in time.
         until: Micros,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The message.
         id: MessageId,
-        /// Its attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// End the message undelivered; trying again is harmless.
+    /// End the message undelivered; submitting it again is harmless.
     Refuse {
         /// The message.
         id: MessageId,
-        /// Advice to the client on how long to stay away, 0 for none.
+        /// How long the client should wait before it submits the message again, 0 for no advice.
         retry_after: Micros,
     },
-    /// End the message as failed; nothing is promised.
+    /// End the message as failed; it may or may not have taken effect.
     Fail {
         /// The message.
         id: MessageId,
     },
-    /// Check an endpoint.
+    /// Probe an endpoint.
     Probe {
-        /// Which one.
+        /// The endpoint.
         target: TargetId,
     },
-    /// Come back with [`Event::Timer`] after this span.
+    /// Send [`Event::Timer`] after a time.
     Timer {
-        /// From now.
+        /// Time from now.
         after: Micros,
-        /// Comes back as given.
+        /// Returned in the event.
         token: u32,
     },
-    /// The destination of this endpoint, or the endpoint alone where it is a route apart, looks out: what was decided on for it
-    /// before and has not begun is to be held back.
+    /// An outage of the route of this endpoint was detected. Sends that were decided on earlier and have not
+    /// started are to be withheld.
     FoundOut {
-        /// An endpoint of it.
+        /// An endpoint of the route.
         target: TargetId,
     },
-    /// Shut idle connections to an endpoint.
+    /// Close idle connections to an endpoint.
     CloseIdle {
-        /// Which one.
+        /// The endpoint.
         target: TargetId,
     },
-    /// Subscribe to the list, or end that.
+    /// Subscribe to the list of endpoints, or unsubscribe.
     Subscribe {
-        /// On or off.
+        /// True to subscribe.
         on: bool,
     },
-    /// Ask once for the whole list.
+    /// Fetch the whole list of endpoints once.
     FetchList,
-    /// Write to another sender, or to all.
+    /// Send a message to another sender or to all.
     Tell {
-        /// Its rank; all others if absent.
+        /// Rank of the receiver; none for all other senders.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// Content, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a log line for operators.
     Log {
         /// The text.
         text: String,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! Delivery decisions for outbound messages to other firms' systems.
+//! Delivery scheduling for outbound messages to the systems of other organisations.
 //!
-//! The caller owns sockets, clocks and threads. It tells a [`Brain`] what happens, as [`Event`]s, and
-//! carries out the [`Action`]s it gets back. One `Brain` serves one forwarder; several share nothing.
+//! The caller owns sockets, clocks and threads. It passes [`Event`]s to a [`Brain`] and carries out the
+//! [`Action`]s that it returns. Each forwarder has its own [`Brain`]; they share no state.
 //!
 //! ```
 //! use hatchline::{Action, Brain, Class, Effect, Endpoint, EndpointState, Event, ListKind, Settings};
@@ -10,25 +10,25 @@
 //!     effect: Effect::Repeatable, ..Class::default() };
 //! let settings = Settings { senders: 1, slots: 8, max_held: 100, max_attempts: 5,
 //!     classes: vec![class], ..Settings::default() };
-//! let mut brain = Brain::new(0, 42, settings);
+//! let mut scheduler = Brain::new(0, 42, settings);
 //! let mut actions = Vec::new();
 //!
 //! let endpoint = Endpoint { target: 7, destination: 1, state: EndpointState::Ready, ..Endpoint::default() };
-//! brain.handle(0, Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint] }, &mut actions);
+//! scheduler.handle(0, Event::List { kind: ListKind::Full, version: 1, endpoints: vec![endpoint] }, &mut actions);
 //! let request = Event::Request { id: 1, class: 0, destination: 1, order_key: 0, expires: 20_000_000 };
-//! brain.handle(0, request, &mut actions);
-//! brain.decide(0, &mut actions); // after the last event of this moment
+//! scheduler.handle(0, request, &mut actions);
+//! scheduler.decide(0, &mut actions); // after the last event of this moment
 //!
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, target: 7, .. })));
 //! ```
 #![warn(missing_docs)]
 
-mod answers;
 mod brain;
 pub mod emulated;
 mod estimate;
 mod evidence;
 pub mod interface;
+mod latency;
 mod pace;
 pub mod settings;
 mod state;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings as a deployment words them, in JSON, and their translation. Unknown keys are ignored.
+//! Reads the settings of a deployment from JSON and translates them. Unknown keys are ignored.
 
 use crate::{Class, Decay, Effect, Group, ListedRate, Micros, Rules, Settings};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
 struct Env {
-    /// Lacking, it is 0, which counts as one: no reason to refuse to start.
+    /// 0 if missing, which counts as one. It is not required, so that a deployment without it still starts.
     #[serde(default)]
     balancers: u32,
     categories: Vec<Category>,
@@ -94,28 +94,29 @@
     fields: Vec<String>,
 }
 
-/// The settings of an instance, the names in them, and where the two values of its limit report stand.
+/// The settings of an instance, the names that they contain, and the positions of the two values of a limit
+/// report.
 #[derive(Debug, Deserialize)]
 #[serde(from = "Env")]
 pub struct Parsed {
-    /// What the decisions need.
+    /// Settings of the scheduler.
     pub settings: Settings,
-    /// Names of the classes of message, in their order.
+    /// Names of the message classes by index.
     pub class_names: Vec<String>,
-    /// Names of the kinds of destination.
+    /// Names of the kinds of destination by index.
     pub kind_names: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones by index.
     pub zone_names: Vec<String>,
-    /// Place of the share that is left in a report.
+    /// Position of the remaining share of the allowance in a report.
     pub share_left_at: Option<usize>,
-    /// Place of the limit's rate in a report.
+    /// Position of the limit in a report.
     pub rate_at: Option<usize>,
 }
 
 impl From<Env> for Parsed {
     fn from(env: Env) -> Self {
-        let place = |name: &str| env.report.fields.iter().position(|f| f == name);
-        let (share_left_at, rate_at) = (place("x0"), place("x1"));
+        let position = |name: &str| env.report.fields.iter().position(|f| f == name);
+        let (share_left_at, rate_at) = (position("x0"), position("x1"));
         let class_names = env.categories.iter().map(|c| c.name.clone()).collect();
         let classes = env.categories.iter().map(|c| Class {
             aim: c.aim,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,165 +1,191 @@
-//! What the decision module remembers: plain state, no decisions.
+//! Plain state of the scheduler. The decisions are made in the modules that use it.
 
-use crate::answers::AnswerTimes;
-use crate::evidence::Evidence;
+use crate::evidence::FailureDetector;
 use crate::interface::*;
+use crate::latency::LatencyHistogram;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Circuit state of a destination or of a route apart.
+/// Circuit breaker of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
-pub(crate) enum Gate {
+pub(crate) enum Circuit {
+    /// Calls go out.
     #[default]
-    Open,
-    /// Single trials, the next not before `next`, spaced by a backoff.
-    Out { next: Micros, backoff: f64 },
-    /// Slow start since the first answer.
-    Ramp { since: Micros },
+    Closed,
+    /// Only single trial calls go out, the next one at `next` at the earliest, spaced by `backoff`
+    /// microseconds.
+    Open { next: Micros, backoff: f64 },
+    /// Slow start since the first answer after an outage.
+    SlowStart { since: Micros },
 }
 
-/// A call in flight, with its messages and their attempts.
+/// A call in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Call {
+    /// Messages that the call carries, with the number of the attempt of each.
     pub messages: Vec<(MessageId, u32)>,
     pub target: TargetId,
     pub sent: Micros,
+    /// The call is a trial of a destination that is taken to be out.
     pub trial: bool,
-    pub given_up: bool,
+    /// The call has been cancelled to free its slot; its outcome is still to come.
+    pub cancelled: bool,
 }
 
-/// A destination's shared way, or one route apart: what has its own limit, pace and outages.
+/// A route to a destination: everything that has its own limit, pace and outages. All endpoints of a
+/// destination share one route, unless each endpoint of its kind is an independent route.
 #[derive(Debug, Default)]
-pub(crate) struct Lane {
+pub(crate) struct Route {
     pub targets: Vec<TargetId>,
+    /// Kind of destination.
     pub kind: usize,
-    pub times: AnswerTimes,
+    pub latency: LatencyHistogram,
     /// Planned resends that may still be made.
-    pub budget: f64,
+    pub resends: f64,
     /// Retries of any kind that may still be made.
     pub retries: f64,
+    /// Calls that may be in flight at once.
     pub window: f64,
-    pub halved: Micros,
+    /// When the window was last halved.
+    pub halved_at: Micros,
+    /// Calls in flight by call number.
     pub calls: BTreeMap<u64, Call>,
-    pub gate: Gate,
+    pub circuit: Circuit,
+    /// When a call was last answered.
     pub last_ok: Micros,
-    /// The last end of a call.
-    pub judged: Micros,
-    /// Start of the trouble since the last answer.
-    pub trouble: Option<Micros>,
-    /// Refusals in a row.
-    pub full_run: u32,
-    pub evidence: Evidence,
-    /// The window when it was last found to be out.
+    /// When a call last ended.
+    pub last_end: Micros,
+    /// Start of the failures since the last answer.
+    pub failing_since: Option<Micros>,
+    /// Rejected calls in a row.
+    pub rejections: u32,
+    pub detector: FailureDetector,
+    /// The window when the circuit was last opened.
     pub window_before: f64,
-    /// What failed last may have run.
+    /// The call that failed last may have taken effect.
     pub may_have_run: bool,
-    /// Nothing is sent before then.
+    /// Nothing is sent before this time.
     pub wait_until: Micros,
-    /// The known limit in calls a second, 0 if not known.
+    /// The known rate limit in calls a second, 0 if none is known.
     pub limit: f64,
-    /// The limit was reported, not only listed.
+    /// The limit comes from a report of the destination, not from the list alone.
     pub reported: bool,
-    /// Its even part of the limit where it is one of many senders, else 0.
-    pub part: f64,
-    /// When the pace of one of many was last raised.
+    /// This sender's even share of the limit in a large fleet, else 0.
+    pub fair_share: f64,
+    /// When the pace of a sender of a large fleet was last raised.
     pub raised: Micros,
-    /// When a call of one of many was last turned away.
-    pub refused: Option<Micros>,
-    /// Own calls a second, 0 if not limited.
+    /// When a call of a sender of a large fleet was last rejected.
+    pub last_rejection: Option<Micros>,
+    /// Calls a second that this sender may make, 0 if not limited.
     pub pace: f64,
+    /// Tokens of the token bucket that enforces the pace.
     pub tokens: f64,
+    /// When the token bucket was last filled.
     pub filled: Micros,
     /// Calls served a second, smoothed over some seconds.
-    pub rate: f64,
+    pub served_rate: f64,
     /// Calls served a second, smoothed over eight seconds.
-    pub steady: f64,
-    /// The most calls served a second lately, fading by half over the longest deadline.
-    pub before: f64,
-    /// Calls out, smoothed over half a second.
-    pub out: f64,
-    /// Price of a message on a route apart.
-    pub fee: f64,
-    /// Messages that came for it, fading.
-    pub heat: f64,
+    pub steady_rate: f64,
+    /// Highest recent rate of served calls a second; it halves over the longest deadline.
+    pub peak_rate: f64,
+    /// Calls in flight, smoothed over half a second.
+    pub mean_calls: f64,
+    /// Cost of a message on an independent route.
+    pub cost: f64,
+    /// Messages that came for this route, decaying over the longest deadline.
+    pub arrivals: f64,
 }
 
 /// An endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Target {
-    pub lane: usize,
+    /// Index of its route.
+    pub route: usize,
     pub zone: u32,
     pub state: EndpointState,
+    /// Other endpoints are preferred until this time.
     pub avoid_until: Micros,
-    /// It has turned a connection away.
-    pub denied: bool,
+    /// A connection to this endpoint has failed.
+    pub connect_failed: bool,
 }
 
 /// A destination and what is held for it.
 #[derive(Debug, Default)]
 pub(crate) struct Destination {
-    pub lanes: Vec<usize>,
-    /// Calls out to it at most, beside the share of all slots.
+    /// Indices of its routes.
+    pub routes: Vec<usize>,
+    /// Largest number of calls in flight to this destination, in addition to its share of all slots.
     pub slots: Option<u32>,
-    /// Messages ready to go, by class and by the zone (plus one) that binds them, first tries and retries apart, oldest
-    /// first.
+    /// Messages that are ready to be sent, oldest first, by class and queue tag. The tag holds the zone (plus
+    /// one) to which a repeat is bound, and a flag that separates retries from first tries.
     pub ready: BTreeMap<(usize, u32), BTreeSet<(Micros, MessageId)>>,
-    /// Messages held for it that are not over.
+    /// Messages held for this destination that have not ended.
     pub held: u32,
-    /// Since when more has been ready than it takes.
-    pub behind: Option<Micros>,
-    /// What was taken on for it lately, by class.
-    pub mix: Vec<f64>,
+    /// Since when more messages have been ready than the destination takes.
+    pub backlog_since: Option<Micros>,
+    /// Messages accepted lately, by class, decaying with each accepted message.
+    pub class_mix: Vec<f64>,
 }
 
-/// An attempt; `done` once it has its outcome.
+/// An attempt to deliver a message.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub target: TargetId,
+    /// Number of the call that carries it.
     pub call: u64,
+    /// A resend is planned if no answer has come by the time-out.
     pub planned: bool,
-    pub done: Option<Outcome>,
+    /// The outcome, once it is known.
+    pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Attempts of an earlier process, by how they ended.
-    pub fn over(outcomes: Vec<Outcome>) -> Vec<Attempt> {
-        outcomes.into_iter().map(|o| Attempt { target: 0, call: 0, planned: false, done: Some(o) }).collect()
+    /// The attempts of an earlier process, from their outcomes.
+    pub fn completed(outcomes: Vec<Outcome>) -> Vec<Attempt> {
+        outcomes
+            .into_iter()
+            .map(|o| Attempt { target: 0, call: 0, planned: false, outcome: Some(o) })
+            .collect()
     }
 }
 
-/// A message.
+/// A message that is held.
 #[derive(Debug, Default)]
 pub(crate) struct Message {
     pub class: usize,
     pub destination: DestinationId,
     pub order_key: u64,
-    pub born: Micros,
+    /// When the message was handed in: its deadline before it expires.
+    pub accepted: Micros,
     pub expires: Micros,
     pub attempts: Vec<Attempt>,
     /// Time and zone of the first attempt that may have run.
-    pub ran: Option<(Micros, u32)>,
-    /// The queue in which it stands ready.
+    pub first_run: Option<(Micros, u32)>,
+    /// Class and tag of the queue that holds the message while it is ready.
     pub queue: Option<(usize, u32)>,
-    pub over: bool,
+    /// The message has ended; attempts may still be in flight.
+    pub ended: bool,
 }
 
 impl Message {
-    /// One that has not been tried.
+    /// A message without attempts.
     pub fn new(class: u32, destination: DestinationId, order_key: u64, expires: Micros) -> Message {
         Message { class: class as usize, destination, order_key, expires, ..Message::default() }
     }
 }
 
 /// How a call ended.
-pub(crate) struct End {
+pub(crate) struct CallEnd {
     pub outcome: Outcome,
     pub sent: Micros,
+    /// The wait that the destination asked for, 0 for none.
     pub wait: Micros,
     pub report: Option<LimitReport>,
+    /// The call timed out and its resend was planned.
     pub planned: bool,
 }
 
-/// The messages of an order key, as they came, and until when the key rests.
-pub(crate) type Turns = (VecDeque<MessageId>, Micros);
+/// The messages of an order key in the order of their arrival, and until when the key is paused.
+pub(crate) type KeyQueue = (VecDeque<MessageId>, Micros);
 
-/// A send that could be made: its urgency, message, lane and endpoint, and whether it is a trial.
-pub(crate) type Pick = (f64, MessageId, usize, TargetId, bool);
+/// A possible send: its urgency, message, route and endpoint, and whether it is a trial.
+pub(crate) type SendChoice = (f64, MessageId, usize, TargetId, bool);
--- a/src/views.rs
+++ b/src/views.rs
@@ -1,73 +1,73 @@
-//! The form of what [`crate::Brain::view`] shows. Spans are microseconds.
+//! Status of destinations, as returned by [`crate::Brain::view`]. Time spans are in microseconds.
 
 use crate::interface::*;
 
-/// How a destination's way looks.
+/// Health of a route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// Calls go and are answered.
+    /// Calls go out and are answered.
     Open,
-    /// Calls go, and many of them fail.
+    /// Calls go out, and many of them fail.
     Failing,
-    /// Looks out: single trials.
+    /// The destination is out: only single trial calls go out.
     Out {
-        /// Until the next may go.
+        /// Time until the next trial.
         next: Micros,
     },
-    /// Answers again, and gets more step by step.
+    /// Slow start: the destination answers again, and its load is raised step by step.
     Warming {
-        /// Since the first answer.
+        /// Time since the first answer.
         since: Micros,
     },
 }
 
-/// A target.
+/// Status of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetView {
-    /// Its name.
+    /// Number of the endpoint.
     pub target: TargetId,
-    /// As listed.
+    /// State in the endpoint list.
     pub state: EndpointState,
-    /// Calls out to it.
+    /// Calls in flight to it.
     pub calls: u32,
-    /// For so long others are taken first.
+    /// Time for which other endpoints are preferred.
     pub avoided: Micros,
 }
 
-/// A destination's shared way, or one route apart.
+/// Status of a route: the shared route of a destination, or the independent route of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LaneView {
-    /// Its targets.
+    /// Its endpoints.
     pub targets: Vec<TargetView>,
-    /// How it looks.
+    /// Its health.
     pub health: Health,
-    /// How long there has been no answer since the trouble began.
+    /// Time without an answer since the failures began.
     pub trouble: Option<Micros>,
     /// Smoothed share of failures, 0 to 1.
     pub failing: f64,
-    /// How much of the evidence that a verdict of being out takes there is, 0 to 1 and a little more.
+    /// Evidence for an outage as a fraction of what the verdict needs: 0 to slightly above 1.
     pub towards_out: f64,
-    /// How long the present state has stood: failing, out or warming since; else since the last failure, none if there
-    /// was none.
+    /// How long the present state has lasted: failing, out or slow start. For a healthy route the time since
+    /// the last failure, none if there was none.
     pub stood: Option<Micros>,
-    /// Rest of a wait that it has told.
+    /// Rest of the wait that the destination requested.
     pub wait: Micros,
-    /// Calls that may be out at once.
+    /// Calls that may be in flight at once.
     pub window: f64,
-    /// Calls out.
+    /// Calls in flight.
     pub calls: u32,
-    /// The resend point, 0 until it is trusted.
+    /// Resend point τ, 0 until enough answers are known.
     pub tau: Micros,
-    /// Mean answer time, 0 if there was none.
+    /// Mean answer time, 0 if there was no answer.
     pub mean: Micros,
-    /// Own calls a second, 0 if not limited.
+    /// Calls a second that this sender may make, 0 if not limited.
     pub pace: f64,
-    /// The known limit in calls a second, 0 if not known.
+    /// Known rate limit in calls a second, 0 if none is known.
     pub limit: f64,
 }
 
 impl LaneView {
-    /// The verdict, and what it rests on, for somebody who runs a site.
+    /// Describes the health, and the figures behind it, for operators.
     pub fn words(&self) -> String {
         let percent = |share: f64| format!("{:.0}%", share * 100.0);
         let seconds = |span: Micros| match span {
@@ -75,34 +75,40 @@
             _ => format!("{}m{:02}s", span / 60_000_000, span / 1_000_000 % 60),
         };
         let stood = self.stood.map(seconds).unwrap_or_default();
-        let waits =
-            if self.wait > 0 { format!("; told to wait {}", seconds(self.wait)) } else { String::new() };
-        let near = if self.towards_out >= 0.5 { "; close to being held out" } else { "" };
+        let waits = if self.wait > 0 {
+            format!("; requested wait ends in {}", seconds(self.wait))
+        } else {
+            String::new()
+        };
+        let close_to_outage = if self.towards_out >= 0.5 { "; close to an outage verdict" } else { "" };
         match self.health {
-            Health::Open if self.failing < 0.005 => format!("sound{waits}"),
+            Health::Open if self.failing < 0.005 => format!("healthy{waits}"),
             Health::Open => {
-                format!("{} of calls fail, the last {stood} ago{near}{waits}", percent(self.failing))
+                format!(
+                    "{} of calls fail, last failure {stood} ago{close_to_outage}{waits}",
+                    percent(self.failing)
+                )
             }
             Health::Failing => {
-                format!("{} of calls fail, many for {stood}{near}{waits}", percent(self.failing))
+                format!("{} of calls fail, lossy for {stood}{close_to_outage}{waits}", percent(self.failing))
             }
             Health::Out { next } if next > 0 => {
                 format!("out for {stood}, next trial in {}{waits}", seconds(next))
             }
             Health::Out { .. } => format!("out for {stood}, trial due{waits}"),
-            Health::Warming { .. } => format!("answers again for {stood}, gets more step by step{waits}"),
+            Health::Warming { .. } => format!("slow start for {stood}{waits}"),
         }
     }
 }
 
-/// A destination.
+/// Status of a destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationView {
-    /// Its name.
+    /// Number of the destination.
     pub destination: DestinationId,
-    /// Messages that could go now.
+    /// Messages that are ready to be sent.
     pub ready: u32,
-    /// Its ways.
+    /// Its routes.
     pub lanes: Vec<LaneView>,
 }
 
@@ -111,8 +117,8 @@
     use super::*;
 
     #[test]
-    fn the_verdict_is_told_in_words_with_what_it_rests_on() {
-        let lane = LaneView {
+    fn the_description_states_the_health_and_its_figures() {
+        let route = LaneView {
             targets: Vec::new(),
             health: Health::Open,
             trouble: None,
@@ -127,16 +133,19 @@
             pace: 0.0,
             limit: 0.0,
         };
-        assert_eq!(lane.words(), "sound");
-        assert_eq!(LaneView { wait: 1_500_000, ..lane.clone() }.words(), "sound; told to wait 1.5s");
-        let some = LaneView { failing: 0.052, stood: Some(400_000), towards_out: 0.1, ..lane.clone() };
-        assert_eq!(some.words(), "5% of calls fail, the last 0.4s ago");
+        assert_eq!(route.words(), "healthy");
+        assert_eq!(
+            LaneView { wait: 1_500_000, ..route.clone() }.words(),
+            "healthy; requested wait ends in 1.5s"
+        );
+        let some = LaneView { failing: 0.052, stood: Some(400_000), towards_out: 0.1, ..route.clone() };
+        assert_eq!(some.words(), "5% of calls fail, last failure 0.4s ago");
         let many = LaneView { health: Health::Failing, failing: 0.31, towards_out: 0.7, ..some };
-        assert_eq!(many.words(), "31% of calls fail, many for 0.4s; close to being held out");
+        assert_eq!(many.words(), "31% of calls fail, lossy for 0.4s; close to an outage verdict");
         let out =
-            LaneView { health: Health::Out { next: 2_000_000 }, stood: Some(61_000_000), ..lane.clone() };
+            LaneView { health: Health::Out { next: 2_000_000 }, stood: Some(61_000_000), ..route.clone() };
         assert_eq!(out.words(), "out for 1m01s, next trial in 2.0s");
-        let back = LaneView { health: Health::Warming { since: 3 }, stood: Some(3_000_000), ..lane };
-        assert_eq!(back.words(), "answers again for 3.0s, gets more step by step");
+        let slow_start = LaneView { health: Health::Warming { since: 3 }, stood: Some(3_000_000), ..route };
+        assert_eq!(slow_start.words(), "slow start for 3.0s");
     }
 }
