--- a/src/brain/endpoint_list.rs
+++ b/src/brain/endpoint_list.rs
@@ -36,7 +36,7 @@
                 .unwrap_or_else(|| {
                     let latency = LatencyHistogram::new();
                     let cost = self
-                        .settings
+                        .config
                         .zone_fee
                         .get(e.zone as usize)
                         .copied()
