--- a/benches/lossy.rs
+++ b/benches/lossy.rs
@@ -8,21 +8,25 @@
 use lossy::*;
 
 /// What a plain client applies in a second at a share: no journal, no order, no rule on payments.
-fn plain(plan: &Plan) -> f64 {
+fn plain(plan: &Scenario) -> f64 {
     let mut rng = fastrand::Rng::with_seed(plan.seed);
     let mut applied = 0u64;
     for _ in 0..8 * plan.partners {
         let mut now = 0;
-        while now < plan.span {
-            now += plan.answers.0 + rng.u64(0..=plan.answers.1 - plan.answers.0) + 200;
-            if rng.f64() < plan.share {
-                now += if plan.kinds[rng.usize(0..plan.kinds.len())] == Kind::Late { SECOND } else { 0 };
+        while now < plan.duration {
+            now += plan.latency.0 + rng.u64(0..=plan.latency.1 - plan.latency.0) + 200;
+            if rng.f64() < plan.failure_share {
+                now += if plan.failure_kinds[rng.usize(0..plan.failure_kinds.len())] == FailureKind::Late {
+                    SECOND
+                } else {
+                    0
+                };
             } else {
                 applied += 1;
             }
         }
     }
-    applied as f64 * SECOND as f64 / plan.span as f64
+    applied as f64 * SECOND as f64 / plan.duration as f64
 }
 
 fn sweep() {
@@ -31,15 +35,16 @@
     for share in [0.0, 0.055, 0.11, 0.165, 0.22, 0.3, 0.4, 0.5, 0.6] {
         let (mut rate, mut back, mut tries, mut verdicts, mut taken) = (0.0, 0, 0.0, 0, 0);
         for seed in 1..=3 {
-            let plan = Plan { seed, share, ..Plan::default() };
-            let day = play(&plan);
-            let span = (plan.span / SECOND) as usize;
+            let plan = Scenario { seed, failure_share: share, ..Scenario::default() };
+            let day = simulate(&plan);
+            let span = (plan.duration / SECOND) as usize;
             rate += day.by_second[..span].iter().sum::<u64>() as f64 / span as f64 / 3.0;
             tries += day.attempts as f64 / day.applied as f64 / 3.0;
-            (back, verdicts, taken) = (back + day.handed_back, verdicts + day.verdicts, taken + day.taken);
+            (back, verdicts, taken) =
+                (back + day.handed_back, verdicts + day.outages_detected, taken + day.taken);
         }
         first = if first > 0.0 { first } else { rate };
-        let plain = plain(&Plan { share, ..Plan::default() });
+        let plain = plain(&Scenario { failure_share: share, ..Scenario::default() });
         let back = back as f64 / taken as f64;
         println!(
             "{:>5.1}%  {rate:>9.1}  {:>5.2}  {plain:>8.1}  {tries:>16.2}  {:>10.1}%  {verdicts:>8}",
@@ -52,17 +57,24 @@
 
 fn outages() {
     println!("true outages: time to the verdict and calls spent before it, worst of three days");
-    for kind in [Kind::Refused, Kind::ResetBefore, Kind::Error, Kind::Silent] {
+    for kind in [FailureKind::Refused, FailureKind::ResetBefore, FailureKind::Error, FailureKind::Silent] {
         let mut line = format!("  {kind:?}:");
         for rate in [5.0, 50.0, 500.0, 5_000.0] {
             let (mut latest, mut spent) = (0, 0);
             for seed in 1..=3 {
                 let outage = Some((4 * SECOND, 12 * SECOND, kind));
-                let plan =
-                    Plan { seed, rate, clients: 0, outage, slots: 256, span: 8 * SECOND, ..Plan::default() };
-                let day = play(&plan);
-                latest = latest.max(day.found_after.unwrap_or(Micros::MAX));
-                spent = spent.max(day.spent);
+                let plan = Scenario {
+                    seed,
+                    rate,
+                    clients: 0,
+                    outage,
+                    slots: 256,
+                    duration: 8 * SECOND,
+                    ..Scenario::default()
+                };
+                let day = simulate(&plan);
+                latest = latest.max(day.detected_after.unwrap_or(Micros::MAX));
+                spent = spent.max(day.calls_before_detection);
             }
             line += &format!("  {rate}/s {} ms, {spent} calls;", latest / MS);
         }
@@ -70,7 +82,7 @@
     }
 }
 
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 
 fn main() {
     let names: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
--- a/src/bin/foldtrack/asking.rs
+++ b/src/bin/foldtrack/asking.rs
@@ -5,7 +5,7 @@
 //! hundreds too. A fleet that fails together spreads its calls over all that the rule allows: a discovery that is asked by
 //! all at once turns most of them away, and answers the others too late.
 
-use hatchline::{Micros, FLEET};
+use foldtrack_delivery::{Micros, LARGE_FLEET};
 use std::time::Duration;
 
 /// A change counts as told so long after discovery has it and can be reached.
@@ -77,7 +77,7 @@
     }
 
     fn is_fleet(&self) -> bool {
-        self.senders >= FLEET
+        self.senders >= LARGE_FLEET
     }
 
     /// How long the next watch may stay without news.
--- a/src/bin/foldtrack/cli/emulate.rs
+++ b/src/bin/foldtrack/cli/emulate.rs
@@ -3,11 +3,11 @@
 use super::show::table;
 use super::{say, Ended, Failure, FAILED, WRONG};
 use clap::Args;
+use foldtrack_delivery::emulator_policy::SchedulerFactory;
 use foldtrack_emulator::baselines::Baseline;
 use foldtrack_emulator::matrix::{mean, rows, Row};
 use foldtrack_emulator::policy::Maker;
 use foldtrack_emulator::world::World;
-use hatchline::emulated::Modules;
 use std::path::PathBuf;
 
 /// The world that comes with the program.
@@ -38,7 +38,7 @@
 }
 
 fn policy(name: &str) -> Result<&'static dyn Maker, Failure> {
-    let all: Vec<&'static dyn Maker> = std::iter::once(&Modules as &dyn Maker)
+    let all: Vec<&'static dyn Maker> = std::iter::once(&SchedulerFactory as &dyn Maker)
         .chain(Baseline::ALL.iter().map(|b| b as &dyn Maker))
         .collect();
     let names: Vec<&str> = all.iter().map(|p| p.name()).collect();
--- a/src/bin/foldtrack/clients.rs
+++ b/src/bin/foldtrack/clients.rs
@@ -8,8 +8,8 @@
 use crate::streams::{HeadScan, Scanned};
 use bytes::Bytes;
 use foldtrack_admission::{Admit, Ask, Why};
-use hatchline::settings::Parsed;
-use hatchline::{Effect, Micros};
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{Effect, Micros};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
@@ -50,7 +50,7 @@
 
 /// What the connections share.
 pub(crate) struct Desk {
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
     pub clock: Clock,
     pub inputs: Inputs,
     pub stage: watch::Receiver<Stage>,
--- a/src/bin/foldtrack/clock.rs
+++ b/src/bin/foldtrack/clock.rs
@@ -1,6 +1,6 @@
 //! The one clock of the process, for all of its sides.
 
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/src/bin/foldtrack/config.rs
+++ b/src/bin/foldtrack/config.rs
@@ -10,10 +10,10 @@
 use crate::platform::Agent;
 use crate::speech::Speeches;
 use foldtrack_admission::Settings as Admission;
+use foldtrack_delivery::settings::DeploymentSettings;
 use foldtrack_ends::Store;
 use foldtrack_journal::Budget;
 use foldtrack_site::Site;
-use hatchline::settings::Parsed;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use serde::Deserialize;
 use std::env;
@@ -34,7 +34,7 @@
     pub disk_bytes: u64,
     /// The disk counts as no larger: a rehearsal.
     pub disk_budget: Option<Budget>,
-    pub settings: Parsed,
+    pub settings: DeploymentSettings,
     /// How destinations are spoken to.
     pub speeches: Speeches,
     pub membership: Box<dyn Membership>,
@@ -63,7 +63,7 @@
     limits: Limits,
     #[serde(default)]
     known: ServerList,
-    settings: Parsed,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
--- a/src/bin/foldtrack/connections.rs
+++ b/src/bin/foldtrack/connections.rs
@@ -4,8 +4,8 @@
 use crate::descriptors::Drawn;
 use crate::streams::{Tap, Tapped};
 use bytes::Bytes;
+use foldtrack_delivery::{Outcome, TargetId};
 use foldtrack_pool::{Ahead, Counts, Idle};
-use hatchline::{Outcome, TargetId};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -332,7 +332,7 @@
         let idle = idle.map(|idle| idle.as_micros() as u64);
         match (outcome, idle) {
             (Outcome::Reset, Some(idle)) => endpoint.learned.reset_after(now, idle),
-            (Outcome::Ok | Outcome::Error | Outcome::Full, Some(idle)) => {
+            (Outcome::Ok | Outcome::Error | Outcome::Rejected, Some(idle)) => {
                 endpoint.learned.answered_after(now, idle)
             }
             _ => {}
--- a/src/bin/foldtrack/list.rs
+++ b/src/bin/foldtrack/list.rs
@@ -1,6 +1,6 @@
 //! The list of targets, in discovery's form.
 
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/bin/foldtrack/main.rs
+++ b/src/bin/foldtrack/main.rs
@@ -1,4 +1,4 @@
-//! One forwarder of outbound messages on real sockets: the decisions of `hatchline` between clients, targets
+//! One forwarder of outbound messages on real sockets: the decisions of `foldtrack_delivery` between clients, targets
 //! and the platform.
 #![warn(missing_docs)]
 
--- a/src/bin/foldtrack/message.rs
+++ b/src/bin/foldtrack/message.rs
@@ -1,7 +1,7 @@
 //! A message on its way from a client to a target.
 
 use bytes::Bytes;
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -4,9 +4,9 @@
 use crate::config::SiteParts;
 use crate::door::Answer;
 use foldtrack_control::Failure;
+use foldtrack_delivery::Outcome;
 use foldtrack_ends::{self as ends, End, Store};
 use foldtrack_journal::Notice;
-use hatchline::Outcome;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::path::PathBuf;
@@ -182,12 +182,12 @@
     match outcome {
         Outcome::Ok => ends::Outcome::Ok,
         Outcome::Error => ends::Outcome::Error,
-        Outcome::Full => ends::Outcome::Full,
+        Outcome::Rejected => ends::Outcome::Full,
         Outcome::TimedOut => ends::Outcome::TimedOut,
         Outcome::ConnectFailed => ends::Outcome::NotConnected,
         Outcome::Reset => ends::Outcome::Reset,
         Outcome::Cancelled => ends::Outcome::Cancelled,
-        Outcome::Spoilt => ends::Outcome::Spoilt,
-        Outcome::NotSent | Outcome::HeldBack => ends::Outcome::NotSent,
+        Outcome::UnreadableResponse => ends::Outcome::Spoilt,
+        Outcome::NotSent | Outcome::Withheld => ends::Outcome::NotSent,
     }
 }
--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -8,9 +8,9 @@
 use foldtrack_admission::Party;
 use foldtrack_clearance::Overtaken;
 use foldtrack_control::Failure;
+use foldtrack_delivery::{Action, Event, Micros, Outcome, TargetId};
 use foldtrack_ends::{self as ends, Attempt};
 use foldtrack_journal::{Fate, Notice, Record};
-use hatchline::{Action, Event, Micros, Outcome, TargetId};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
@@ -44,11 +44,14 @@
             Action::Fail { id } => self.end(id, Notice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all that was decided on before, and no later than what is decided on next.
-            Action::FoundOut { target } => self.targets.found_out(target, self.clock.now()),
+            Action::OutageDetected { target } => self.targets.found_out(target, self.clock.now()),
             Action::CloseIdle { target } => self.idle.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is watched all the time; probes and talk are not for this kind of deployment.
-            Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::Subscribe { .. }
+            | Action::FetchList
+            | Action::Probe { .. }
+            | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -181,7 +184,7 @@
             Overtaken::Waits { until } => until.saturating_sub(self.clock.now()),
             Overtaken::FoundOut | Overtaken::Closed => 0,
         };
-        let outcome = self.nothing_tried(id, Outcome::HeldBack);
+        let outcome = self.nothing_tried(id, Outcome::Withheld);
         self.handle(Event::Outcome {
             id,
             attempt,
@@ -199,12 +202,12 @@
     fn nothing_tried(&mut self, number: u64, outcome: Outcome) -> Outcome {
         let most = self.settings.settings.max_attempts;
         match self.messages.get_mut(&number) {
-            Some(held) if outcome == Outcome::HeldBack && held.held_back < most => {
+            Some(held) if outcome == Outcome::Withheld && held.held_back < most => {
                 held.held_back += 1;
                 held.attempts -= 1;
                 outcome
             }
-            _ if outcome == Outcome::HeldBack => Outcome::NotSent,
+            _ if outcome == Outcome::Withheld => Outcome::NotSent,
             _ => outcome,
         }
     }
@@ -268,7 +271,7 @@
 
     fn attempt_ended(&mut self, end: &CallEnd) {
         let (Some(site), Some(held)) = (&mut self.site, self.messages.get_mut(&end.number)) else { return };
-        if end.outcome == Outcome::HeldBack {
+        if end.outcome == Outcome::Withheld {
             // Nothing was tried, and it speaks against nobody.
             held.history.pop();
             return;
--- a/src/bin/foldtrack/node/durable.rs
+++ b/src/bin/foldtrack/node/durable.rs
@@ -5,10 +5,10 @@
 use super::Node;
 use crate::door::{Answer, Input, Receipt, Synced};
 use crate::targets::{self, Call};
+use foldtrack_delivery::Outcome;
 use foldtrack_ends::Result as EndResult;
 use foldtrack_journal::journal::SyncJob;
 use foldtrack_journal::{Record, Ticket, Unwritten};
-use hatchline::Outcome;
 use std::collections::HashMap;
 use std::fs::File;
 use tokio::sync::oneshot;
--- a/src/bin/foldtrack/node/endings.rs
+++ b/src/bin/foldtrack/node/endings.rs
@@ -5,9 +5,9 @@
 use crate::notices::Ending;
 use crate::platform;
 use crate::table::Known;
+use foldtrack_delivery::{Effect, Micros};
 use foldtrack_ends::{EndRef, Result as EndResult};
 use foldtrack_journal::{Notice, Record};
-use hatchline::{Effect, Micros};
 use hyper::StatusCode;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     fn handed_back(&self, held: &Held, retry_in_ms: u64) -> EndResult {
         let message = &held.message;
         let class = self.settings.settings.classes.get(message.class);
-        let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window);
+        let window = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window);
         // The partner may have known it since the first attempt that can have reached it, of whichever hand-in.
         let first = held.history.iter().find(|a| !a.outcome.never_ran()).map(|a| a.at);
         let own =
--- a/src/bin/foldtrack/node/intake.rs
+++ b/src/bin/foldtrack/node/intake.rs
@@ -4,9 +4,9 @@
 use crate::door::Answer;
 use crate::message::Message;
 use crate::table::Known;
+use foldtrack_delivery::{Event, Outcome};
 use foldtrack_ends::Result as EndResult;
 use foldtrack_journal::{Accepted, Record};
-use hatchline::{Event, Outcome};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
@@ -101,7 +101,7 @@
 
     /// The answer where there is no room, or no endpoint: to come again when the module expects room.
     pub(super) fn full_answer(&mut self, destination: u32) -> Answer {
-        let wait = self.brain.advice(destination).div_ceil(1000);
+        let wait = self.scheduler.advised_wait(destination).div_ceil(1000);
         self.site.as_mut().map_or(Answer::Refused { retry_in_ms: 0 }, |s| s.full(wait))
     }
 
@@ -178,6 +178,6 @@
         if let Some(Waiting { attempt, target, .. }) = held.waiting {
             self.outcome(number, attempt, target, Outcome::NotSent, true);
         }
-        self.handle(Event::Lapsed { id: number });
+        self.handle(Event::Abandoned { id: number });
     }
 }
--- a/src/bin/foldtrack/node/mod.rs
+++ b/src/bin/foldtrack/node/mod.rs
@@ -28,10 +28,12 @@
 use crate::targets::{read_what_has_come, STOOD_STILL};
 use appliance::{Appliance, LONGEST_NAME};
 use foldtrack_admission::Party;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{
+    Action, DeliveryScheduler, Endpoint, EndpointState, Event, ListKind, Micros, TargetId,
+};
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{Folder, Journal, Options};
-use hatchline::settings::Parsed;
-use hatchline::{Action, Brain, Endpoint, EndpointState, Event, ListKind, Micros, TargetId};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::io;
 use std::net::SocketAddr;
@@ -94,8 +96,8 @@
 
 struct Node {
     clock: Clock,
-    brain: Brain,
-    settings: Arc<Parsed>,
+    scheduler: DeliveryScheduler,
+    settings: Arc<DeploymentSettings>,
     journal: Journal,
     inputs: Inputs,
     membership: Box<dyn Membership>,
@@ -175,10 +177,10 @@
     let highest = journal.highest().max(site.as_ref().map_or(0, |s| s.ends.highest_number()));
     let (stage, stage_seen) = watch::channel(Stage::Serving);
     let share = half(config.sockets);
-    let conn_idle = Duration::from_micros(settings.settings.connection_idle);
+    let conn_idle = Duration::from_micros(settings.settings.idle_timeout);
     let mut node = Node {
         clock,
-        brain: Brain::new(clock.now(), config.seed, settings.settings.clone()),
+        scheduler: DeliveryScheduler::new(clock.now(), config.seed, settings.settings.clone()),
         settings: settings.clone(),
         journal,
         inputs: inputs.clone(),
@@ -274,7 +276,7 @@
             self.timers.pop_first();
             self.handle(Event::Timer { token });
         }
-        self.brain.decide(self.clock.now(), &mut self.actions);
+        self.scheduler.decide(self.clock.now(), &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
             self.carry_out(action);
         }
@@ -316,7 +318,7 @@
     }
 
     fn handle(&mut self, event: Event) {
-        self.brain.handle(self.clock.now(), event, &mut self.actions);
+        self.scheduler.handle(self.clock.now(), event, &mut self.actions);
     }
 
     fn take_in(&mut self, input: Input) {
@@ -366,7 +368,8 @@
         for line in list.servers {
             let zone = place(&self.settings.zone_names, &line.zone);
             let kind = place(&self.settings.kind_names, &line.kind);
-            let apart = self.settings.settings.routes_apart.get(kind as usize).copied().unwrap_or(false);
+            let apart =
+                self.settings.settings.independent_routes.get(kind as usize).copied().unwrap_or(false);
             let Some((target, replaced)) = self.targets.number(&line, zone, apart) else { continue };
             named.insert(target);
             if let Some(target) = replaced {
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -3,9 +3,9 @@
 use super::Node;
 use crate::door::Ask;
 use foldtrack_control::{Done, Error};
+use foldtrack_delivery::ListKind;
 use foldtrack_ends::Fetched;
 use foldtrack_membership::{Change, Order, Trouble};
-use hatchline::ListKind;
 use std::io;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -7,6 +7,7 @@
 use crate::message::Message;
 use crate::peers::Hands;
 use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
+use foldtrack_delivery::ListKind;
 use foldtrack_ends::{End, Result as EndResult};
 use foldtrack_membership::{Change, EndpointState, Order, Trouble};
 use foldtrack_peers::claims::{key, Effect, Key, Verdict, Word as EndWord, REMEMBERED};
@@ -14,7 +15,6 @@
 use foldtrack_peers::ledger::Presence;
 use foldtrack_peers::orders::{Refusal, Settled};
 use foldtrack_peers::{Output, Peers};
-use hatchline::ListKind;
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -429,7 +429,7 @@
     }
 
     /// A partner has told this forwarder to wait for so long.
-    pub(super) fn told_to_wait(&mut self, partner: u32, wait: hatchline::Micros) {
+    pub(super) fn told_to_wait(&mut self, partner: u32, wait: foldtrack_delivery::Micros) {
         let now = self.ms();
         if let Some(side) = self.peers.as_mut().filter(|_| wait > 0) {
             side.peers.told_to_wait(now, partner, wait / 1000);
@@ -438,9 +438,9 @@
 
     /// Nothing goes to a partner until then: it has told another forwarder to wait. A little longer by chance, so that not all
     /// of them come back at once.
-    fn hold(&mut self, partner: u32, until: hatchline::Micros) {
+    fn hold(&mut self, partner: u32, until: foldtrack_delivery::Micros) {
         let span = until.saturating_sub(self.clock.now());
-        let until = until + (span as f64 * HOLD_SPREAD * fastrand::f64()) as hatchline::Micros;
+        let until = until + (span as f64 * HOLD_SPREAD * fastrand::f64()) as foldtrack_delivery::Micros;
         let mut lines = self.membership.known().servers;
         lines.retain(|line| line.cell == partner);
         lines.iter_mut().for_each(|line| line.hold_until = until);
@@ -456,9 +456,9 @@
         let now = self.ms();
         let class = &self.settings.settings.classes[message.class];
         let effect = match class.effect {
-            hatchline::Effect::Repeatable => return Some((message, reply)),
-            hatchline::Effect::Keyed => Effect::Keyed(class.window / 1000),
-            hatchline::Effect::Unsafe => Effect::Once(class.deadline / 1000),
+            foldtrack_delivery::Effect::Repeatable => return Some((message, reply)),
+            foldtrack_delivery::Effect::Keyed => Effect::Keyed(class.dedup_window / 1000),
+            foldtrack_delivery::Effect::Once => Effect::Once(class.deadline / 1000),
         };
         let Some(side) = &mut self.peers else { return Some((message, reply)) };
         let id = key(&message.id);
@@ -537,12 +537,12 @@
         }
         let classes = &self.settings.settings.classes;
         let held = self.messages.values();
-        let held = held.filter(|h| classes[h.message.class].effect != hatchline::Effect::Repeatable);
+        let held = held.filter(|h| classes[h.message.class].effect != foldtrack_delivery::Effect::Repeatable);
         let unix = self.clock.unix(self.clock.now());
         let names = &self.settings.class_names;
         let is_claimed = |class: &String| {
             let class = names.iter().position(|name| name == class);
-            class.is_none_or(|n| classes[n].effect != hatchline::Effect::Repeatable)
+            class.is_none_or(|n| classes[n].effect != foldtrack_delivery::Effect::Repeatable)
         };
         let held: Vec<Key> = held.map(|h| key(&h.message.id)).collect();
         let mut ended: Vec<(Key, EndWord)> = Vec::new();
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -6,9 +6,9 @@
 use crate::door::{Picture, Stage};
 use crate::told::{told_attempt, told_end};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
+use foldtrack_delivery::status::{DestinationStatus, Health, RouteStatus};
+use foldtrack_delivery::{Micros, TargetId};
 use foldtrack_membership::State;
-use hatchline::views::{DestinationView, Health, LaneView};
-use hatchline::{Micros, TargetId};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,12 +59,12 @@
     }
 }
 
-fn health(lane: &LaneView) -> &'static str {
+fn health(lane: &RouteStatus) -> &'static str {
     match lane.health {
-        Health::Open => "up",
+        Health::Up => "up",
         Health::Failing => "failing",
         Health::Out { .. } => "out",
-        Health::Warming { .. } => "warming",
+        Health::SlowStart { .. } => "warming",
     }
 }
 
@@ -115,7 +115,7 @@
     fn finish(&mut self, scan: &Scan) -> Arc<Picture> {
         let now = self.clock.now();
         let unix = self.clock.unix(now);
-        let views = self.brain.view(now);
+        let views = self.scheduler.status(now);
         let (whole, heaps) = (scan.whole, &scan.partners);
         let queues = self.queues(scan, unix);
         let longest = self.site.as_mut().map_or(Duration::ZERO, |s| std::mem::take(&mut s.longest_round));
@@ -173,10 +173,10 @@
     }
 
     fn partners(
-        &self, state: &State, views: &[DestinationView], heaps: &HashMap<u32, Heap>, unix: Micros,
+        &self, state: &State, views: &[DestinationStatus], heaps: &HashMap<u32, Heap>, unix: Micros,
     ) -> Vec<Partner> {
         let Some(site) = &self.site else { return Vec::new() };
-        let by_number: HashMap<u32, &DestinationView> = views.iter().map(|v| (v.destination, v)).collect();
+        let by_number: HashMap<u32, &DestinationStatus> = views.iter().map(|v| (v.destination, v)).collect();
         let mut counts: HashMap<&str, (u32, u32)> = HashMap::new();
         for endpoint in state.endpoints().values() {
             let (all, open) = counts.entry(&endpoint.partner).or_default();
@@ -184,7 +184,7 @@
             *open += u32::from(state.is_open(endpoint));
         }
         let partner = |(name, partner): (&String, &foldtrack_membership::Partner)| {
-            let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.lanes);
+            let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.routes);
             // Where endpoints are routes apart, the worst is shown; the list of endpoints has them all.
             let worst = lanes
                 .iter()
@@ -202,11 +202,11 @@
                 verdict: if open == 0 {
                     "nothing new goes to it".into()
                 } else {
-                    worst.map_or(String::new(), LaneView::words)
+                    worst.map_or(String::new(), RouteStatus::describe)
                 },
-                failing: worst.map_or(0.0, |l| share(l.failing)),
-                towards_out: worst.map_or(0.0, |l| share(l.towards_out)),
-                stood_ms: worst.and_then(|l| l.stood).unwrap_or(0) / 1000,
+                failing: worst.map_or(0.0, |l| share(l.failure_share)),
+                towards_out: worst.map_or(0.0, |l| share(l.outage_evidence)),
+                stood_ms: worst.and_then(|l| l.state_age).unwrap_or(0) / 1000,
                 endpoints,
                 open,
                 held: heap.held,
@@ -214,8 +214,8 @@
                 calls: lanes.iter().map(|l| l.calls).sum(),
                 window: round(lanes.iter().map(|l| l.window).sum()),
                 tau_ms: worst.map_or(0.0, |l| millis(l.tau)),
-                mean_ms: worst.map_or(0.0, |l| millis(l.mean)),
-                wait_ms: lanes.iter().map(|l| l.wait.div_ceil(1000)).max().unwrap_or(0),
+                mean_ms: worst.map_or(0.0, |l| millis(l.mean_latency)),
+                wait_ms: lanes.iter().map(|l| l.wait_left.div_ceil(1000)).max().unwrap_or(0),
                 pace: round(lanes.iter().map(|l| l.pace).sum()),
                 rate: facts.map_or(0.0, |f| f.rate),
                 slots: facts.map_or(0, |f| f.slots),
@@ -226,15 +226,15 @@
         state.partners().iter().map(partner).collect()
     }
 
-    fn endpoints(&self, state: &State, views: &[DestinationView]) -> Vec<Endpoint> {
+    fn endpoints(&self, state: &State, views: &[DestinationStatus]) -> Vec<Endpoint> {
         // Of targets that share a name, the latest one stands for it; calls of all count.
-        let mut by_name: HashMap<&str, (TargetId, &LaneView, u64)> = HashMap::new();
+        let mut by_name: HashMap<&str, (TargetId, &RouteStatus, u64)> = HashMap::new();
         let mut calls: HashMap<&str, u32> = HashMap::new();
-        for lane in views.iter().flat_map(|v| &v.lanes) {
+        for lane in views.iter().flat_map(|v| &v.routes) {
             for target in &lane.targets {
                 let name = self.targets.name(target.target);
                 *calls.entry(name).or_default() += target.calls;
-                let entry = (target.target, lane, target.avoided);
+                let entry = (target.target, lane, target.avoided_for);
                 let latest = by_name.entry(name).or_insert(entry);
                 if latest.0 < target.target {
                     *latest = entry;
@@ -264,14 +264,14 @@
                     None => "up",
                 }
                 .into(),
-                verdict: lane.filter(|_| open).map_or(String::new(), |(_, l, _)| l.words()),
-                failing: lane.map_or(0.0, |(_, l, _)| share(l.failing)),
-                towards_out: lane.map_or(0.0, |(_, l, _)| share(l.towards_out)),
-                stood_ms: lane.and_then(|(_, l, _)| l.stood).unwrap_or(0) / 1000,
+                verdict: lane.filter(|_| open).map_or(String::new(), |(_, l, _)| l.describe()),
+                failing: lane.map_or(0.0, |(_, l, _)| share(l.failure_share)),
+                towards_out: lane.map_or(0.0, |(_, l, _)| share(l.outage_evidence)),
+                stood_ms: lane.and_then(|(_, l, _)| l.state_age).unwrap_or(0) / 1000,
                 calls,
                 window: lane.map_or(0.0, |(_, l, _)| round(l.window)),
                 tau_ms: lane.map_or(0.0, |(_, l, _)| millis(l.tau)),
-                wait_ms: lane.map_or(0, |(_, l, _)| l.wait.div_ceil(1000)),
+                wait_ms: lane.map_or(0, |(_, l, _)| l.wait_left.div_ceil(1000)),
                 avoided_ms: lane.map_or(0, |(_, _, avoided)| avoided / 1000),
                 idle: seen.idle as u32,
                 dialling: seen.dialling as u32,
--- a/src/bin/foldtrack/node/restore.rs
+++ b/src/bin/foldtrack/node/restore.rs
@@ -5,9 +5,9 @@
 use crate::message::{order_key, Message};
 use crate::notices::Ending;
 use crate::table::Known;
+use foldtrack_delivery::{Effect, Event, Outcome};
 use foldtrack_ends::Attempt;
 use foldtrack_journal::{Fate, Notice, Record, Restored, Tried};
-use hatchline::{Effect, Event, Outcome};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
@@ -74,7 +74,7 @@
         if doubtful
             && notice.is_none()
             && !delivered
-            && (effect == Some(Effect::Unsafe) || expires <= self.clock.now())
+            && (effect == Some(Effect::Once) || expires <= self.clock.now())
         {
             return self.end(number, Notice::GivenUp);
         }
@@ -112,7 +112,7 @@
     /// A keyed message of an older copy of the folder goes out only while its partner remembers it from when it came.
     fn after_old_state(&self, message: Message, since: u64) -> Message {
         let class = self.settings.settings.classes.get(message.class);
-        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.window) else {
+        let Some(window) = class.filter(|c| c.effect == Effect::Keyed).map(|c| c.dedup_window) else {
             return message;
         };
         if !self.has_old_state() {
--- a/src/bin/foldtrack/notices.rs
+++ b/src/bin/foldtrack/notices.rs
@@ -1,7 +1,7 @@
 //! The ends that the platform has not taken yet: which go out when, and the keys that wait for them.
 
+use foldtrack_delivery::Micros;
 use foldtrack_journal::Notice;
-use hatchline::Micros;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -12,13 +12,13 @@
 use crate::{logs, runtime, serve_until_told, speech};
 use foldtrack_admission::descriptors::{self, Kept};
 use foldtrack_admission::Rate;
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{Class, Decay, DedupScope, ListedRate, Rules, Settings};
 use foldtrack_ends::shelf::Bounds;
 use foldtrack_ends::Store;
 use foldtrack_journal::Budget;
 use foldtrack_membership::{Listed, Log, SiteList};
 use foldtrack_site::{Durability, Effect, Site, MOST_ENDPOINTS};
-use hatchline::settings::Parsed;
-use hatchline::{Class, Decay, Group, ListedRate, Rules, Settings};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::hash::{BuildHasher, RandomState};
 use std::io::{Read, Write};
@@ -156,20 +156,20 @@
 }
 
 /// The site in the words of the decision module.
-fn settings(site: &Site) -> Parsed {
+fn settings(site: &Site) -> DeploymentSettings {
     let class = |c: &foldtrack_site::Class| Class {
         aim: c.aim,
         deadline: c.deadline,
         worth: c.worth,
         late_value: c.late_worth,
         effect: match c.effect {
-            Effect::Repeatable => hatchline::Effect::Repeatable,
-            Effect::Keyed => hatchline::Effect::Keyed,
-            Effect::Once => hatchline::Effect::Unsafe,
+            Effect::Repeatable => foldtrack_delivery::Effect::Repeatable,
+            Effect::Keyed => foldtrack_delivery::Effect::Keyed,
+            Effect::Once => foldtrack_delivery::Effect::Once,
         },
-        group: Group::All,
-        window: c.remembered,
-        patience: c.refuse_after,
+        dedup_scope: DedupScope::All,
+        dedup_window: c.remembered,
+        max_wait: c.refuse_after,
         in_order: c.ordered,
         streaming: false,
     };
@@ -186,24 +186,24 @@
         // The figures of the rules as the first users have them; see docs/operators/site.md.
         rules: Rules {
             drain_grace: 2_000_000,
-            cold_from: 0.16,
-            ramp_time: 14_000_000,
-            tip_multiple: 2.5,
-            tip_after: 2_000_000,
-            order_pause: 100_000,
-            ask_within: 0,
+            cold_capacity_share: 0.16,
+            slow_start_time: 14_000_000,
+            overload_factor: 2.5,
+            overload_duration: 2_000_000,
+            uncertain_key_pause: 100_000,
+            list_poll_interval: 0,
         },
-        batch: vec![1; site.kinds.len()],
-        routes_apart: site.kinds.iter().map(|k| k.routes_apart).collect(),
-        zone_fee: vec![0.0],
+        max_batch: vec![1; site.kinds.len()],
+        independent_routes: site.kinds.iter().map(|k| k.routes_apart).collect(),
+        zone_cost: vec![0.0],
         listed_rate: ListedRate::Exact,
-        connection_idle: site.calls.connection_idle,
+        idle_timeout: site.calls.connection_idle,
         connect_timeout: site.calls.connect_timeout,
         streams_per_connection: 1,
         tick: 5_000,
         ..Settings::default()
     };
-    Parsed {
+    DeploymentSettings {
         settings,
         class_names: site.classes.iter().map(|c| c.name.clone()).collect(),
         kind_names: site.kinds.iter().map(|k| k.name.clone()).collect(),
--- a/src/bin/foldtrack/table.rs
+++ b/src/bin/foldtrack/table.rs
@@ -3,7 +3,7 @@
 
 use crate::list::{ServerLine, ServerState};
 use foldtrack_clearance::{Clearance, Lane, Lanes, Way};
-use hatchline::{Micros, TargetId};
+use foldtrack_delivery::{Micros, TargetId};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
--- a/src/bin/foldtrack/targets.rs
+++ b/src/bin/foldtrack/targets.rs
@@ -8,9 +8,9 @@
 use crate::speech::Speech;
 use crate::streams::Tap;
 use foldtrack_clearance::{Clearance, Overtaken};
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{LimitReport, Micros, Outcome, TargetId};
 use foldtrack_dialect::{Dialect, Meaning, Outgoing, Values};
-use hatchline::settings::Parsed;
-use hatchline::{LimitReport, Micros, Outcome, TargetId};
 use http::request::Parts;
 use http_body_util::Full;
 use hyper::header::HeaderMap;
@@ -57,7 +57,7 @@
     pub clock: Clock,
     /// How its partner is spoken to.
     pub speech: Arc<Speech>,
-    pub settings: Arc<Parsed>,
+    pub settings: Arc<DeploymentSettings>,
 }
 
 /// Why there is no answer to read.
@@ -178,7 +178,7 @@
             Err(Failure::Unsent) => Err(Unsent::By(Outcome::ConnectFailed)),
             Err(Failure::Refused(why)) if !reused => Err(Unsent::Unconnected(why)),
             Err(Failure::Broken | Failure::Refused(_)) => Err(Unsent::By(Outcome::Reset)),
-            Err(Failure::Spoilt) => Err(Unsent::By(Outcome::Spoilt)),
+            Err(Failure::Spoilt) => Err(Unsent::By(Outcome::UnreadableResponse)),
         }
     };
     let answer = tokio::select! {
@@ -204,7 +204,7 @@
         Ok((mut connection, response)) => {
             let response_status = response.status();
             read_head(&mut end, response_status, response.headers(), &speech.dialect, reports);
-            if end.outcome == Outcome::Full {
+            if end.outcome == Outcome::Rejected {
                 told_to_wait(&mut end, response.headers());
             }
             let rest = timeout(REST_WAIT, connection.finish(response.into_body(), REST_BYTES)).await;
@@ -217,7 +217,7 @@
             (end.outcome, end.over) = (Outcome::Ok, true);
         }
         Err(Some(Unsent::Overtaken(why, connection))) => {
-            end.outcome = Outcome::HeldBack;
+            end.outcome = Outcome::Withheld;
             // Nothing new goes to an endpoint that drains: there is nothing to keep it for.
             end.connection = connection.filter(|_| why != Overtaken::Closed).map(|connection| *connection);
             end.wait_until = if let Overtaken::Waits { until } = why { Some(until) } else { None };
@@ -248,7 +248,7 @@
 
 /// The head of the request.
 fn head(
-    message: &Message, address: SocketAddr, until: Instant, speech: &Speech, settings: &Parsed,
+    message: &Message, address: SocketAddr, until: Instant, speech: &Speech, settings: &DeploymentSettings,
 ) -> Result<Parts, Unsent> {
     let left = until.saturating_duration_since(Instant::now()).as_micros() as u64;
     let class = settings.class_names.get(message.class).map_or("", String::as_str);
@@ -271,7 +271,7 @@
     let meaning = dialect.meaning(status.as_u16(), headers);
     end.outcome = match meaning {
         Meaning::Delivered => Outcome::Ok,
-        Meaning::Wait => Outcome::Full,
+        Meaning::Wait => Outcome::Rejected,
         Meaning::NotSent | Meaning::Over | Meaning::RefusedForGood => Outcome::NotSent,
         Meaning::HasNotRun => Outcome::ConnectFailed,
         Meaning::MayHaveRun => Outcome::Error,
--- a/src/bin/hatchline-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,13 +1,15 @@
 //! Runs one scheduler for each instance number and translates between the protocol and the library.
 
 use crate::wire::{Batch, Entry, InputRecord, Malformed, OutputRecord, Reply};
-use hatchline::settings::Parsed;
-use hatchline::{Action, Brain, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome};
+use foldtrack_delivery::settings::DeploymentSettings;
+use foldtrack_delivery::{
+    Action, DeliveryScheduler, Endpoint, EndpointState, Event, LimitReport, ListKind, Outcome,
+};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 struct Instance {
-    scheduler: Brain,
+    scheduler: DeliveryScheduler,
     share_left_at: Option<usize>,
     rate_at: Option<usize>,
 }
@@ -23,7 +25,7 @@
     Ok(match status {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
@@ -77,11 +79,12 @@
                     continue;
                 }
                 InputRecord::Start { instance, seed, settings: settings_json } => {
-                    let Parsed { settings, share_left_at, rate_at, .. } =
+                    let DeploymentSettings { settings, share_left_at, rate_at, .. } =
                         serde_json::from_slice(&settings_json).map_err(|e| {
                             Malformed(format!("the settings of instance {instance} do not parse: {e}"))
                         })?;
-                    let scheduler = guarded(instance, &mut reply, || Brain::new(clock, seed, settings));
+                    let scheduler =
+                        guarded(instance, &mut reply, || DeliveryScheduler::new(clock, seed, settings));
                     touched.insert(instance, Vec::new());
                     if let Some(scheduler) = scheduler {
                         self.instances.insert(instance, Instance { scheduler, share_left_at, rate_at });
@@ -154,18 +157,20 @@
                     report: limit_report(instance, &report),
                 },
             ),
-            InputRecord::Abandoned { instance, id } => (instance, Event::Lapsed { id }),
+            InputRecord::Abandoned { instance, id } => (instance, Event::Abandoned { id }),
             InputRecord::Timer { instance, token } => (instance, Event::Timer { token }),
             InputRecord::ProbeOutcome { instance, target, status, took, report } => (
                 instance,
-                Event::Probed {
+                Event::ProbeOutcome {
                     target,
                     outcome: outcome(status)?,
                     took: u64::from(took),
                     report: limit_report(instance, &report),
                 },
             ),
-            InputRecord::PeerMessage { instance, from, data } => (instance, Event::Peer { from, data }),
+            InputRecord::PeerMessage { instance, from, data } => {
+                (instance, Event::PeerMessage { from, data })
+            }
             InputRecord::Start { .. } | InputRecord::Stop { .. } | InputRecord::DeclareList { .. } => {
                 return Err(Malformed("a record without an event".into()))
             }
@@ -191,7 +196,7 @@
 fn output_record(instance: u16, action: Action) -> Option<OutputRecord> {
     let to_u32 = |span: u64| u32::try_from(span).unwrap_or(u32::MAX);
     Some(match action {
-        Action::FoundOut { .. } => return None,
+        Action::OutageDetected { .. } => return None,
         Action::Send { id, target, until } => OutputRecord::Send { instance, id, until, target },
         Action::Cancel { id, attempt } => OutputRecord::Cancel { instance, id, attempt: attempt as u8 },
         Action::Refuse { id, retry_after } => {
@@ -203,7 +208,9 @@
         Action::CloseIdle { target } => OutputRecord::CloseIdle { instance, target },
         Action::Subscribe { on } => OutputRecord::Subscribe { instance, on },
         Action::FetchList => OutputRecord::FetchList { instance },
-        Action::Tell { to, data } => OutputRecord::PeerMessage { instance, to: to.unwrap_or(u32::MAX), data },
+        Action::SendToPeer { to, data } => {
+            OutputRecord::PeerMessage { instance, to: to.unwrap_or(u32::MAX), data }
+        }
         Action::Log { text } => OutputRecord::Log { instance, text },
     })
 }
--- a/src/bin/hatchline-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -23,7 +23,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("hatchline-adapter: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/emulated.rs
+++ b/src/emulator_policy.rs
@@ -1,8 +1,8 @@
 //! The scheduler as a policy of the emulator: the same decisions, in simulated time.
 
 use crate::{
-    Action, Brain, Class, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind, ListedRate, Outcome,
-    Rules, Settings,
+    Action, Class, DeliveryScheduler, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind,
+    ListedRate, Outcome, Rules, Settings,
 };
 use foldtrack_emulator::policy::{Deed, Effect as EmulatedEffect, Ending, Maker, News, Policy, Site};
 use foldtrack_emulator::{Micros, SECOND};
@@ -16,15 +16,15 @@
 
 /// Creates a scheduler for each forwarder of an emulated fleet.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Modules;
+pub struct SchedulerFactory;
 
-impl Maker for Modules {
+impl Maker for SchedulerFactory {
     fn name(&self) -> &str {
         "module"
     }
 
     fn make(&self, site: &Site) -> Box<dyn Policy> {
-        let scheduler = Brain::new(0, site.seed, settings(site));
+        let scheduler = DeliveryScheduler::new(0, site.seed, settings(site));
         Box::new(SchedulerPolicy { scheduler, version: 0, actions: Vec::new() })
     }
 }
@@ -38,9 +38,9 @@
         effect: match c.effect {
             EmulatedEffect::Repeatable => Effect::Repeatable,
             EmulatedEffect::Keyed(_) => Effect::Keyed,
-            EmulatedEffect::Once => Effect::Unsafe,
+            EmulatedEffect::Once => Effect::Once,
         },
-        window: match c.effect {
+        dedup_window: match c.effect {
             EmulatedEffect::Keyed(window) => window,
             _ => 0,
         },
@@ -55,11 +55,11 @@
         classes: site.classes.iter().map(class).collect(),
         rules: Rules {
             drain_grace: DRAIN_GRACE,
-            cold_from: site.cold.from,
-            ramp_time: site.cold.warm_after,
-            tip_multiple: site.cold.tip,
-            tip_after: site.cold.tip_after,
-            order_pause: ORDER_PAUSE,
+            cold_capacity_share: site.cold.from,
+            slow_start_time: site.cold.warm_after,
+            overload_factor: site.cold.tip,
+            overload_duration: site.cold.tip_after,
+            uncertain_key_pause: ORDER_PAUSE,
             ..Rules::default()
         },
         listed_rate: ListedRate::Exact,
@@ -69,7 +69,7 @@
 }
 
 struct SchedulerPolicy {
-    scheduler: Brain,
+    scheduler: DeliveryScheduler,
     /// Version of the endpoint list.
     version: u32,
     actions: Vec<Action>,
@@ -79,7 +79,7 @@
     match ending {
         Ending::Done => Outcome::Ok,
         Ending::Failed => Outcome::Error,
-        Ending::Full => Outcome::Full,
+        Ending::Full => Outcome::Rejected,
         Ending::TimedOut => Outcome::TimedOut,
         Ending::Reset => Outcome::Reset,
         Ending::NotSent => Outcome::NotSent,
--- a/src/evidence.rs
+++ b/src/failure_detector.rs
@@ -188,5 +188,5 @@
 }
 
 #[cfg(test)]
-#[path = "evidence_tests.rs"]
+#[path = "failure_detector_tests.rs"]
 mod tests;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! Settings, events and actions of the delivery scheduler.
 //!
-//! A forwarder that embeds [`crate::Brain`] runs a loop: it passes each event to `handle`, calls `decide`
+//! A forwarder that embeds [`crate::DeliveryScheduler`] runs a loop: it passes each event to `handle`, calls `decide`
 //! after the last event of a moment, and carries out the actions in their order. All times are microseconds
 //! of one monotonic clock with an arbitrary start.
 
@@ -14,7 +14,7 @@
 pub type DestinationId = u32;
 
 /// Number of senders from which on a fleet is large: each sender sees less than a tenth of the traffic.
-pub const FLEET: u32 = 10;
+pub const LARGE_FLEET: u32 = 10;
 
 /// Effect of repeating a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -25,12 +25,12 @@
     /// The destination drops repeats for a time, by their idempotency key.
     Keyed,
     /// The message must not take effect more than once.
-    Unsafe,
+    Once,
 }
 
 /// Which endpoints of a destination drop repeats of a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Group {
+pub enum DedupScope {
     /// All endpoints.
     #[default]
     All,
@@ -62,13 +62,13 @@
     /// Effect of a repeat.
     pub effect: Effect,
     /// For keyed classes: which endpoints drop repeats.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For keyed classes: how long repeats are dropped, from the first attempt that may have run.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// Messages with the same order key are sent one at a time, in the order of their arrival.
     pub in_order: bool,
     /// A message with a longer estimated wait than this is refused; 0 if only its deadline counts.
-    pub patience: Micros,
+    pub max_wait: Micros,
     /// Answers are streams: once the stream of an attempt has started, the attempt belongs to the client.
     pub streaming: bool,
 }
@@ -79,17 +79,17 @@
     /// Time after which a drained or removed endpoint gets no new calls.
     pub drain_grace: Micros,
     /// Least share of its capacity that a destination has right after an outage.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// Time after an outage until a destination has its full capacity again.
-    pub ramp_time: Micros,
+    pub slow_start_time: Micros,
     /// Load, as a multiple of the present capacity, above which a cold destination goes down again ...
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// ... if it lasts for this time.
-    pub tip_after: Micros,
+    pub overload_duration: Micros,
     /// Pause of an order key after an attempt with an uncertain outcome.
-    pub order_pause: Micros,
+    pub uncertain_key_pause: Micros,
     /// Where the endpoint list is fetched: a sender that has not fetched it for this time counts as informed.
-    pub ask_within: Micros,
+    pub list_poll_interval: Micros,
 }
 
 /// What the endpoint list says about the rate limit of a destination.
@@ -134,17 +134,17 @@
     /// Limits given by the rules of the deployment.
     pub rules: Rules,
     /// By kind of destination: largest number of messages in one call.
-    pub batch: Vec<u32>,
+    pub max_batch: Vec<u32>,
     /// By kind of destination: each endpoint is an independent route with its own limit, pace and outages.
-    pub routes_apart: Vec<bool>,
+    pub independent_routes: Vec<bool>,
     /// By zone: cost of a message on an independent route.
-    pub zone_fee: Vec<f64>,
+    pub zone_cost: Vec<f64>,
     /// Cost of a call that is rejected because of a limit.
-    pub refused_price: f64,
+    pub rejection_cost: f64,
     /// Meaning of [`Endpoint::rate`].
     pub listed_rate: ListedRate,
     /// Time after which idle connections close.
-    pub connection_idle: Micros,
+    pub idle_timeout: Micros,
     /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
     /// Calls that one connection carries at once.
@@ -209,7 +209,7 @@
     /// Answered with an error; may have taken effect.
     Error,
     /// Rejected without being processed: over a limit, queue full, or draining.
-    Full,
+    Rejected,
     /// No answer in time; may have taken effect, or may still do so.
     TimedOut,
     /// No connection; did not run.
@@ -219,18 +219,18 @@
     /// Cancelled; may have taken effect.
     Cancelled,
     /// The response is unreadable; may have taken effect.
-    Spoilt,
+    UnreadableResponse,
     /// Not sent: no slot, the message has ended, or it is out of attempts.
     NotSent,
     /// Withheld before the first byte, because the decision was outdated: by a requested wait, an outage or a
     /// drain. It does not count as an attempt, and the next attempt gets its number.
-    HeldBack,
+    Withheld,
 }
 
 impl Outcome {
     /// Whether the attempt may have taken effect, or may yet do so.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::HeldBack)
+        !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Withheld)
     }
 }
 
@@ -312,13 +312,13 @@
         took: Micros,
         /// The message has ended, by this attempt or earlier.
         ended: bool,
-        /// The wait that the destination requested, 0 for none; for [`Outcome::HeldBack`] the rest of it.
+        /// The wait that the destination requested, 0 for none; for [`Outcome::Withheld`] the rest of it.
         wait: Micros,
         /// The limit that the destination reported.
         report: Option<LimitReport>,
     },
     /// A probe has ended.
-    Probed {
+    ProbeOutcome {
         /// The endpoint that was probed.
         target: TargetId,
         /// Its outcome.
@@ -329,7 +329,7 @@
         report: Option<LimitReport>,
     },
     /// The client does not want the message any more.
-    Lapsed {
+    Abandoned {
         /// The message.
         id: MessageId,
     },
@@ -339,7 +339,7 @@
         token: u32,
     },
     /// A message from another sender, where senders may communicate.
-    Peer {
+    PeerMessage {
         /// Rank of the sender.
         from: u32,
         /// Content.
@@ -392,7 +392,7 @@
     },
     /// An outage of the route of this endpoint was detected. Sends that were decided on earlier and have not
     /// started are to be withheld.
-    FoundOut {
+    OutageDetected {
         /// An endpoint of the route.
         target: TargetId,
     },
@@ -409,7 +409,7 @@
     /// Fetch the whole list of endpoints once.
     FetchList,
     /// Send a message to another sender or to all.
-    Tell {
+    SendToPeer {
         /// Rank of the receiver; none for all other senders.
         to: Option<u32>,
         /// Content, at most 256 bytes.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,16 @@
 //! Delivery scheduling for outbound messages to the systems of other organisations.
 //!
-//! The caller owns sockets, clocks and threads. It passes [`Event`]s to a [`Brain`] and carries out the
-//! [`Action`]s that it returns. Each forwarder has its own [`Brain`]; they share no state.
+//! The caller owns sockets, clocks and threads. It passes [`Event`]s to a [`DeliveryScheduler`] and carries out the
+//! [`Action`]s that it returns. Each forwarder has its own [`DeliveryScheduler`]; they share no state.
 //!
 //! ```
-//! use hatchline::{Action, Brain, Class, Effect, Endpoint, EndpointState, Event, ListKind, Settings};
+//! use foldtrack_delivery::{Action, DeliveryScheduler, Class, Effect, Endpoint, EndpointState, Event, ListKind, Settings};
 //!
 //! let class = Class { aim: 2_000_000, deadline: 20_000_000, worth: 1.0, late_value: 0.5,
 //!     effect: Effect::Repeatable, ..Class::default() };
 //! let settings = Settings { senders: 1, slots: 8, max_held: 100, max_attempts: 5,
 //!     classes: vec![class], ..Settings::default() };
-//! let mut scheduler = Brain::new(0, 42, settings);
+//! let mut scheduler = DeliveryScheduler::new(0, 42, settings);
 //! let mut actions = Vec::new();
 //!
 //! let endpoint = Endpoint { target: 7, destination: 1, state: EndpointState::Ready, ..Endpoint::default() };
@@ -23,16 +23,16 @@
 //! ```
 #![warn(missing_docs)]
 
-mod brain;
-pub mod emulated;
-mod estimate;
-mod evidence;
+pub mod emulator_policy;
+mod failure_detector;
+mod fleet_pacing;
 pub mod interface;
 mod latency;
-mod pace;
+mod scheduler;
 pub mod settings;
 mod state;
-pub mod views;
+pub mod status;
+mod wait_estimate;
 
-pub use brain::Brain;
 pub use interface::*;
+pub use scheduler::DeliveryScheduler;
--- a/src/brain.rs
+++ b/src/scheduler.rs
@@ -3,11 +3,11 @@
 //! point τ of least expected completion time (see [`LatencyHistogram`]). A window of calls in flight, a
 //! circuit breaker and pacing under rate limits decide when calls may go out.
 
-use crate::estimate::{wait_factor, WaitEstimate};
+use crate::fleet_pacing::PACE_CUT;
 use crate::interface::*;
 use crate::latency::{LatencyHistogram, BUCKETS};
-use crate::pace::PACE_CUT;
 use crate::state::*;
+use crate::wait_estimate::{wait_factor, WaitEstimate};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MIN_ANSWERS: u32 = 20; // answers before τ is used
@@ -88,7 +88,7 @@
 
 /// Decides for one forwarder which message is sent where and when.
 #[derive(Debug, Default)]
-pub struct Brain {
+pub struct DeliveryScheduler {
     config: Settings,
     now: Micros,
     actions: Vec<Action>, // not returned yet
@@ -114,7 +114,7 @@
     crowded: BTreeSet<usize>, // kinds of destination that run out of connections
 }
 
-impl Brain {
+impl DeliveryScheduler {
     /// Creates the scheduler of a sender that has just started.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Self {
         let rng_state = seed ^ 0x9e37_79b9_7f4a_7c15;
@@ -123,7 +123,7 @@
         Self { pause: scheduler.safe_gap().min(scheduler.least_aim()), ..scheduler }
     }
 
-    /// Processes one event. [`Brain::decide`] chooses what is sent.
+    /// Processes one event. [`DeliveryScheduler::decide`] chooses what is sent.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -136,7 +136,7 @@
                 self.restore(id, Message { attempts: Attempt::completed(attempts), first_run, ..m });
             }
             Event::Stopping { by } => self.stopping = Some(by),
-            Event::Started { id, .. } | Event::Lapsed { id } => self.finish(id),
+            Event::Started { id, .. } | Event::Abandoned { id } => self.finish(id),
             Event::Outcome { id, attempt, target, outcome, took, ended, wait, report, .. } => {
                 // A requested wait binds the route even if the message is gone; none is shortened.
                 let route = self.targets.get(&target).and_then(|t| self.routes.get_mut(t.route));
@@ -146,14 +146,14 @@
                 self.attempt_ended(id, attempt as usize, end, ended)
             }
             Event::Timer { .. } if self.timer_at <= now => self.timer_at = Micros::MAX,
-            Event::Timer { .. } | Event::Peer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::PeerMessage { .. } | Event::ProbeOutcome { .. } => {}
         }
         out.append(&mut self.actions);
     }
 
     /// Interval between attempts of one sender at which all senders together do a cold destination no harm.
     fn safe_gap(&self) -> f64 {
-        f64::from(self.config.senders.max(1)) * self.config.rules.tip_after as f64 / HARMLESS_CALLS
+        f64::from(self.config.senders.max(1)) * self.config.rules.overload_duration as f64 / HARMLESS_CALLS
     }
 
     /// Least interval between attempts on a failing route. It keeps many senders that each try rarely from
@@ -162,8 +162,11 @@
     /// The cost: needless waits if few came.
     fn trial_gap(&self, route: usize, at: Micros) -> f64 {
         let rules = &self.config.rules;
-        let own =
-            self.recovery_rate(route) * rules.cold_from * rules.tip_multiple.max(1.0) * SAFE_LOAD / SECOND;
+        let own = self.recovery_rate(route)
+            * rules.cold_capacity_share
+            * rules.overload_factor.max(1.0)
+            * SAFE_LOAD
+            / SECOND;
         let failing_for = at - self.routes[route].failing_since.unwrap_or(at).min(at);
         (1.0 / own.max(1e-12)).min(self.safe_gap()).min(TRIAL_SPACING * failing_for as f64)
     }
@@ -184,7 +187,7 @@
             let mut estimate = self.wait_estimate(d);
             estimate.key_wait = self.key_wait(&m);
             let wait_factor = wait_factor(&d.class_mix, &self.config.classes);
-            let patience = self.config.classes.get(m.class).map_or(0, |c| c.patience);
+            let patience = self.config.classes.get(m.class).map_or(0, |c| c.max_wait);
             let free = f64::from(self.config.max_held) * (1.0 - RESERVE) - 2.0 - self.messages.len() as f64;
             if left > 0.0 && estimate.refuses(wait_factor, left, patience, free) {
                 let retry_after = self.jittered_wait(estimate.wait());
@@ -222,7 +225,7 @@
 
     /// Time in microseconds after which a client may come back for a destination: what is held for it has
     /// been served, or places are free. 0 if this is unknown, or if clients ignore advised waits.
-    pub fn advice(&mut self, destination: DestinationId) -> Micros {
+    pub fn advised_wait(&mut self, destination: DestinationId) -> Micros {
         let wait = self.destinations.get(&destination).map_or(0.0, |d| self.wait_estimate(d).wait());
         let capacity: f64 = self.routes.iter().map(Route::capacity).sum();
         let until_free = RESERVE * self.messages.len() as f64 / capacity * SECOND;
@@ -266,7 +269,7 @@
     /// paused. What may not be sent again, such as an at-most-once message that may have run, ends.
     fn restore(&mut self, id: MessageId, m: Message) {
         if self.config.classes.get(m.class).is_some_and(|c| c.in_order) && m.order_key != 0 {
-            self.keys.entry(m.order_key).or_default().1 = self.now + self.config.rules.order_pause;
+            self.keys.entry(m.order_key).or_default().1 = self.now + self.config.rules.uncertain_key_pause;
         }
         self.count_arrival(m.destination);
         self.accept(id, m);
@@ -309,10 +312,10 @@
         match class.effect {
             Effect::Repeatable => (may_send, 0, !m.ended),
             Effect::Keyed => {
-                let all = class.group == Group::All;
+                let all = class.dedup_scope == DedupScope::All;
                 (may_send && self.now < self.cutoff(m), if all { 0 } else { zone + 1 }, !m.ended && all)
             }
-            Effect::Unsafe => (false, 0, false),
+            Effect::Once => (false, 0, false),
         }
     }
 
@@ -321,7 +324,7 @@
     /// delivers late. The cost: repeats that would have been answered just after it.
     fn cutoff(&self, m: &Message) -> Micros {
         let c = &self.config.classes[m.class];
-        let forgotten = m.first_run.filter(|_| c.effect == Effect::Keyed).map(|(at, _)| at + c.window);
+        let forgotten = m.first_run.filter(|_| c.effect == Effect::Keyed).map(|(at, _)| at + c.dedup_window);
         forgotten.map_or(m.expires, |at| m.expires.min(at.saturating_sub(self.config.tick)))
     }
 
@@ -348,7 +351,7 @@
     fn give_up(&mut self, id: MessageId) {
         let Some(m) = self.messages.get(&id).filter(|m| !m.ended) else { return };
         let (may_refuse, destination) = (self.permissions(m).2, m.destination);
-        let retry_after = if may_refuse { self.advice(destination) } else { 0 };
+        let retry_after = if may_refuse { self.advised_wait(destination) } else { 0 };
         self.actions.push(if may_refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.finish(id);
     }
@@ -361,13 +364,16 @@
         attempt.outcome = Some(outcome);
         let (target, call) = (attempt.target, attempt.call);
         end.planned = attempt.planned && outcome == Outcome::TimedOut;
-        (outcome == Outcome::HeldBack).then(|| m.attempts.pop());
+        (outcome == Outcome::Withheld).then(|| m.attempts.pop());
         if m.attempts.iter().all(|a| a.outcome.is_some_and(|o| !o.may_have_run())) {
             m.first_run = None;
         }
-        if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::Spoilt) {
+        if matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::UnreadableResponse
+        ) {
             if let Some(key_queue) = self.keys.get_mut(&m.order_key) {
-                key_queue.1 = key_queue.1.max(self.now + self.config.rules.order_pause);
+                key_queue.1 = key_queue.1.max(self.now + self.config.rules.uncertain_key_pause);
             }
         }
         if let Some(route) = self.targets.get(&target).map(|t| t.route) {
@@ -381,7 +387,7 @@
             if call_ended {
                 r.calls.remove(&call);
                 self.in_flight -= 1;
-                if !matches!(outcome, Outcome::NotSent | Outcome::HeldBack | Outcome::Cancelled) {
+                if !matches!(outcome, Outcome::NotSent | Outcome::Withheld | Outcome::Cancelled) {
                     self.update_route(route, target, &end);
                 }
             }
@@ -412,7 +418,7 @@
         let least_pace = f64::from(self.config.max_attempts) * SECOND / self.longest_deadline();
         let (own, gap) =
             (self.arrival_rate(route), self.trial_gap(route, self.now.max(self.routes[route].wait_until)));
-        if self.routes[route].rejections > 0 && matches!(outcome, Outcome::Ok | Outcome::Full) {
+        if self.routes[route].rejections > 0 && matches!(outcome, Outcome::Ok | Outcome::Rejected) {
             self.pause *= if outcome == Outcome::Ok { PAUSE_DOWN } else { PAUSE_UP };
             self.pause = self.pause.min(self.safe_gap()).min(self.longest_deadline()).max(MAINTENANCE as f64);
         }
@@ -451,7 +457,7 @@
                 let since = if out { r.failing_since } else { r.failing_since.take() };
                 let brief = since.is_some_and(|t| self.now < t + FALSE_SUSPICION);
                 let usual_latency = (self.now - sent) as f64 <= r.latency.longest();
-                let warm = since.is_some_and(|t| self.now < t + 2 * self.config.rules.tip_after);
+                let warm = since.is_some_and(|t| self.now < t + 2 * self.config.rules.overload_duration);
                 r.circuit = match r.circuit {
                     Circuit::Open { .. } if out => {
                         Circuit::Open { next: self.now, backoff: r.latency.mean() }
@@ -467,7 +473,7 @@
                     other => other,
                 };
             }
-            Outcome::Full => {
+            Outcome::Rejected => {
                 r.rejections += 1;
                 r.failing_since.get_or_insert(self.now);
                 let halved = r.halve_window(sent, self.now);
@@ -488,7 +494,7 @@
                     r.wait_until += extension.max(0.0) as Micros;
                 }
             }
-            Outcome::Spoilt => {
+            Outcome::UnreadableResponse => {
                 r.detector.record_unreadable(self.now);
                 r.last_ok = self.now;
                 r.failing_since = r.failing_since.or(r.detector.is_lossy().then_some(sent));
@@ -507,7 +513,8 @@
                 }
             }
         }
-        let failed = !matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Spoilt) && !planned;
+        let failed =
+            !matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::UnreadableResponse) && !planned;
         r.may_have_run = if failed { outcome != Outcome::ConnectFailed } else { r.may_have_run };
         match r.circuit {
             Circuit::Open { .. } if outcome == Outcome::Ok => {}
@@ -515,7 +522,7 @@
                 r.circuit =
                     Circuit::Open { next: self.now + (backoff.max(gap) * jitter * 0.75) as Micros, backoff };
             }
-            _ if r.detector.is_out(self.now) || end.wait > self.config.rules.tip_after => {
+            _ if r.detector.is_out(self.now) || end.wait > self.config.rules.overload_duration => {
                 self.open_circuit(route)
             }
             _ => {}
@@ -524,14 +531,14 @@
         // closed after use if a connection failed there or this sender comes rarely, at the cost of a
         // handshake. A rejection without a limit report, where others have one, means a table that a fleet
         // has filled. Senders with a connection never see one, so it applies to all destinations of the kind.
-        let reports = self.config.senders >= FLEET && self.routes.iter().any(|r| r.reported);
+        let reports = self.config.senders >= LARGE_FLEET && self.routes.iter().any(|r| r.reported);
         let r = &self.routes[route];
-        let connections_full = reports && outcome == Outcome::Full && report.is_none() && end.wait == 0;
+        let connections_full = reports && outcome == Outcome::Rejected && report.is_none() && end.wait == 0;
         if connections_full && self.crowded.insert(r.kind) {
             let same_kind = self.targets.iter().filter(|(_, t)| self.routes[t.route].kind == r.kind);
             self.actions.extend(same_kind.map(|(id, _)| Action::CloseIdle { target: *id }));
         }
-        let rare = (r.arrivals - 1.0) * self.config.connection_idle as f64 / SECOND <= self.span;
+        let rare = (r.arrivals - 1.0) * self.config.idle_timeout as f64 / SECOND <= self.span;
         if let Some(t) = self.targets.get_mut(&target) {
             // One of several endpoints may be out alone: it is avoided while the others serve.
             t.avoid_until = if failed || connections_full { self.now + least_aim as Micros } else { 0 };
@@ -559,7 +566,7 @@
         r.window_before = r.window;
         (r.failing_since, r.window) = (r.failing_since.or(Some(self.now)), 1.0);
         let first = r.targets.first().copied().unwrap_or(0);
-        self.actions.push(Action::FoundOut { target: first });
+        self.actions.push(Action::OutageDetected { target: first });
         self.log(format!("destination of target {first} is out: sending single trials"));
     }
 
@@ -604,12 +611,12 @@
         if let Circuit::SlowStart { since } = r.circuit {
             // This sender's share of a safe part of the load that would overload the destination, rising over
             // the slow start. Needlessly slow if the destination was not cold.
-            let progress = ((self.now - since) as f64 / rules.ramp_time.max(1) as f64).min(1.0);
-            let warm_share = rules.cold_from + (1.0 - rules.cold_from) * progress;
+            let progress = ((self.now - since) as f64 / rules.slow_start_time.max(1) as f64).min(1.0);
+            let warm_share = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * progress;
             // What it served lately it can still do, also if clients come less often meanwhile.
             let own = own.max(if r.peak_rate > HIGH_RATE && r.fair_share <= 0.0 { r.peak_rate } else { 0.0 });
             let capacity = own.max(r.limit.max(MIN_RATE) / f64::from(self.config.senders.max(1)));
-            (rate, burst) = (capacity * warm_share * rules.tip_multiple.max(1.0) * SAFE_LOAD, 1.0);
+            (rate, burst) = (capacity * warm_share * rules.overload_factor.max(1.0) * SAFE_LOAD, 1.0);
         }
         let refill =
             if rate > 0.0 { rate * self.now.saturating_sub(r.filled) as f64 / SECOND } else { f64::MAX };
@@ -686,7 +693,7 @@
         for ((class, tag), set) in &d.ready {
             let Some((urgency, id)) = self.most_urgent(*class, set) else { continue };
             let (m, retry) = (&self.messages[&id], tag & RETRY != 0);
-            let once = self.config.classes[*class].effect == Effect::Unsafe;
+            let once = self.config.classes[*class].effect == Effect::Once;
             let mut choice: Option<((f64, f64), usize, TargetId, bool)> = None;
             for (route, trial) in &open {
                 let r = &self.routes[*route];
@@ -755,9 +762,9 @@
         let retry = match c.effect {
             Effect::Repeatable => true,
             Effect::Keyed => {
-                self.now + tau + 2 * self.config.tick < m.first_run.map_or(self.now, |r| r.0) + c.window
+                self.now + tau + 2 * self.config.tick < m.first_run.map_or(self.now, |r| r.0) + c.dedup_window
             }
-            Effect::Unsafe => false,
+            Effect::Once => false,
         };
         let last = m.attempts.len() + 1 >= self.config.max_attempts as usize;
         // The attempt may last until τ if a resend may follow, otherwise for all the time left.
@@ -774,7 +781,7 @@
 
     /// Adds messages to a call if the destination accepts several in one. A trial carries one message.
     fn fill_call(&mut self, destination: DestinationId, route: usize, target: TargetId, call: u64) {
-        let max_batch = self.config.batch.get(self.routes[route].kind).copied().unwrap_or(1);
+        let max_batch = self.config.max_batch.get(self.routes[route].kind).copied().unwrap_or(1);
         let zone = self.targets.get(&target).map_or(0, |t| t.zone + 1);
         for _ in 1..max_batch {
             let Some(d) = self.destinations.get(&destination) else { return };
@@ -782,7 +789,7 @@
             let next = unbound.filter_map(|((class, _), set)| self.most_urgent(*class, set));
             let Some((_, id)) = next.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
             let (m, r) = (&self.messages[&id], &self.routes[route]);
-            let once = self.config.classes[m.class].effect == Effect::Unsafe;
+            let once = self.config.classes[m.class].effect == Effect::Once;
             if !self.permissions(m).0 || (once && r.may_have_run && r.detector.is_lossy()) {
                 return;
             }
@@ -843,7 +850,7 @@
         self.keys.retain(|_, (waiting, paused_until)| !waiting.is_empty() || *paused_until > self.now);
         let keep = 0.5f64.powf(MAINTENANCE as f64 / self.longest_deadline());
         self.span = self.span * keep + MAINTENANCE as f64 / SECOND;
-        let slow_start = self.config.rules.ramp_time;
+        let slow_start = self.config.rules.slow_start_time;
         for route in 0..self.routes.len() {
             let r = &mut self.routes[route];
             r.latency.age(keep);
@@ -919,7 +926,7 @@
     /// take up to a minute to recover from a limit that was low for some seconds.
     fn set_limit(&mut self, rate: f64, senders: u32, aim: f64) {
         let even = rate / f64::from(senders.max(1));
-        self.fair_share = if senders >= FLEET { even } else { 0.0 };
+        self.fair_share = if senders >= LARGE_FLEET { even } else { 0.0 };
         if self.limit <= 0.0 {
             self.pace = if self.fair_share > 0.0 || even * aim > 3.0 { even } else { 0.0 };
         } else if self.fair_share > 0.0 || rate > NOISE * self.limit || self.limit > NOISE * rate {
@@ -936,5 +943,5 @@
 mod status_report;
 
 #[cfg(test)]
-#[path = "brain_tests.rs"]
+#[path = "scheduler_tests.rs"]
 mod tests;
--- a/src/brain/derived.rs
+++ b/src/scheduler/derived.rs
@@ -1,9 +1,9 @@
 //! Values that the scheduler derives from its settings and state.
 
-use super::{Brain, MAINTENANCE};
+use super::{DeliveryScheduler, MAINTENANCE};
 use crate::interface::*;
 
-impl Brain {
+impl DeliveryScheduler {
     /// The shortest aim of any class, in microseconds.
     pub(super) fn least_aim(&self) -> f64 {
         self.config.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000) as f64
--- a/src/brain/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -1,13 +1,13 @@
 //! Applies the endpoint list: adds destinations, routes and endpoints, and forgets those that are gone, which
 //! bounds the memory in use.
 
-use super::{Brain, SAVED_RESENDS, SECOND};
+use super::{DeliveryScheduler, SAVED_RESENDS, SECOND};
 use crate::interface::*;
 use crate::latency::LatencyHistogram;
 use crate::state::*;
 use std::collections::BTreeSet;
 
-impl Brain {
+impl DeliveryScheduler {
     /// Applies a list event. Endpoints that a full list lacks are removed; a cached list is only a starting
     /// point until the current one arrives.
     pub(super) fn update_list(&mut self, kind: ListKind, version: u32, lines: Vec<Endpoint>) {
@@ -27,7 +27,7 @@
         let aim = self.least_aim() / SECOND;
         for e in lines {
             let kind = e.kind as usize;
-            let independent = self.config.routes_apart.get(kind).copied().unwrap_or(false);
+            let independent = self.config.independent_routes.get(kind).copied().unwrap_or(false);
             let destination = self.destinations.entry(e.destination).or_default();
             destination.slots = e.slots;
             let known = self.targets.get(&e.target).map(|t| t.route);
@@ -37,7 +37,7 @@
                     let latency = LatencyHistogram::new();
                     let cost = self
                         .config
-                        .zone_fee
+                        .zone_cost
                         .get(e.zone as usize)
                         .copied()
                         .filter(|_| independent)
@@ -87,7 +87,7 @@
         let (routes, free_routes, messages) = (&mut self.routes, &mut self.free_routes, &self.messages);
         self.destinations.retain(|id, destination| {
             let independent =
-                |route: &Route| self.config.routes_apart.get(route.kind).copied().unwrap_or(false);
+                |route: &Route| self.config.independent_routes.get(route.kind).copied().unwrap_or(false);
             let quiet = |route: &Route| {
                 let bound = route.circuit != Circuit::Closed
                     || route.wait_until > now
--- a/src/brain/queues.rs
+++ b/src/scheduler/queues.rs
@@ -1,9 +1,9 @@
 //! Adds messages to the queues of their destinations and order keys, and removes them.
 
-use super::Brain;
+use super::DeliveryScheduler;
 use crate::interface::*;
 
-impl Brain {
+impl DeliveryScheduler {
     /// Counts the arrival of a message for a destination, whether or not it is accepted: the arrivals are
     /// this sender's share of the load on a destination that returns from an outage.
     pub(super) fn count_arrival(&mut self, destination: DestinationId) {
--- a/src/brain/random.rs
+++ b/src/scheduler/random.rs
@@ -1,8 +1,8 @@
 //! Random numbers. Each sender has its own seed, so that senders differ in what they draw.
 
-use super::Brain;
+use super::DeliveryScheduler;
 
-impl Brain {
+impl DeliveryScheduler {
     /// The next number of a pseudorandom sequence, uniform in 0 to 1 (xorshift; Marsaglia 2003).
     pub(super) fn random(&mut self) -> f64 {
         self.rng_state ^= self.rng_state << 13;
--- a/src/brain_tests.rs
+++ b/src/scheduler_tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the scheduler with access to its state.
 
-use super::{Brain, LatencyHistogram};
+use super::{DeliveryScheduler, LatencyHistogram};
 use crate::interface::*;
 use crate::state::Route;
 
@@ -78,8 +78,8 @@
 fn endpoints_that_have_gone_are_forgotten() {
     for independent in [false, true] {
         let class = Class { aim: 3_000_000, deadline: 12_000_000, worth: 1.0, ..Class::default() };
-        let settings = Settings { routes_apart: vec![independent], ..single_sender(class) };
-        let mut scheduler = Brain::new(0, 1, settings);
+        let settings = Settings { independent_routes: vec![independent], ..single_sender(class) };
+        let mut scheduler = DeliveryScheduler::new(0, 1, settings);
         let (mut now, mut out) = (0, Vec::new());
         for round in 1..=500 {
             let endpoint = |destination| Endpoint {
@@ -157,15 +157,15 @@
 /// message is sent at once. After an error it waits until the endpoint has answered.
 #[test]
 fn an_unreadable_response_does_not_delay_the_next_message() {
-    for (outcome, sent) in [(Outcome::Spoilt, true), (Outcome::Error, false)] {
+    for (outcome, sent) in [(Outcome::UnreadableResponse, true), (Outcome::Error, false)] {
         let class = Class {
             aim: 3_000_000,
             deadline: 12_000_000,
             worth: 1.0,
-            effect: Effect::Unsafe,
+            effect: Effect::Once,
             ..Class::default()
         };
-        let mut scheduler = Brain::new(0, 1, single_sender(class));
+        let mut scheduler = DeliveryScheduler::new(0, 1, single_sender(class));
         let mut out = Vec::new();
         let endpoint = Endpoint { target: 1, destination: 1, ..Endpoint::default() };
         scheduler.handle(
@@ -200,11 +200,11 @@
 }
 
 /// A scheduler that has sent one at-most-once message to the only endpoint of a destination, and its actions.
-fn one_in_flight() -> (Brain, Vec<Action>) {
-    let class = Class { aim: 3_000_000, deadline: 12_000_000, effect: Effect::Unsafe, ..Class::default() };
-    let rules = crate::interface::Rules { tip_after: 1_000_000, ..Default::default() };
+fn one_in_flight() -> (DeliveryScheduler, Vec<Action>) {
+    let class = Class { aim: 3_000_000, deadline: 12_000_000, effect: Effect::Once, ..Class::default() };
+    let rules = crate::interface::Rules { overload_duration: 1_000_000, ..Default::default() };
     let settings = Settings { max_attempts: 2, rules, ..single_sender(class) };
-    let (mut scheduler, mut out) = (Brain::new(0, 1, settings), Vec::new());
+    let (mut scheduler, mut out) = (DeliveryScheduler::new(0, 1, settings), Vec::new());
     let endpoints = vec![Endpoint { target: 1, destination: 1, ..Endpoint::default() }];
     scheduler.handle(0, Event::List { kind: ListKind::Full, version: 1, endpoints }, &mut out);
     let event = Event::Request { id: 1, class: 0, destination: 1, order_key: 0, expires: 12_000_000 };
@@ -231,7 +231,7 @@
     let mut now = 0;
     for _ in 0..5 {
         let mut out = Vec::new();
-        scheduler.handle(now + 1_000, ends(1, Outcome::HeldBack, false, 500_000), &mut out);
+        scheduler.handle(now + 1_000, ends(1, Outcome::Withheld, false, 500_000), &mut out);
         scheduler.decide(now + 1_000, &mut out);
         scheduler.decide(now + 500_999, &mut out);
         assert!(!sent(&out, 1) && scheduler.in_flight == 0 && scheduler.messages[&1].attempts.is_empty());
@@ -254,7 +254,7 @@
     let mut out = Vec::new();
     scheduler.handle(1_000, ends(1, Outcome::Ok, true, 0), &mut out);
     assert!(scheduler.messages.is_empty());
-    scheduler.handle(2_000, ends(1, Outcome::Full, true, 700_000), &mut out);
+    scheduler.handle(2_000, ends(1, Outcome::Rejected, true, 700_000), &mut out);
     let event = Event::Request { id: 2, class: 0, destination: 1, order_key: 0, expires: 12_000_000 };
     scheduler.handle(3_000, event, &mut out);
     scheduler.decide(3_000, &mut out);
@@ -270,12 +270,12 @@
 fn an_outage_is_announced_before_anything_else_is_sent() {
     let (mut scheduler, _) = one_in_flight();
     let mut out = Vec::new();
-    scheduler.handle(1_000, ends(1, Outcome::Full, false, 2_000_000), &mut out);
+    scheduler.handle(1_000, ends(1, Outcome::Rejected, false, 2_000_000), &mut out);
     let event = Event::Request { id: 2, class: 0, destination: 1, order_key: 0, expires: 12_000_000 };
     scheduler.handle(2_000, event, &mut out);
     scheduler.decide(2_000, &mut out);
     (2..12).for_each(|at| scheduler.decide(at * 1_000_000, &mut out));
-    let found = out.iter().position(|a| *a == Action::FoundOut { target: 1 });
+    let found = out.iter().position(|a| *a == Action::OutageDetected { target: 1 });
     let next = out.iter().position(|a| matches!(a, Action::Send { .. }));
     assert!(found.is_some() && found < next, "{found:?} {next:?}");
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! Reads the settings of a deployment from JSON and translates them. Unknown keys are ignored.
 
-use crate::{Class, Decay, Effect, Group, ListedRate, Micros, Rules, Settings};
+use crate::{Class, Decay, DedupScope, Effect, ListedRate, Micros, Rules, Settings};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -98,7 +98,7 @@
 /// report.
 #[derive(Debug, Deserialize)]
 #[serde(from = "Env")]
-pub struct Parsed {
+pub struct DeploymentSettings {
     /// Settings of the scheduler.
     pub settings: Settings,
     /// Names of the message classes by index.
@@ -113,7 +113,7 @@
     pub rate_at: Option<usize>,
 }
 
-impl From<Env> for Parsed {
+impl From<Env> for DeploymentSettings {
     fn from(env: Env) -> Self {
         let position = |name: &str| env.report.fields.iter().position(|f| f == name);
         let (share_left_at, rate_at) = (position("x0"), position("x1"));
@@ -126,11 +126,11 @@
             effect: match c.effect.as_str() {
                 "repeatable" => Effect::Repeatable,
                 "by_key" => Effect::Keyed,
-                _ => Effect::Unsafe,
+                _ => Effect::Once,
             },
-            group: if c.group == "all" { Group::All } else { Group::Zone },
-            window: c.window,
-            patience: 0,
+            dedup_scope: if c.group == "all" { DedupScope::All } else { DedupScope::Zone },
+            dedup_window: c.window,
+            max_wait: 0,
             in_order: c.one_at_a_time,
             streaming: c.streaming,
         });
@@ -149,28 +149,28 @@
             decay: if env.family_info.decay == "halving" { Decay::Halving } else { Decay::Linear },
             rules: Rules {
                 drain_grace: env.contract.stop_sending_within,
-                cold_from: env.contract.cold_from,
-                ramp_time: env.contract.ramp_time,
-                tip_multiple: env.contract.tip_multiple,
-                tip_after: env.contract.tip_after,
-                order_pause: env.contract.order_pause,
-                ask_within: env.contract.ask_within,
+                cold_capacity_share: env.contract.cold_from,
+                slow_start_time: env.contract.ramp_time,
+                overload_factor: env.contract.tip_multiple,
+                overload_duration: env.contract.tip_after,
+                uncertain_key_pause: env.contract.order_pause,
+                list_poll_interval: env.contract.ask_within,
             },
-            batch: env.family_info.batch_by_kind,
-            routes_apart: env.family_info.own_limits,
-            zone_fee: env.family_info.zone_fee,
-            refused_price: env.family_info.refused_price,
+            max_batch: env.family_info.batch_by_kind,
+            independent_routes: env.family_info.own_limits,
+            zone_cost: env.family_info.zone_fee,
+            rejection_cost: env.family_info.refused_price,
             listed_rate: match env.weight_source.as_str() {
                 "nominal" => ListedRate::Exact,
                 "rough" => ListedRate::Rough,
                 _ => ListedRate::Unknown,
             },
-            connection_idle: env.limits.conn_idle,
+            idle_timeout: env.limits.conn_idle,
             connect_timeout: env.limits.dial_timeout,
             streams_per_connection: env.limits.streams_per_conn,
             tick: env.tick,
         };
-        Parsed {
+        DeploymentSettings {
             settings,
             class_names,
             kind_names: env.machine_types,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! Plain state of the scheduler. The decisions are made in the modules that use it.
 
-use crate::evidence::FailureDetector;
+use crate::failure_detector::FailureDetector;
 use crate::interface::*;
 use crate::latency::LatencyHistogram;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/src/views.rs
+++ b/src/status.rs
@@ -1,4 +1,4 @@
-//! Status of destinations, as returned by [`crate::Brain::view`]. Time spans are in microseconds.
+//! Status of destinations, as returned by [`crate::DeliveryScheduler::status`]. Time spans are in microseconds.
 
 use crate::interface::*;
 
@@ -6,24 +6,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
     /// Calls go out and are answered.
-    Open,
+    Up,
     /// Calls go out, and many of them fail.
     Failing,
     /// The destination is out: only single trial calls go out.
     Out {
         /// Time until the next trial.
-        next: Micros,
+        next_trial_in: Micros,
     },
     /// Slow start: the destination answers again, and its load is raised step by step.
-    Warming {
+    SlowStart {
         /// Time since the first answer.
-        since: Micros,
+        elapsed: Micros,
     },
 }
 
 /// Status of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TargetView {
+pub struct TargetStatus {
     /// Number of the endpoint.
     pub target: TargetId,
     /// State in the endpoint list.
@@ -31,27 +31,27 @@
     /// Calls in flight to it.
     pub calls: u32,
     /// Time for which other endpoints are preferred.
-    pub avoided: Micros,
+    pub avoided_for: Micros,
 }
 
 /// Status of a route: the shared route of a destination, or the independent route of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LaneView {
+pub struct RouteStatus {
     /// Its endpoints.
-    pub targets: Vec<TargetView>,
+    pub targets: Vec<TargetStatus>,
     /// Its health.
     pub health: Health,
     /// Time without an answer since the failures began.
-    pub trouble: Option<Micros>,
+    pub unanswered_for: Option<Micros>,
     /// Smoothed share of failures, 0 to 1.
-    pub failing: f64,
+    pub failure_share: f64,
     /// Evidence for an outage as a fraction of what the verdict needs: 0 to slightly above 1.
-    pub towards_out: f64,
+    pub outage_evidence: f64,
     /// How long the present state has lasted: failing, out or slow start. For a healthy route the time since
     /// the last failure, none if there was none.
-    pub stood: Option<Micros>,
+    pub state_age: Option<Micros>,
     /// Rest of the wait that the destination requested.
-    pub wait: Micros,
+    pub wait_left: Micros,
     /// Calls that may be in flight at once.
     pub window: f64,
     /// Calls in flight.
@@ -59,57 +59,60 @@
     /// Resend point τ, 0 until enough answers are known.
     pub tau: Micros,
     /// Mean answer time, 0 if there was no answer.
-    pub mean: Micros,
+    pub mean_latency: Micros,
     /// Calls a second that this sender may make, 0 if not limited.
     pub pace: f64,
     /// Known rate limit in calls a second, 0 if none is known.
     pub limit: f64,
 }
 
-impl LaneView {
+impl RouteStatus {
     /// Describes the health, and the figures behind it, for operators.
-    pub fn words(&self) -> String {
+    pub fn describe(&self) -> String {
         let percent = |share: f64| format!("{:.0}%", share * 100.0);
         let seconds = |span: Micros| match span {
             0..=59_949_999 => format!("{:.1}s", span as f64 / 1e6),
             _ => format!("{}m{:02}s", span / 60_000_000, span / 1_000_000 % 60),
         };
-        let stood = self.stood.map(seconds).unwrap_or_default();
-        let waits = if self.wait > 0 {
-            format!("; requested wait ends in {}", seconds(self.wait))
+        let stood = self.state_age.map(seconds).unwrap_or_default();
+        let waits = if self.wait_left > 0 {
+            format!("; requested wait ends in {}", seconds(self.wait_left))
         } else {
             String::new()
         };
-        let close_to_outage = if self.towards_out >= 0.5 { "; close to an outage verdict" } else { "" };
+        let close_to_outage = if self.outage_evidence >= 0.5 { "; close to an outage verdict" } else { "" };
         match self.health {
-            Health::Open if self.failing < 0.005 => format!("healthy{waits}"),
-            Health::Open => {
+            Health::Up if self.failure_share < 0.005 => format!("healthy{waits}"),
+            Health::Up => {
                 format!(
                     "{} of calls fail, last failure {stood} ago{close_to_outage}{waits}",
-                    percent(self.failing)
+                    percent(self.failure_share)
                 )
             }
             Health::Failing => {
-                format!("{} of calls fail, lossy for {stood}{close_to_outage}{waits}", percent(self.failing))
+                format!(
+                    "{} of calls fail, lossy for {stood}{close_to_outage}{waits}",
+                    percent(self.failure_share)
+                )
             }
-            Health::Out { next } if next > 0 => {
-                format!("out for {stood}, next trial in {}{waits}", seconds(next))
+            Health::Out { next_trial_in } if next_trial_in > 0 => {
+                format!("out for {stood}, next trial in {}{waits}", seconds(next_trial_in))
             }
             Health::Out { .. } => format!("out for {stood}, trial due{waits}"),
-            Health::Warming { .. } => format!("slow start for {stood}{waits}"),
+            Health::SlowStart { .. } => format!("slow start for {stood}{waits}"),
         }
     }
 }
 
 /// Status of a destination.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DestinationView {
+pub struct DestinationStatus {
     /// Number of the destination.
     pub destination: DestinationId,
     /// Messages that are ready to be sent.
     pub ready: u32,
     /// Its routes.
-    pub lanes: Vec<LaneView>,
+    pub routes: Vec<RouteStatus>,
 }
 
 #[cfg(test)]
@@ -118,34 +121,43 @@
 
     #[test]
     fn the_description_states_the_health_and_its_figures() {
-        let route = LaneView {
+        let route = RouteStatus {
             targets: Vec::new(),
-            health: Health::Open,
-            trouble: None,
-            failing: 0.0,
-            towards_out: 0.0,
-            stood: None,
-            wait: 0,
+            health: Health::Up,
+            unanswered_for: None,
+            failure_share: 0.0,
+            outage_evidence: 0.0,
+            state_age: None,
+            wait_left: 0,
             window: 1.0,
             calls: 0,
             tau: 0,
-            mean: 0,
+            mean_latency: 0,
             pace: 0.0,
             limit: 0.0,
         };
-        assert_eq!(route.words(), "healthy");
+        assert_eq!(route.describe(), "healthy");
         assert_eq!(
-            LaneView { wait: 1_500_000, ..route.clone() }.words(),
+            RouteStatus { wait_left: 1_500_000, ..route.clone() }.describe(),
             "healthy; requested wait ends in 1.5s"
         );
-        let some = LaneView { failing: 0.052, stood: Some(400_000), towards_out: 0.1, ..route.clone() };
-        assert_eq!(some.words(), "5% of calls fail, last failure 0.4s ago");
-        let many = LaneView { health: Health::Failing, failing: 0.31, towards_out: 0.7, ..some };
-        assert_eq!(many.words(), "31% of calls fail, lossy for 0.4s; close to an outage verdict");
-        let out =
-            LaneView { health: Health::Out { next: 2_000_000 }, stood: Some(61_000_000), ..route.clone() };
-        assert_eq!(out.words(), "out for 1m01s, next trial in 2.0s");
-        let slow_start = LaneView { health: Health::Warming { since: 3 }, stood: Some(3_000_000), ..route };
-        assert_eq!(slow_start.words(), "slow start for 3.0s");
+        let some = RouteStatus {
+            failure_share: 0.052,
+            state_age: Some(400_000),
+            outage_evidence: 0.1,
+            ..route.clone()
+        };
+        assert_eq!(some.describe(), "5% of calls fail, last failure 0.4s ago");
+        let many = RouteStatus { health: Health::Failing, failure_share: 0.31, outage_evidence: 0.7, ..some };
+        assert_eq!(many.describe(), "31% of calls fail, lossy for 0.4s; close to an outage verdict");
+        let out = RouteStatus {
+            health: Health::Out { next_trial_in: 2_000_000 },
+            state_age: Some(61_000_000),
+            ..route.clone()
+        };
+        assert_eq!(out.describe(), "out for 1m01s, next trial in 2.0s");
+        let slow_start =
+            RouteStatus { health: Health::SlowStart { elapsed: 3 }, state_age: Some(3_000_000), ..route };
+        assert_eq!(slow_start.describe(), "slow start for 3.0s");
     }
 }
--- a/src/estimate.rs
+++ b/src/wait_estimate.rs
@@ -63,5 +63,5 @@
 }
 
 #[cfg(test)]
-#[path = "estimate_tests.rs"]
+#[path = "wait_estimate_tests.rs"]
 mod tests;
--- a/test.sh
+++ b/test.sh
@@ -2,7 +2,7 @@
 # Everything a change must pass: format, lints, size of the decision module, tests, release build.
 set -euo pipefail
 cd "$(dirname "$0")"
-policy=(src/brain.rs src/estimate.rs src/evidence.rs src/pace.rs)
+policy=(src/scheduler.rs src/wait_estimate.rs src/failure_detector.rs src/fleet_pacing.rs)
 lines=$(cat "${policy[@]}" | grep -c '[^[:space:]]')
 wide=$(awk 'length($0) > 110' "${policy[@]}" | wc -l)
 echo "${policy[*]}: $lines lines that are not blank (1,200 at most), $wide over 110 characters"
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! rules.
 #![allow(dead_code)]
 
-use hatchline::*;
+use foldtrack_delivery::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MS: u64 = 1000;
@@ -35,7 +35,7 @@
 pub struct TestForwarder {
     pub now: u64,
     pub settings: Settings,
-    pub scheduler: Brain,
+    pub scheduler: DeliveryScheduler,
     pub messages: BTreeMap<MessageId, TestMessage>,
     /// Messages by order key, in the order of their submission.
     pub key_order: BTreeMap<u64, Vec<MessageId>>,
@@ -62,7 +62,7 @@
         worth: 1.0,
         late_value: 0.5,
         effect,
-        window: 10 * S,
+        dedup_window: 10 * S,
         ..Class::default()
     }
 }
@@ -77,16 +77,16 @@
         classes,
         rules: Rules {
             drain_grace: S,
-            cold_from: 0.2,
-            ramp_time: 10 * S,
-            tip_multiple: 2.5,
-            tip_after: 1500 * MS,
-            order_pause: 100 * MS,
-            ask_within: 10 * S,
+            cold_capacity_share: 0.2,
+            slow_start_time: 10 * S,
+            overload_factor: 2.5,
+            overload_duration: 1500 * MS,
+            uncertain_key_pause: 100 * MS,
+            list_poll_interval: 10 * S,
         },
-        batch: vec![1],
-        routes_apart: vec![false],
-        connection_idle: 15 * S,
+        max_batch: vec![1],
+        independent_routes: vec![false],
+        idle_timeout: 15 * S,
         connect_timeout: S,
         streams_per_connection: 8,
         tick: 5 * MS,
@@ -103,7 +103,7 @@
         let now = 5 * S;
         let mut forwarder = TestForwarder {
             now,
-            scheduler: Brain::new(now, 7, settings.clone()),
+            scheduler: DeliveryScheduler::new(now, 7, settings.clone()),
             settings,
             messages: BTreeMap::new(),
             key_order: BTreeMap::new(),
@@ -185,13 +185,13 @@
         if outcome == Outcome::Ok && m.ended_at.is_none() {
             (m.ended_at, m.served) = (Some(now), true);
         }
-        if outcome == Outcome::HeldBack {
+        if outcome == Outcome::Withheld {
             m.attempts.pop();
         }
         let ended = m.ended_at.is_some();
         let (destination, key) = (m.destination, m.key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            self.key_paused_until.insert(key, now + self.settings.rules.order_pause);
+            self.key_paused_until.insert(key, now + self.settings.rules.uncertain_key_pause);
         }
         if wait > 0 {
             let route = if self.is_independent(target) { target } else { 0 };
@@ -204,7 +204,7 @@
 
     fn is_independent(&self, target: TargetId) -> bool {
         let kind = self.endpoints[&target].kind as usize;
-        self.settings.routes_apart.get(kind).copied().unwrap_or(false)
+        self.settings.independent_routes.get(kind).copied().unwrap_or(false)
     }
 
     /// Passes one event to the scheduler, lets it decide, and carries out and checks its actions.
@@ -232,7 +232,7 @@
                 }
                 let ran = m.attempts.iter().any(may_have_run);
                 let class = &self.settings.classes[m.class];
-                let keyed_all = class.effect == Effect::Keyed && class.group == Group::All;
+                let keyed_all = class.effect == Effect::Keyed && class.dedup_scope == DedupScope::All;
                 if refuse && ran && class.effect != Effect::Repeatable && !keyed_all {
                     self.violations.push(format!("message {id} refused though it may have run"));
                 }
@@ -274,12 +274,12 @@
         }
         let ran: Vec<_> = m.attempts.iter().filter(|a| may_have_run(a)).collect();
         match (class.effect, ran.first()) {
-            (Effect::Unsafe, Some(_)) => violation("an at-most-once message that may have run was repeated"),
+            (Effect::Once, Some(_)) => violation("an at-most-once message that may have run was repeated"),
             (Effect::Keyed, Some(first)) => {
-                if self.now > first.at + class.window {
+                if self.now > first.at + class.dedup_window {
                     violation("repeated after its deduplication window");
                 }
-                if class.group == Group::Zone && self.endpoints[&first.target].zone != e.zone {
+                if class.dedup_scope == DedupScope::Zone && self.endpoints[&first.target].zone != e.zone {
                     violation("repeated outside its deduplication scope");
                 }
             }
@@ -307,7 +307,7 @@
         }
         let attempt = SentAttempt { target, at: self.now, until, outcome: None };
         self.messages.get_mut(&id).unwrap().attempts.push(attempt);
-        if self.settings.batch.iter().all(|b| *b == 1) {
+        if self.settings.max_batch.iter().all(|b| *b == 1) {
             let in_flight = self.in_flight();
             let here =
                 in_flight.iter().filter(|(x, _, _)| self.messages[x].destination == m.destination).count();
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -3,17 +3,17 @@
 
 mod lossy;
 
-use hatchline::Micros;
+use foldtrack_delivery::Micros;
 use lossy::*;
 
 /// Messages applied a second while messages are submitted.
-fn rate(plan: &Plan, report: &Day) -> f64 {
-    let span = (plan.span / SECOND) as usize;
+fn rate(plan: &Scenario, report: &Report) -> f64 {
+    let span = (plan.duration / SECOND) as usize;
     report.by_second[..span].iter().sum::<u64>() as f64 / span as f64
 }
 
 /// Fails if a payment took effect twice or a false outcome was reported.
-fn assert_truthful(plan: &Plan, report: &Day) {
+fn assert_truthful(plan: &Scenario, report: &Report) {
     assert_eq!((report.duplicates, report.false_outcomes), (0, 0), "{plan:?}: {report:?}");
 }
 
@@ -22,15 +22,15 @@
 #[test]
 fn random_failures_cost_little_throughput() {
     let whole = {
-        let plan = Plan::default();
-        rate(&plan, &play(&plan))
+        let plan = Scenario::default();
+        rate(&plan, &simulate(&plan))
     };
     for (share, least) in [(0.055, 0.7), (0.11, 0.4), (0.22, 0.2)] {
-        let plan = Plan { share, ..Plan::default() };
-        let report = play(&plan);
+        let plan = Scenario { failure_share: share, ..Scenario::default() };
+        let report = simulate(&plan);
         assert_truthful(&plan, &report);
         assert!(rate(&plan, &report) > least * whole, "{share}: {} of {whole}", rate(&plan, &report));
-        assert!(report.verdicts <= 2, "{share}: outage detected {} times", report.verdicts);
+        assert!(report.outages_detected <= 2, "{share}: outage detected {} times", report.outages_detected);
     }
 }
 
@@ -39,21 +39,21 @@
     for kind in MIXED {
         for (calls, share) in [(5.0, 0.1), (50.0, 0.2), (500.0, 0.2), (5_000.0, 0.1)] {
             for endpoints in [1, 4] {
-                let plan = Plan {
+                let plan = Scenario {
                     rate: calls,
                     clients: 0,
-                    share,
-                    kinds: vec![kind],
+                    failure_share: share,
+                    failure_kinds: vec![kind],
                     endpoints,
                     slots: 256,
-                    span: 4 * SECOND,
-                    ..Plan::default()
+                    duration: 4 * SECOND,
+                    ..Scenario::default()
                 };
-                let report = play(&plan);
+                let report = simulate(&plan);
                 assert_truthful(&plan, &report);
                 // Messages that are submitted at the end are applied later, so the whole run counts.
                 let applied = report.applied as f64 / report.taken.max(1) as f64;
-                let most = if kind == Kind::Late && calls > 1_000.0 { 0.2 } else { 0.6 };
+                let most = if kind == FailureKind::Late && calls > 1_000.0 { 0.2 } else { 0.6 };
                 assert!(
                     applied > most,
                     "{kind:?} {calls}/s, {endpoints}: {applied:.2} of the accepted messages, {report:?}"
@@ -65,19 +65,25 @@
 
 #[test]
 fn an_outage_is_detected_quickly_at_every_rate_and_for_every_kind_of_failure() {
-    for kind in [Kind::Refused, Kind::ResetBefore, Kind::Error, Kind::Silent] {
+    for kind in [FailureKind::Refused, FailureKind::ResetBefore, FailureKind::Error, FailureKind::Silent] {
         for (calls, most, spent) in [(5.0, 5_000, 12), (50.0, 400, 20), (500.0, 150, 80), (5_000.0, 150, 400)]
         {
             let outage = Some((4 * SECOND, 12 * SECOND, kind));
-            let plan =
-                Plan { rate: calls, clients: 0, outage, slots: 256, span: 8 * SECOND, ..Plan::default() };
-            let report = play(&plan);
+            let plan = Scenario {
+                rate: calls,
+                clients: 0,
+                outage,
+                slots: 256,
+                duration: 8 * SECOND,
+                ..Scenario::default()
+            };
+            let report = simulate(&plan);
             assert_truthful(&plan, &report);
-            let found = report.found_after.unwrap_or(Micros::MAX) / MS;
+            let found = report.detected_after.unwrap_or(Micros::MAX) / MS;
             assert!(
-                found <= most && report.spent <= spent,
+                found <= most && report.calls_before_detection <= spent,
                 "{kind:?} {calls}/s: {found} ms, {} calls",
-                report.spent
+                report.calls_before_detection
             );
         }
     }
@@ -87,10 +93,10 @@
 /// as before.
 #[test]
 fn calls_that_fail_together_are_one_event() {
-    let plan = Plan { restarts: vec![3 * SECOND, 5 * SECOND], ..Plan::default() };
-    let report = play(&plan);
+    let plan = Scenario { restarts: vec![3 * SECOND, 5 * SECOND], ..Scenario::default() };
+    let report = simulate(&plan);
     assert_truthful(&plan, &report);
-    assert_eq!(report.verdicts, 0);
+    assert_eq!(report.outages_detected, 0);
     let (before, after) = (report.by_second[2] as f64, report.by_second[3] as f64);
     assert!(after > 0.7 * before, "{:?}", &report.by_second[..8]);
 }
@@ -99,23 +105,23 @@
 /// service as soon as the burst is over.
 #[test]
 fn bursts_of_failures_are_survived() {
-    let plan = Plan { share: 0.1, burst: 8 * MS, ..Plan::default() };
-    let report = play(&plan);
+    let plan = Scenario { failure_share: 0.1, burst: 8 * MS, ..Scenario::default() };
+    let report = simulate(&plan);
     assert_truthful(&plan, &report);
-    assert!(rate(&plan, &report) > 300.0, "{}, {} verdicts", rate(&plan, &report), report.verdicts);
+    assert!(rate(&plan, &report) > 300.0, "{}, {} verdicts", rate(&plan, &report), report.outages_detected);
 }
 
 /// Failures caused by load still reduce the load: the more calls are in flight, the more fail, and the
 /// scheduler stays below the number at which they do.
 #[test]
 fn failures_caused_by_load_reduce_the_load() {
-    let plan = Plan {
+    let plan = Scenario {
         strained_from: 12,
         strain: 0.03,
-        kinds: vec![Kind::Refused, Kind::ResetBefore],
-        ..Plan::default()
+        failure_kinds: vec![FailureKind::Refused, FailureKind::ResetBefore],
+        ..Scenario::default()
     };
-    let report = play(&plan);
+    let report = simulate(&plan);
     assert_truthful(&plan, &report);
     let tries = report.attempts as f64 / report.applied as f64;
     assert!(
@@ -124,8 +130,8 @@
         rate(&plan, &report)
     );
     // A partner that accepts only a fixed number of calls at once.
-    let plan = Plan { most_at_once: 12, ..Plan::default() };
-    let report = play(&plan);
+    let plan = Scenario { most_at_once: 12, ..Scenario::default() };
+    let report = simulate(&plan);
     let tries = report.attempts as f64 / report.applied as f64;
     assert!(
         tries < 1.5 && rate(&plan, &report) > 600.0,
@@ -139,8 +145,8 @@
 fn no_false_outcome_is_reported_at_any_failure_share() {
     for share in [0.3, 0.45, 0.6, 0.9] {
         for seed in 1..=2 {
-            let plan = Plan { seed, share, span: 4 * SECOND, ..Plan::default() };
-            assert_truthful(&plan, &play(&plan));
+            let plan = Scenario { seed, failure_share: share, duration: 4 * SECOND, ..Scenario::default() };
+            assert_truthful(&plan, &simulate(&plan));
         }
     }
 }
@@ -151,16 +157,16 @@
 fn an_overload_is_refused_at_intake() {
     // Each partner processes eight calls of 15 ms at once: 533 calls a second.
     for (times, max_held) in [(2.0, 100_000), (10.0, 100_000), (10.0, 2_000)] {
-        let plan = Plan {
+        let plan = Scenario {
             rate: times * 1_066.0,
             clients: 0,
             concurrency: 8,
             max_held,
             slots: 64,
-            span: 60 * SECOND,
-            ..Plan::default()
+            duration: 60 * SECOND,
+            ..Scenario::default()
         };
-        let report = play(&plan);
+        let report = simulate(&plan);
         assert_truthful(&plan, &report);
         let what = format!("{times} times the capacity, {max_held} places");
         let back = (report.handed_back + report.failed) as f64 / report.taken as f64;
@@ -196,17 +202,17 @@
 /// A partner that doubles its capacity gets twice the load within seconds.
 #[test]
 fn a_partner_that_doubles_its_capacity_gets_twice_the_load() {
-    let plan = Plan {
+    let plan = Scenario {
         rate: 3_200.0,
         clients: 0,
         concurrency: 8,
         doubles_at: Some(20 * SECOND),
         max_held: 100_000,
         slots: 64,
-        span: 40 * SECOND,
-        ..Plan::default()
+        duration: 40 * SECOND,
+        ..Scenario::default()
     };
-    let report = play(&plan);
+    let report = simulate(&plan);
     assert_truthful(&plan, &report);
     let sum = |from: usize| report.by_second[from..from + 5].iter().sum::<u64>() as f64 / 5.0;
     assert!(sum(25) > 1.8 * sum(14), "{:?}", &report.by_second[..40]);
@@ -216,15 +222,15 @@
 /// partner is back, this is detected and it is served again, although hardly any messages waited for it.
 #[test]
 fn a_lasting_outage_does_not_affect_other_partners_and_its_end_is_detected() {
-    let plan = Plan {
+    let plan = Scenario {
         rate: 400.0,
         clients: 0,
-        outage: Some((5 * SECOND, 90 * SECOND, Kind::Refused)),
+        outage: Some((5 * SECOND, 90 * SECOND, FailureKind::Refused)),
         max_held: 4_000,
-        span: 130 * SECOND,
-        ..Plan::default()
+        duration: 130 * SECOND,
+        ..Scenario::default()
     };
-    let report = play(&plan);
+    let report = simulate(&plan);
     assert_truthful(&plan, &report);
     let second = |at: usize| report.by_second[at..at + 5].iter().sum::<u64>() as f64 / 5.0;
     assert!(second(60) > 0.9 * 200.0, "the other partner: {}", second(60));
@@ -243,9 +249,16 @@
 #[test]
 fn retries_are_bounded_by_first_tries_at_any_share() {
     for share in [0.22, 0.4, 0.6, 0.8] {
-        for kinds in [MIXED.to_vec(), vec![Kind::Error], vec![Kind::Refused]] {
-            let plan = Plan { rate: 500.0, clients: 0, share, kinds, span: 10 * SECOND, ..Plan::default() };
-            let report = play(&plan);
+        for kinds in [MIXED.to_vec(), vec![FailureKind::Error], vec![FailureKind::Refused]] {
+            let plan = Scenario {
+                rate: 500.0,
+                clients: 0,
+                failure_share: share,
+                failure_kinds: kinds,
+                duration: 10 * SECOND,
+                ..Scenario::default()
+            };
+            let report = simulate(&plan);
             assert_truthful(&plan, &report);
             // Twice the first tries, the saved retry budget, and ten retries a second for each of two
             // partners.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hatchline::*;
+use foldtrack_delivery::*;
 
 /// A forwarder whose destination has answered for a while: τ is known and the window is open.
 fn warmed_up(settings: Settings, endpoints: Vec<Endpoint>, class: usize) -> TestForwarder {
@@ -32,7 +32,7 @@
 
 #[test]
 fn an_at_most_once_message_uses_all_the_time_left() {
-    let classes = vec![class(Effect::Repeatable), class(Effect::Unsafe)];
+    let classes = vec![class(Effect::Repeatable), class(Effect::Once)];
     let mut forwarder = warmed_up(settings(classes), vec![endpoint(1, 1)], 0);
     let id = forwarder.submit(1, 1, 0);
     assert_eq!(forwarder.messages[&id].attempts[0].until, forwarder.messages[&id].expires);
@@ -46,11 +46,11 @@
 #[test]
 fn a_keyed_message_is_not_repeated_after_its_deduplication_window() {
     let mut keyed = class(Effect::Keyed);
-    keyed.window = 3 * S;
+    keyed.dedup_window = 3 * S;
     let mut forwarder = warmed_up(settings(vec![keyed]), vec![endpoint(1, 1)], 0);
     let id = forwarder.submit(0, 1, 0);
     forwarder.end_attempt(id, 0, Outcome::TimedOut, 0);
-    forwarder.end_attempt(id, 1, Outcome::Full, 4 * S);
+    forwarder.end_attempt(id, 1, Outcome::Rejected, 4 * S);
     forwarder.run(6 * S, answers_after(80 * MS));
     assert_eq!(forwarder.messages[&id].attempts.len(), 2);
     assert!(forwarder.messages[&id].ended_at.is_some());
@@ -63,7 +63,7 @@
 #[test]
 fn a_repeat_of_a_keyed_message_ends_with_its_deduplication_window() {
     let mut keyed = class(Effect::Keyed);
-    keyed.window = 3 * S;
+    keyed.dedup_window = 3 * S;
     // No answer times are known yet, so attempts use all the time that is left.
     let mut forwarder = TestForwarder::new(settings(vec![keyed]), vec![endpoint(1, 1)]);
     let id = forwarder.submit(0, 1, 0);
@@ -82,11 +82,11 @@
 #[test]
 fn a_wait_requested_for_any_message_of_a_call_is_honoured() {
     let mut settings = settings(vec![class(Effect::Repeatable)]);
-    settings.batch = vec![4];
+    settings.max_batch = vec![4];
     let mut forwarder = warmed_up(settings, vec![endpoint(1, 1)], 0);
     // Make the destination wait, so that several messages are sent in one call.
     let id = forwarder.submit(0, 1, 0);
-    forwarder.end_attempt(id, 0, Outcome::Full, 500 * MS);
+    forwarder.end_attempt(id, 0, Outcome::Rejected, 500 * MS);
     let ids: Vec<_> = (0..3).map(|_| forwarder.submit(0, 1, 0)).collect();
     forwarder.run(600 * MS, |_, _, _| None);
     let shared: Vec<_> =
@@ -94,7 +94,7 @@
     assert!(shared.len() >= 2, "{} messages out", shared.len());
     let last = shared.len() - 1;
     for (i, (id, n, _)) in shared.iter().enumerate() {
-        forwarder.end_attempt(*id, *n, Outcome::Full, if i == last { 2 * S } else { 0 });
+        forwarder.end_attempt(*id, *n, Outcome::Rejected, if i == last { 2 * S } else { 0 });
     }
     forwarder.run(5 * S, answers_after(80 * MS));
     forwarder.assert_no_violations();
@@ -104,7 +104,7 @@
 /// big-1).
 #[test]
 fn a_silent_destination_does_not_hold_all_slots() {
-    let mut settings = settings(vec![class(Effect::Repeatable), class(Effect::Unsafe)]);
+    let mut settings = settings(vec![class(Effect::Repeatable), class(Effect::Once)]);
     settings.slots = 8;
     let mut forwarder = TestForwarder::new(settings, vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)]);
     for _ in 0..60 {
@@ -159,7 +159,7 @@
     let mut forwarder = TestForwarder::new(settings, vec![endpoint(1, 1), endpoint(2, 2)]);
     for _ in 0..200 {
         forwarder.submit(0, 1, 0);
-        forwarder.run(20 * MS, |now, _, a| (now >= a.at + 20 * MS).then_some((Outcome::Full, 0)));
+        forwarder.run(20 * MS, |now, _, a| (now >= a.at + 20 * MS).then_some((Outcome::Rejected, 0)));
         let held = forwarder.messages.values().filter(|m| m.ended_at.is_none()).count();
         assert!(held < 60, "{held} held");
     }
@@ -174,7 +174,7 @@
 fn a_single_rejection_pauses_a_destination_only_briefly() {
     let mut forwarder = warmed_up(settings(vec![class(Effect::Repeatable)]), vec![endpoint(1, 1)], 0);
     let id = forwarder.submit(0, 1, 0);
-    forwarder.end_attempt(id, 0, Outcome::Full, 0);
+    forwarder.end_attempt(id, 0, Outcome::Rejected, 0);
     forwarder.run(2 * S, answers_after(80 * MS));
     assert!(forwarder.messages[&id].served);
     forwarder.assert_no_violations();
@@ -247,9 +247,12 @@
 /// big-1).
 #[test]
 fn each_of_hundreds_of_senders_rarely_tries_a_failing_destination() {
-    for (outcome, wait) in
-        [(Some(Outcome::Full), 0), (Some(Outcome::Full), 3 * S), (Some(Outcome::ConnectFailed), 0), (None, 0)]
-    {
+    for (outcome, wait) in [
+        (Some(Outcome::Rejected), 0),
+        (Some(Outcome::Rejected), 3 * S),
+        (Some(Outcome::ConnectFailed), 0),
+        (None, 0),
+    ] {
         let (few, many) = (
             sends_to_failing_destination(2, 18 * S, outcome, wait),
             sends_to_failing_destination(250, 18 * S, outcome, wait),
@@ -279,7 +282,7 @@
     busy.run(3 * S, answers_after(80 * MS));
     assert!(busy.messages[&id].served && closes(&busy) > before, "kept although connections are scarce");
     let mut settings = settings(vec![class(Effect::Repeatable)]);
-    settings.connection_idle = S;
+    settings.idle_timeout = S;
     let mut seldom = TestForwarder::new(settings, vec![endpoint(1, 1)]);
     for _ in 0..4 {
         seldom.submit(0, 1, 0);
@@ -321,11 +324,11 @@
     for event in [
         end(77, 0, 1),
         end(id, 9, 1),
-        Event::Lapsed { id: 77 },
+        Event::Abandoned { id: 77 },
         Event::Timer { token: 99 },
         Event::Started { id: 77, attempt: 0 },
-        Event::Probed { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
-        Event::Peer { from: 1, data: vec![] },
+        Event::ProbeOutcome { target: 77, outcome: Outcome::Ok, took: 1 << 60, report: None },
+        Event::PeerMessage { from: 1, data: vec![] },
         Event::Request { id: 78, class: 9, destination: 1, order_key: 0, expires: u64::MAX },
         Event::List { kind: ListKind::Failed, version: 0, endpoints: vec![] },
     ] {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! Many forwarders that act in step: many schedulers without sockets. The longer runs use the emulator.
 
+use foldtrack_delivery::emulator_policy::SchedulerFactory;
+use foldtrack_delivery::{
+    Action, Class, DeliveryScheduler, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind,
+    ListedRate, Micros, Outcome, Rules, Settings,
+};
 use foldtrack_emulator::figures::Second;
 use foldtrack_emulator::world::World;
-use hatchline::emulated::Modules;
-use hatchline::{
-    Action, Brain, Class, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind, ListedRate, Micros,
-    Outcome, Rules, Settings,
-};
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
@@ -45,8 +45,8 @@
 }
 
 /// One of `senders` senders, with its own seed.
-fn sender_of(senders: u32, sender: u32) -> Brain {
-    Brain::new(0, u64::from(sender).wrapping_mul(0x1234_5678_9abc_def1), settings(senders))
+fn sender_of(senders: u32, sender: u32) -> DeliveryScheduler {
+    DeliveryScheduler::new(0, u64::from(sender).wrapping_mul(0x1234_5678_9abc_def1), settings(senders))
 }
 
 /// Calls that each endpoint gets if every sender sends occasionally, one call after another.
@@ -101,7 +101,7 @@
          effect = \"repeatable\"\n[[partner]]\nname = \"p\"\nshare = 1.0\nlimit = 49.0\nwindow = \"1s\"\nrefused-use-up = true\n\
          tells = 0.5\nreport = \"1us\"\nfixed = \"1us\"\n{troubles}"
     );
-    let figures = foldtrack_emulator::play::play(&World::read(&text).unwrap(), &Modules, 7);
+    let figures = foldtrack_emulator::play::play(&World::read(&text).unwrap(), &SchedulerFactory, 7);
     assert!(figures.is_clean(), "{:?}", figures.breaches);
     figures.seconds
 }
@@ -127,7 +127,7 @@
     let mut world = World::read(&format!("{text}{trouble}")).unwrap();
     (world.traffic.rate, world.traffic.uneven) = (rate, uneven);
     let run = |seed| {
-        let figures = foldtrack_emulator::play::play(&world, &Modules, seed);
+        let figures = foldtrack_emulator::play::play(&world, &SchedulerFactory, seed);
         assert!(figures.is_clean(), "{:?}", figures.breaches);
         figures.served()
     };
@@ -194,8 +194,8 @@
 fn closed_after_a_rejection(
     senders: u32, reported: bool, rejection: (Option<LimitReport>, Micros),
 ) -> Vec<u32> {
-    let settings = Settings { connection_idle: 60 * SECOND, ..settings(senders) };
-    let mut scheduler = Brain::new(0, 1, settings);
+    let settings = Settings { idle_timeout: 60 * SECOND, ..settings(senders) };
+    let mut scheduler = DeliveryScheduler::new(0, 1, settings);
     let mut out = Vec::new();
     let line = |target: u32| {
         let kind = target / 2;
@@ -227,7 +227,7 @@
     };
     let served = (1..).zip((0..3).cycle()).take(9);
     served.for_each(|(id, target)| drop(call(id, target, Outcome::Ok, reported.then_some(report), 0)));
-    let mut closed = call(10, 0, Outcome::Full, rejection.0, rejection.1);
+    let mut closed = call(10, 0, Outcome::Rejected, rejection.0, rejection.1);
     // What it has learned applies to later calls.
     closed.extend(call(11, 1, Outcome::Ok, reported.then_some(report), 0));
     closed.extend(call(12, 2, Outcome::Ok, reported.then_some(report), 0));
@@ -258,16 +258,16 @@
     const STEP: Micros = 20_000;
     let (out_from, back, end) = (20 * SECOND, 32 * SECOND, 46 * SECOND);
     let rules = Rules {
-        cold_from: 0.16,
-        ramp_time: 14 * SECOND,
-        tip_multiple: 2.5,
-        tip_after: 2 * SECOND,
+        cold_capacity_share: 0.16,
+        slow_start_time: 14 * SECOND,
+        overload_factor: 2.5,
+        overload_duration: 2 * SECOND,
         ..Rules::default()
     };
-    let mut schedulers: Vec<Brain> = (0..senders)
+    let mut schedulers: Vec<DeliveryScheduler> = (0..senders)
         .map(|n| {
             let settings = Settings { rules: rules.clone(), slots: 8, max_held: 400, ..settings(senders) };
-            Brain::new(0, u64::from(n).wrapping_mul(0x1234_5678_9abc_def1), settings)
+            DeliveryScheduler::new(0, u64::from(n).wrapping_mul(0x1234_5678_9abc_def1), settings)
         })
         .collect();
     let mut out = Vec::new();
@@ -306,11 +306,12 @@
         }
     }
     let window = |from: Micros| {
-        let calls = sent.iter().filter(|at| (from..from + rules.tip_after).contains(*at)).count();
-        let warm = 0.16 + (1.0 - 0.16) * (from + rules.tip_after - back) as f64 / rules.ramp_time as f64;
-        (calls as f64, rules.tip_multiple * limit * warm.min(1.0) * rules.tip_after as f64 / 1e6)
+        let calls = sent.iter().filter(|at| (from..from + rules.overload_duration).contains(*at)).count();
+        let warm = 0.16
+            + (1.0 - 0.16) * (from + rules.overload_duration - back) as f64 / rules.slow_start_time as f64;
+        (calls as f64, rules.overload_factor * limit * warm.min(1.0) * rules.overload_duration as f64 / 1e6)
     };
-    (back..end - rules.tip_after).step_by(SECOND as usize / 4).map(window).collect()
+    (back..end - rules.overload_duration).step_by(SECOND as usize / 4).map(window).collect()
 }
 
 /// The partner tolerates the allowed number of calls plus chance: twice its square root and two more.
@@ -388,7 +389,7 @@
             for (partner, limit) in world.partners.iter_mut().zip([33.0, 24.0, 19.0, 15.0, 12.0]) {
                 partner.limit = limit * part;
             }
-            let figures = foldtrack_emulator::play::play(world, &Modules, u64::from(forwarders));
+            let figures = foldtrack_emulator::play::play(world, &SchedulerFactory, u64::from(forwarders));
             assert!(figures.is_clean(), "{forwarders}: {:?}", figures.breaches);
             assert!(figures.served() > 0.3, "{forwarders}: {}", figures.served());
         }
@@ -407,7 +408,8 @@
              effect = \"repeatable\"\n[[partner]]\nname = \"p\"\nshare = 1.0\ntakes = [\"5ms\", \"20ms\"]\nrefuses = {refuses:?}\n"
         );
         for seed in 1..=3 {
-            let figures = foldtrack_emulator::play::play(&World::read(&text).unwrap(), &Modules, seed);
+            let figures =
+                foldtrack_emulator::play::play(&World::read(&text).unwrap(), &SchedulerFactory, seed);
             let in_time = figures.in_time as f64 / figures.messages as f64;
             assert!(in_time > 0.95 && figures.is_clean(), "{refuses}, seed {seed}: {in_time}");
         }
--- a/tests/lossy/mod.rs
+++ b/tests/lossy/mod.rs
@@ -3,8 +3,8 @@
 //! benchmark `lossy`.
 #![allow(dead_code)]
 
-use hatchline::views::Health;
-use hatchline::*;
+use foldtrack_delivery::status::Health;
+use foldtrack_delivery::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
@@ -13,7 +13,7 @@
 
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum FailureKind {
     /// The connection is refused.
     Refused,
     /// The connection breaks before the message takes effect.
@@ -29,24 +29,30 @@
 }
 
 /// All kinds of failure except silence.
-pub const MIXED: [Kind; 5] = [Kind::Refused, Kind::ResetBefore, Kind::ResetAfter, Kind::Error, Kind::Late];
+pub const MIXED: [FailureKind; 5] = [
+    FailureKind::Refused,
+    FailureKind::ResetBefore,
+    FailureKind::ResetAfter,
+    FailureKind::Error,
+    FailureKind::Late,
+];
 
 /// The partners and the load of a simulation.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub seed: u64,
     /// Messages a second, submitted at random times; 0 if only `clients` submit messages.
     pub rate: f64,
     /// Clients, each of which submits one message after another.
     pub clients: usize,
     /// Share of calls that fail.
-    pub share: f64,
+    pub failure_share: f64,
     /// How calls fail: one of these kinds at random.
-    pub kinds: Vec<Kind>,
+    pub failure_kinds: Vec<FailureKind>,
     /// Mean duration of bursts of failures (the Gilbert-Elliott model, in time); 0 for independent failures.
     pub burst: Micros,
     /// Start and end of an outage in which every call to partner 0 fails, and how.
-    pub outage: Option<(Micros, Micros, Kind)>,
+    pub outage: Option<(Micros, Micros, FailureKind)>,
     /// Times at which all calls in flight are reset at once.
     pub restarts: Vec<Micros>,
     /// Calls in flight above which a partner refuses further connections.
@@ -68,20 +74,20 @@
     /// Endpoints of each partner.
     pub endpoints: u32,
     /// Shortest and longest answer time.
-    pub answers: (Micros, Micros),
+    pub latency: (Micros, Micros),
     pub slots: u32,
     /// Time during which messages are submitted.
-    pub span: Micros,
+    pub duration: Micros,
 }
 
-impl Default for Plan {
+impl Default for Scenario {
     fn default() -> Self {
-        Plan {
+        Scenario {
             seed: 1,
             rate: 0.0,
             clients: 16,
-            share: 0.0,
-            kinds: MIXED.to_vec(),
+            failure_share: 0.0,
+            failure_kinds: MIXED.to_vec(),
             burst: 0,
             outage: None,
             restarts: Vec::new(),
@@ -94,16 +100,16 @@
             strain: 0.0,
             partners: 2,
             endpoints: 1,
-            answers: (0, 30 * MS),
+            latency: (0, 30 * MS),
             slots: 64,
-            span: 8 * SECOND,
+            duration: 8 * SECOND,
         }
     }
 }
 
 /// Result of a simulation.
 #[derive(Clone, Debug, Default)]
-pub struct Day {
+pub struct Report {
     pub taken: u64,
     pub refused: u64,
     pub handed_back: u64,
@@ -115,11 +121,11 @@
     /// Payments that were reported as not run although they had run.
     pub false_outcomes: u64,
     /// Time from the start of the outage to its detection.
-    pub found_after: Option<Micros>,
+    pub detected_after: Option<Micros>,
     /// Calls made to the destination in between.
-    pub spent: u64,
+    pub calls_before_detection: u64,
     /// Number of times that an outage was detected.
-    pub verdicts: u64,
+    pub outages_detected: u64,
     /// Messages applied in each second.
     pub by_second: Vec<u64>,
     /// Largest number of calls in flight to one partner.
@@ -159,10 +165,10 @@
 ];
 
 struct Simulation {
-    plan: Plan,
+    plan: Scenario,
     rng: fastrand::Rng,
     now: Micros,
-    scheduler: Brain,
+    scheduler: DeliveryScheduler,
     queue: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
     /// Number of the event added last; it keeps events of the same time in order.
     sequence: u64,
@@ -185,7 +191,7 @@
     busy_until: HashMap<u32, Vec<Micros>>,
     /// By partner: whether the scheduler considers it out.
     is_out: BTreeMap<u32, bool>,
-    report: Day,
+    report: Report,
 }
 
 pub fn settings(slots: u32) -> Settings {
@@ -195,9 +201,9 @@
         worth,
         late_value: 0.5,
         effect,
-        group: Group::All,
-        window: 20 * SECOND,
-        patience: 0,
+        dedup_scope: DedupScope::All,
+        dedup_window: 20 * SECOND,
+        max_wait: 0,
         in_order,
         streaming: false,
     };
@@ -209,20 +215,20 @@
         may_cancel: true,
         may_advise_wait: true,
         max_advised_wait: 30 * SECOND,
-        classes: vec![class(Effect::Keyed, 1.0, true), class(Effect::Unsafe, 3.0, false)],
+        classes: vec![class(Effect::Keyed, 1.0, true), class(Effect::Once, 3.0, false)],
         rules: Rules {
             drain_grace: 2 * SECOND,
-            cold_from: 0.16,
-            ramp_time: 14 * SECOND,
-            tip_multiple: 2.5,
-            tip_after: 2 * SECOND,
-            order_pause: 100 * MS,
-            ask_within: 0,
+            cold_capacity_share: 0.16,
+            slow_start_time: 14 * SECOND,
+            overload_factor: 2.5,
+            overload_duration: 2 * SECOND,
+            uncertain_key_pause: 100 * MS,
+            list_poll_interval: 0,
         },
-        batch: vec![1],
-        routes_apart: vec![false],
-        zone_fee: vec![0.0],
-        connection_idle: 10 * SECOND,
+        max_batch: vec![1],
+        independent_routes: vec![false],
+        zone_cost: vec![0.0],
+        idle_timeout: 10 * SECOND,
         connect_timeout: SECOND,
         streams_per_connection: 1,
         tick: 5 * MS,
@@ -231,11 +237,15 @@
 }
 
 /// Runs a simulation.
-pub fn play(plan: &Plan) -> Day {
+pub fn simulate(plan: &Scenario) -> Report {
     let mut simulation = Simulation {
         rng: fastrand::Rng::with_seed(plan.seed),
         now: 0,
-        scheduler: Brain::new(0, plan.seed, Settings { max_held: plan.max_held, ..settings(plan.slots) }),
+        scheduler: DeliveryScheduler::new(
+            0,
+            plan.seed,
+            Settings { max_held: plan.max_held, ..settings(plan.slots) },
+        ),
         queue: BinaryHeap::new(),
         sequence: 0,
         calls: HashMap::new(),
@@ -249,7 +259,7 @@
         submitted_at: HashMap::new(),
         busy_until: HashMap::new(),
         is_out: BTreeMap::new(),
-        report: Day { by_second: vec![0; (plan.span / SECOND) as usize + 60], ..Day::default() },
+        report: Report { by_second: vec![0; (plan.duration / SECOND) as usize + 60], ..Report::default() },
         plan: plan.clone(),
     };
     simulation.run();
@@ -288,7 +298,7 @@
             self.schedule(at, SimEvent::Restart);
         }
         // The simulation continues past the last arrival until every message has ended.
-        let last = self.plan.span + 30 * SECOND;
+        let last = self.plan.duration + 30 * SECOND;
         while let Some(Reverse((at, ..))) = self.queue.peek().copied() {
             if at > last {
                 break;
@@ -309,12 +319,12 @@
 
     fn process(&mut self, event: SimEvent, actions: &mut Vec<Action>) {
         match event {
-            SimEvent::Submit(client) if self.now < self.plan.span => self.submit(Some(client), actions),
+            SimEvent::Submit(client) if self.now < self.plan.duration => self.submit(Some(client), actions),
             SimEvent::Submit(_) => {}
             SimEvent::Arrive => {
                 self.submit(None, actions);
                 let gap = -self.rng.f64().max(1e-9).ln() / self.plan.rate * SECOND as f64;
-                if self.now < self.plan.span {
+                if self.now < self.plan.duration {
                     self.schedule(self.now + gap as Micros + 1, SimEvent::Arrive);
                 }
             }
@@ -405,33 +415,33 @@
         *in_flight += 1;
         let in_flight = *in_flight;
         self.report.max_in_flight = self.report.max_in_flight.max(in_flight);
-        let (from, to) = self.plan.answers;
+        let (from, to) = self.plan.latency;
         let mut took = from + self.rng.u64(0..=to - from) + 200;
         let outage = self.plan.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
-        if let Some((from, ..)) = outage.filter(|_| partner == 0 && self.report.found_after.is_none()) {
-            self.report.spent += u64::from(from <= self.now);
+        if let Some((from, ..)) = outage.filter(|_| partner == 0 && self.report.detected_after.is_none()) {
+            self.report.calls_before_detection += u64::from(from <= self.now);
         }
         took += self.queueing_time(partner, took);
         let failure = match outage {
             Some((.., kind)) if partner == 0 => Some(kind),
-            _ if in_flight > self.plan.most_at_once => Some(Kind::Refused),
+            _ if in_flight > self.plan.most_at_once => Some(FailureKind::Refused),
             _ => self.random_failure(partner, in_flight),
         };
         let outcome = match failure {
             None => 0,
-            Some(Kind::Refused) => 2,
-            Some(Kind::Error) => 1,
-            Some(Kind::ResetBefore | Kind::ResetAfter) => 3,
-            Some(Kind::Late) => 0,
-            Some(Kind::Silent) => 4,
+            Some(FailureKind::Refused) => 2,
+            Some(FailureKind::Error) => 1,
+            Some(FailureKind::ResetBefore | FailureKind::ResetAfter) => 3,
+            Some(FailureKind::Late) => 0,
+            Some(FailureKind::Silent) => 4,
         };
         match failure {
-            Some(Kind::Refused) => took = 200,
-            Some(Kind::Late) => took += SECOND,
-            Some(Kind::Silent) => took = Micros::MAX / 4,
+            Some(FailureKind::Refused) => took = 200,
+            Some(FailureKind::Late) => took += SECOND,
+            Some(FailureKind::Silent) => took = Micros::MAX / 4,
             _ => {}
         }
-        if matches!(failure, None | Some(Kind::ResetAfter | Kind::Late)) {
+        if matches!(failure, None | Some(FailureKind::ResetAfter | FailureKind::Late)) {
             let first_time = self.applied.insert(id);
             self.report.duplicates += u64::from(!first_time && payment);
             if first_time {
@@ -464,9 +474,9 @@
     }
 
     /// Whether and how a call fails at random, with `in_flight` calls in flight to its partner.
-    fn random_failure(&mut self, partner: u32, in_flight: usize) -> Option<Kind> {
+    fn random_failure(&mut self, partner: u32, in_flight: usize) -> Option<FailureKind> {
         let strain = in_flight.saturating_sub(self.plan.strained_from) as f64 * self.plan.strain;
-        let share = (self.plan.share + strain).min(0.95);
+        let share = (self.plan.failure_share + strain).min(0.95);
         let (failing, until) = self.bursts.entry(partner).or_insert((false, 0));
         if self.plan.burst == 0 {
             *failing = self.rng.f64() < share;
@@ -479,7 +489,7 @@
             *until += (-self.rng.f64().max(1e-9).ln() * mean) as Micros + 1;
         }
         let failing = *failing;
-        let kinds = &self.plan.kinds;
+        let kinds = &self.plan.failure_kinds;
         failing.then(|| kinds[self.rng.usize(0..kinds.len())])
     }
 
@@ -496,13 +506,13 @@
 
     /// Records outages as they are detected.
     fn record_health(&mut self) {
-        for d in self.scheduler.view(self.now) {
-            let out = d.lanes.iter().any(|l| matches!(l.health, Health::Out { .. }));
+        for d in self.scheduler.status(self.now) {
+            let out = d.routes.iter().any(|l| matches!(l.health, Health::Out { .. }));
             let before = self.is_out.insert(d.destination, out).unwrap_or(false);
-            self.report.verdicts += u64::from(out && !before);
+            self.report.outages_detected += u64::from(out && !before);
             let outage = self.plan.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
             if let Some((from, ..)) = outage.filter(|_| out && d.destination == 0) {
-                self.report.found_after.get_or_insert(self.now - from);
+                self.report.detected_after.get_or_insert(self.now - from);
             }
         }
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use hatchline::*;
+use foldtrack_delivery::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -48,21 +48,16 @@
 
 fn run(steps: &[Step], batch: u32) -> TestForwarder {
     let mut keyed_by_zone = class(Effect::Keyed);
-    keyed_by_zone.group = Group::Zone;
+    keyed_by_zone.dedup_scope = DedupScope::Zone;
     let mut ordered = class(Effect::Keyed);
     ordered.in_order = true;
-    let mut ordered_once = class(Effect::Unsafe);
+    let mut ordered_once = class(Effect::Once);
     ordered_once.in_order = true;
-    let mut settings = settings(vec![
-        class(Effect::Repeatable),
-        class(Effect::Unsafe),
-        keyed_by_zone,
-        ordered,
-        ordered_once,
-    ]);
-    settings.batch = vec![batch, 1];
-    settings.routes_apart = vec![false, true];
-    settings.zone_fee = vec![0.05, 0.0];
+    let mut settings =
+        settings(vec![class(Effect::Repeatable), class(Effect::Once), keyed_by_zone, ordered, ordered_once]);
+    settings.max_batch = vec![batch, 1];
+    settings.independent_routes = vec![false, true];
+    settings.zone_cost = vec![0.05, 0.0];
     let mut forwarder = TestForwarder::new(settings, endpoints());
     for step in steps {
         match step {
@@ -72,14 +67,14 @@
                 if let Some((id, n, _)) = in_flight.get(which % in_flight.len().max(1)) {
                     let outcomes = [
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
                         Outcome::NotSent,
-                        Outcome::HeldBack,
+                        Outcome::Withheld,
                     ];
                     let outcome = outcomes.get(usize::from(*outcome)).copied().unwrap_or(Outcome::Ok);
-                    let waits = matches!(outcome, Outcome::Full | Outcome::HeldBack);
+                    let waits = matches!(outcome, Outcome::Rejected | Outcome::Withheld);
                     let wait = if waits { wait * 700 * MS } else { 0 };
                     forwarder.end_attempt(*id, *n, outcome, wait);
                 }
