--- a/src/bin/foldtrack/node/calls.rs
+++ b/src/bin/foldtrack/node/calls.rs
@@ -2,15 +2,15 @@
 
 use super::appliance::kept;
 use super::{Node, Taken, Waiting};
-use crate::descriptors::Drawn;
-use crate::door::CallEnd;
-use crate::targets::{self, Call};
-use foldtrack_admission::Party;
-use foldtrack_clearance::Overtaken;
+use crate::call::{self, Call};
+use crate::descriptors::DescriptorPermit;
+use crate::events::CallEnd;
+use foldtrack_admission::DescriptorUser;
 use foldtrack_control::Failure;
 use foldtrack_delivery::{Action, Event, Micros, Outcome, TargetId};
 use foldtrack_ends::{self as ends, Attempt};
-use foldtrack_journal::{Fate, Notice, Record};
+use foldtrack_journal::{AttemptEffect, FailureNotice, Record};
+use foldtrack_preflight::PreflightError;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
@@ -39,13 +39,13 @@
                 }
             }
             Action::Refuse { id, retry_after } => {
-                self.end(id, Notice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
+                self.end(id, FailureNotice::HandedBack { retry_in_ms: retry_after.div_ceil(1000) })
             }
-            Action::Fail { id } => self.end(id, Notice::GivenUp),
+            Action::Fail { id } => self.end(id, FailureNotice::GivenUp),
             Action::Timer { after, token } => drop(self.timers.insert((self.clock.now() + after, token))),
             // Later than all that was decided on before, and no later than what is decided on next.
-            Action::OutageDetected { target } => self.targets.found_out(target, self.clock.now()),
-            Action::CloseIdle { target } => self.idle.close(target),
+            Action::OutageDetected { target } => self.targets.record_outage(target, self.clock.now()),
+            Action::CloseIdle { target } => self.pool.close(target),
             Action::Log { text } => eprintln!("{text}"),
             // The list is watched all the time; probes and talk are not for this kind of deployment.
             Action::Subscribe { .. }
@@ -61,7 +61,7 @@
         let Some(held) = self.messages.get_mut(&number).filter(|h| matches!(h.taken, Taken::On)) else {
             return;
         };
-        if self.notices.hold(held.message.order_key()) {
+        if self.notices.holds_key(held.message.order_key()) {
             return;
         }
         self.waiting.remove(&number);
@@ -93,18 +93,18 @@
         let Waiting { attempt, target, until, decided } = decided;
         let Some(held) = self.messages.get(&number) else { return };
         let (message, tries) = (held.message.clone(), held.tries);
-        let Some((address, zone, clearance)) = self.targets.begin_call(target, decided) else {
+        let Some((address, zone, preflight)) = self.targets.begin_call(target, decided) else {
             return self.outcome(number, attempt, target, Outcome::NotSent, false);
         };
         // The same is asked again once its connection is up: what is known already needs no record.
-        if let Err(why) = clearance.check(self.clock.now()) {
+        if let Err(why) = preflight.check(self.clock.now()) {
             self.targets.end_call(target);
             return self.held_back(number, attempt, target, why);
         }
-        let at = self.clock.unix(self.clock.now());
+        let at = self.clock.unix_time(self.clock.now());
         let endpoint =
             if self.site.is_some() { self.targets.name(target).to_string() } else { String::new() };
-        let begun = Record::Try { attempt: tries, at, zone, endpoint };
+        let begun = Record::AttemptStarted { attempt: tries, at, zone, endpoint };
         let ticket = match self.journal.stage(number, &begun) {
             Ok(ticket) => ticket,
             Err(error) => {
@@ -119,9 +119,9 @@
         self.attempt_begun(number, at, target);
         let (cancel, cancelled) = oneshot::channel();
         self.calls.insert((number, attempt), cancel);
-        let connection = self.idle.take(target);
+        let connection = self.pool.take(target);
         let descriptor = if connection.is_none() { self.draw_for_a_call() } else { None };
-        let speech = self.speeches.of(message.destination);
+        let protocol = self.partner_protocols.for_destination(message.destination);
         let call = Call {
             number,
             attempt,
@@ -129,14 +129,14 @@
             address,
             message,
             dial_timeout: Duration::from_micros(self.settings.settings.connect_timeout),
-            until: self.clock.instant(until),
+            deadline: self.clock.instant(until),
             connection,
             descriptor,
-            clearance,
+            preflight,
             clock: self.clock,
-            speech,
+            protocol,
             settings: self.settings.clone(),
-            reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
+            limit_reports: self.settings.rate_at.is_some() && self.settings.share_left_at.is_some(),
         };
         self.durable.gathering.calls.push((ticket, call, cancelled));
         self.open_ahead(target);
@@ -144,10 +144,10 @@
 
     /// A descriptor for a new connection. Where calls hold all that they may, the connection that has stood idle longest
     /// makes room: it is one of theirs.
-    fn draw_for_a_call(&mut self) -> Option<Drawn> {
+    fn draw_for_a_call(&mut self) -> Option<DescriptorPermit> {
         loop {
-            let drawn = self.descriptors.draw(Party::Calls);
-            if drawn.is_some() || !self.idle.drop_oldest() {
+            let drawn = self.descriptors.acquire(DescriptorUser::Calls);
+            if drawn.is_some() || !self.pool.drop_oldest() {
                 return drawn;
             }
         }
@@ -155,21 +155,21 @@
 
     /// Opens connections to a target before calls ask for them, at a site that does.
     pub(super) fn open_ahead(&mut self, target: TargetId) {
-        let dials = self.idle.dials(target);
+        let dials = self.pool.preconnects_due(target);
         if dials == 0 {
             return;
         }
         let Some((address, destination)) = self.targets.open_at(target) else { return };
         for _ in 0..dials {
             // What calls need comes first: none of their idle connections gives way for one ahead.
-            let Some(descriptor) = self.descriptors.draw(Party::Calls) else { return };
+            let Some(descriptor) = self.descriptors.acquire(DescriptorUser::Calls) else { return };
             self.next_dial += 1;
-            let (number, speech) = (self.next_dial, self.speeches.of(destination));
+            let (number, protocol) = (self.next_dial, self.partner_protocols.for_destination(destination));
             let timeout = Duration::from_micros(self.settings.settings.connect_timeout);
             let dial =
-                targets::dial(target, number, address, speech, descriptor, timeout, self.inputs.clone());
+                call::dial(target, number, address, protocol, descriptor, timeout, self.events.clone());
             let dial = tokio::spawn(dial).abort_handle();
-            self.idle.dials_ahead(target, number, dial);
+            self.pool.preconnect_started(target, number, dial);
         }
     }
 
@@ -179,10 +179,10 @@
 
     /// A call that was not begun, since news has overtaken the decision. The module decides anew; it is told the wait with it,
     /// which it may not have heard of yet.
-    fn held_back(&mut self, id: u64, attempt: u32, target: TargetId, why: Overtaken) {
+    fn held_back(&mut self, id: u64, attempt: u32, target: TargetId, why: PreflightError) {
         let wait = match why {
-            Overtaken::Waits { until } => until.saturating_sub(self.clock.now()),
-            Overtaken::FoundOut | Overtaken::Closed => 0,
+            PreflightError::RetryAfter { until } => until.saturating_sub(self.clock.now()),
+            PreflightError::OutageDetected | PreflightError::Closed => 0,
         };
         let outcome = self.nothing_tried(id, Outcome::Withheld);
         self.handle(Event::Outcome {
@@ -214,11 +214,11 @@
 
     pub(super) fn call_ended(&mut self, end: CallEnd) {
         self.calls.remove(&(end.number, end.attempt));
-        self.idle.ended(end.target, end.idle, end.dialled, end.outcome);
+        self.pool.call_ended(end.target, end.idle_for, end.connect_time, end.outcome);
         self.attempt_ended(&end);
         let listed = self.targets.end_call(end.target);
-        if let Some(connection) = end.connection.filter(|_| listed) {
-            self.idle.put(end.target, connection);
+        if let Some(connection) = end.reusable_connection.filter(|_| listed) {
+            self.pool.put(end.target, connection);
         }
         self.open_ahead(end.target);
         // The others of a site hear of it whatever has become of the message.
@@ -233,17 +233,21 @@
             Some(_) => end.outcome != Outcome::Ok,
             // Its partner may have written the answer after the time was over, and the platform then waits for the message's end
             // for ever: it is told one. For a message that is over a notice does no harm (PROTOCOL).
-            None => end.late,
+            None => end.past_deadline,
         };
-        if end.over && given_up {
-            self.end(end.number, Notice::GivenUp);
-        } else if end.over {
+        if end.settled && given_up {
+            self.end(end.number, FailureNotice::GivenUp);
+        } else if end.settled {
             self.delivered(end.number);
         } else if held {
             // There is never more than one out.
             let attempt = tries.unwrap_or(0).saturating_sub(1);
-            let fate = if kept(end.outcome).never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-            self.record(end.number, &Record::TryEnded { attempt, fate });
+            let effect = if kept(end.outcome).never_ran() {
+                AttemptEffect::NeverRan
+            } else {
+                AttemptEffect::MayHaveRun
+            };
+            self.record(end.number, &Record::AttemptEnded { attempt, effect });
         }
         let now = self.clock.now();
         self.handle(Event::Outcome {
@@ -251,8 +255,8 @@
             attempt: end.attempt,
             target: end.target,
             outcome,
-            took: now.saturating_sub(self.clock.micros(end.begun)),
-            ended: end.over || !held,
+            took: now.saturating_sub(self.clock.micros(end.started_at)),
+            ended: end.settled || !held,
             // A wait runs from the answer's arrival, not from now.
             wait: end.wait_until.map_or(0, |until| until.saturating_sub(now)),
             report: end.report,
@@ -266,7 +270,7 @@
             site.then(number, "sent again");
         }
         let endpoint = self.targets.name(target).to_string();
-        held.history.push(Attempt { at, until: 0, endpoint, outcome: ends::Outcome::Out });
+        held.history.push(Attempt { at, until: 0, endpoint, outcome: ends::AttemptOutcome::Out });
     }
 
     fn attempt_ended(&mut self, end: &CallEnd) {
@@ -278,8 +282,8 @@
         }
         let attempt = held.history.len() as u32;
         let Some(tried) = held.history.last_mut() else { return };
-        tried.until = self.clock.unix(self.clock.now());
-        tried.outcome = if end.refused { ends::Outcome::Refused } else { kept(end.outcome) };
+        tried.until = self.clock.unix_time(self.clock.now());
+        tried.outcome = if end.refused { ends::AttemptOutcome::Refused } else { kept(end.outcome) };
         if end.outcome == Outcome::Ok {
             return;
         }
@@ -291,7 +295,7 @@
             partner: site.partner_name(message.destination).into_owned(),
             endpoint: tried.endpoint.clone(),
             attempt,
-            outcome: tried.outcome.word().into(),
+            outcome: tried.outcome.as_str().into(),
             may_have_run: !tried.outcome.never_ran(),
             then: "waits".into(),
             cause: end.cause.clone(),
--- a/src/bin/foldtrack/node/picture.rs
+++ b/src/bin/foldtrack/node/picture.rs
@@ -2,13 +2,13 @@
 //! round, and the fronts ask for a few pictures a second at most, however many readers they have.
 
 use super::Node;
-use crate::connections::SeenConnections;
-use crate::door::{Picture, Stage};
-use crate::told::{told_attempt, told_end};
+use crate::connections::ConnectionStats;
+use crate::events::{Snapshot, Stage};
+use crate::message_view::{attempt_view, message_view};
 use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
 use foldtrack_delivery::status::{DestinationStatus, Health, RouteStatus};
 use foldtrack_delivery::{Micros, TargetId};
-use foldtrack_membership::State;
+use foldtrack_membership::MembershipState;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub(super) struct Scan {
     /// Those who wait for it.
-    waiting: Vec<oneshot::Sender<Arc<Picture>>>,
+    waiting: Vec<oneshot::Sender<Arc<Snapshot>>>,
     /// Messages up to this number have been looked at.
     up_to: u64,
     whole: Heap,
@@ -83,7 +83,7 @@
 
 impl Node {
     /// Makes a picture for whoever asks, within the next rounds.
-    pub(super) fn picture(&mut self, reply: oneshot::Sender<Arc<Picture>>) {
+    pub(super) fn picture(&mut self, reply: oneshot::Sender<Arc<Snapshot>>) {
         self.scan.waiting.push(reply);
     }
 
@@ -112,9 +112,9 @@
         scan.waiting.into_iter().for_each(|reply| drop(reply.send(picture.clone())));
     }
 
-    fn finish(&mut self, scan: &Scan) -> Arc<Picture> {
+    fn finish(&mut self, scan: &Scan) -> Arc<Snapshot> {
         let now = self.clock.now();
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         let views = self.scheduler.status(now);
         let (whole, heaps) = (scan.whole, &scan.partners);
         let queues = self.queues(scan, unix);
@@ -126,12 +126,12 @@
         };
         let failures =
             self.site.iter().flat_map(|s| s.failures.iter().rev().map(|(_, f)| f.clone())).collect();
-        Arc::new(Picture { at: Instant::now(), status, partners, endpoints, failures, queues })
+        Arc::new(Snapshot { at: Instant::now(), status, partners, endpoints, failures, queues })
     }
 
     fn status(&self, unix: Micros, whole: Heap, longest: Duration) -> Status {
         let Some(site) = &self.site else { return Status::default() };
-        let (ends, ends_unfetched, ends_bytes) = site.ends.kept();
+        let (ends, ends_unfetched, ends_bytes) = site.ends.usage();
         let counts = &site.counts;
         Status {
             name: site.name.clone(),
@@ -159,21 +159,21 @@
             calls: self.calls.len() as u32,
             calls_most: self.settings.settings.slots,
             oldest_ms: whole.age_ms(unix),
-            journal_bytes: self.journal.length(),
+            journal_bytes: self.journal.disk_bytes(),
             journal_most: site.journal_most,
             ends,
             ends_unfetched,
-            ends_most: site.ends.bounds().count,
+            ends_most: site.ends.limits().max_count,
             ends_bytes,
-            ends_bytes_most: site.ends.bounds().size,
+            ends_bytes_most: site.ends.limits().max_bytes,
             ends_unwritten: site.behind_told as u32,
-            membership: self.membership.state().map_or(0, State::version),
+            membership: self.membership.state().map_or(0, MembershipState::version),
             longest_round_us: longest.as_micros() as u64,
         }
     }
 
     fn partners(
-        &self, state: &State, views: &[DestinationStatus], heaps: &HashMap<u32, Heap>, unix: Micros,
+        &self, state: &MembershipState, views: &[DestinationStatus], heaps: &HashMap<u32, Heap>, unix: Micros,
     ) -> Vec<Partner> {
         let Some(site) = &self.site else { return Vec::new() };
         let by_number: HashMap<u32, &DestinationStatus> = views.iter().map(|v| (v.destination, v)).collect();
@@ -181,7 +181,7 @@
         for endpoint in state.endpoints().values() {
             let (all, open) = counts.entry(&endpoint.partner).or_default();
             *all += 1;
-            *open += u32::from(state.is_open(endpoint));
+            *open += u32::from(state.accepts_calls(endpoint));
         }
         let partner = |(name, partner): (&String, &foldtrack_membership::Partner)| {
             let lanes = by_number.get(&partner.number).map_or(&[][..], |v| &v.routes);
@@ -226,7 +226,7 @@
         state.partners().iter().map(partner).collect()
     }
 
-    fn endpoints(&self, state: &State, views: &[DestinationStatus]) -> Vec<Endpoint> {
+    fn endpoints(&self, state: &MembershipState, views: &[DestinationStatus]) -> Vec<Endpoint> {
         // Of targets that share a name, the latest one stands for it; calls of all count.
         let mut by_name: HashMap<&str, (TargetId, &RouteStatus, u64)> = HashMap::new();
         let mut calls: HashMap<&str, u32> = HashMap::new();
@@ -243,11 +243,12 @@
         }
         let endpoint = |(name, endpoint): (&String, &foldtrack_membership::Endpoint)| {
             let lane = by_name.get(name.as_str());
-            let (open, calls) = (state.is_open(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
+            let (open, calls) =
+                (state.accepts_calls(endpoint), calls.get(name.as_str()).copied().unwrap_or(0));
             let draining = endpoint.state == foldtrack_membership::EndpointState::Draining;
             let closed =
                 self.site.as_ref().and_then(|s| s.closed.get(name)).map_or(Duration::ZERO, Instant::elapsed);
-            let seen = lane.map_or(SeenConnections::default(), |(target, ..)| self.idle.seen(*target));
+            let seen = lane.map_or(ConnectionStats::default(), |(target, ..)| self.pool.stats(*target));
             Endpoint {
                 name: name.clone(),
                 partner: endpoint.partner.clone(),
@@ -275,9 +276,9 @@
                 avoided_ms: lane.map_or(0, |(_, _, avoided)| avoided / 1000),
                 idle: seen.idle as u32,
                 dialling: seen.dialling as u32,
-                ready: share(seen.ready),
+                ready: share(seen.without_handshake),
                 handshake_ms: millis(seen.handshake.as_micros() as u64),
-                idle_most_ms: seen.longest_idle.as_millis() as u64,
+                idle_most_ms: seen.max_idle.as_millis() as u64,
                 closed_ms: closed.as_millis() as u64,
             }
         };
@@ -320,13 +321,13 @@
                 partner: site.partner_name(message.destination).into_owned(),
                 key: message.key.clone(),
                 taken: held.since,
-                expires: self.clock.unix(message.expires),
-                attempts: held.history.iter().map(told_attempt).collect(),
+                expires: self.clock.unix_time(message.expires),
+                attempts: held.history.iter().map(attempt_view).collect(),
                 ..Message::default()
             });
         }
-        match site.ends.look(id) {
-            Ok(found) => found.map(|(_, end)| told_end(&end)),
+        match site.ends.find(id) {
+            Ok(found) => found.map(|(_, end)| message_view(&end)),
             Err(error) => {
                 eprintln!("ends: {error}");
                 None
