--- a/src/failure_detector.rs
+++ b/src/failure_detector.rs
@@ -3,54 +3,83 @@
 
 use crate::interface::Micros;
 
-/// The verdict "out" is a cumulative sum (Page 1954) of log-likelihood ratios of "seven in ten calls fail"
-/// against "three in ten do". A failure adds ln(0.7/0.3) and an answer subtracts it, so the sum is counted in
-/// such steps, and is never below 0. At low call rates so many steps are a verdict: three failures in a row.
+/// Steps that are a verdict at low call rates: three failures in a row.
+///
+/// The verdict "out" is a cumulative sum (Page 1954) of log-likelihood ratios of the hypotheses "seven in ten
+/// calls fail" and "three in ten calls fail". A failure adds ln(0.7/0.3) and an answer subtracts it, so the
+/// sum is counted in such steps. It does not fall below 0.
 const OUTAGE_STEPS: f64 = 3.0;
-const LOW_RATE: f64 = 10.0; // calls a second up to which the rate is low
-/// Further steps for each e-fold of the rate. They bound false verdicts in time, not in calls; a true verdict
-/// takes no longer.
+/// Calls a second up to which the rate counts as low.
+const LOW_RATE: f64 = 10.0;
+/// Additional steps for each factor of e above [`LOW_RATE`]. They bound false verdicts in time instead of in
+/// calls, and a true verdict takes no longer for it.
 const STEPS_PER_E_FOLD: f64 = 2.0;
-const EXCESS_STEPS: f64 = 2.0; // steps counted beyond a verdict: so many more answers withdraw it
+/// Steps beyond the verdict that are counted. So many more answers are needed to withdraw it.
+const MAX_EXCESS_STEPS: f64 = 2.0;
 /// Failures of one round of calls that count in full. Calls that were in flight together share causes, such
 /// as a restart or a broken line: the n-th failure counts this number divided by n.
-const FULL_FAILURES: f64 = 3.0;
-const WEIGHT: f64 = 0.22; // weight of an outcome in the failure share at low rates; at others it spans 0.5 s
-/// The same for an unreadable response: the endpoint takes and answers calls, so only a run of them matters.
+const FULL_FAILURES_PER_ROUND: f64 = 3.0;
+
+/// Weight of one outcome in the smoothed failure share at low call rates. At higher rates the average spans
+/// half a second.
+const OUTCOME_WEIGHT: f64 = 0.22;
+/// Weight of an unreadable response. The endpoint accepts and answers calls, so only a run of them is a
+/// problem.
 const UNREADABLE_WEIGHT: f64 = 0.1;
-const LOSSY_SHARE: f64 = 0.2; // failure share above which a destination is lossy
-const RATE_SPAN: f64 = 2e6; // time constant of the rate of outcomes, in microseconds
-const TOLERATED_SPAN: f64 = 2e7; // half-life of a failure share that load does not cause, in microseconds
-const HELPED: f64 = 0.75; // a smaller window has helped if the failure share falls below this part
-/// Failures to expect before a trial of a smaller window is evaluated: their number is known to a third then.
-const TRIAL_FAILURES: f64 = 12.0;
-const TRIAL_TIME: Micros = 2_000_000; // a trial that takes longer ends without a result
-const SURGE: f64 = 2.0; // a trial ends if the failure share has grown by this factor
-const NEW_SHARE: (f64, f64) = (1.5, 0.03); // a share above the tolerated one times this plus this is new
-const MAX_TOLERATED: f64 = 0.5; // a failure share above this is never attributed to chance
+/// Failure share above which a destination counts as lossy.
+const LOSSY_SHARE: f64 = 0.2;
+/// Time constant of the smoothed rate of outcomes, in microseconds.
+const RATE_SPAN: f64 = 2e6;
+/// Half-life, in microseconds, of a failure share that was found not to depend on the load.
+const TOLERATED_HALF_LIFE: f64 = 2e7;
+
+/// A smaller window has helped if the failure share has fallen below this fraction of what it was.
+const HELPED: f64 = 0.75;
+/// Failures to expect in a trial of a smaller window before it is evaluated: their number is then known to
+/// within a third.
+const EXPECTED_TRIAL_FAILURES: f64 = 12.0;
+/// A trial of a smaller window that takes longer than this, in microseconds, ends without a result.
+const MAX_TRIAL_TIME: Micros = 2_000_000;
+/// Growth factor of the failure share that ends a trial of a smaller window.
+const SURGE: f64 = 2.0;
+/// A failure share is new information if it exceeds the tolerated share times the first number plus the
+/// second.
+const NEW_SHARE: (f64, f64) = (1.5, 0.03);
+/// A failure share above this is never attributed to chance.
+const MAX_TOLERATED: f64 = 0.5;
 
 /// Failure detector of one route.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureDetector {
-    cusum: f64, // in steps
+    /// The cumulative sum, in steps.
+    cusum: f64,
     failure_share: f64,
-    rate: f64, // outcomes a second, as of `rate_at`
+    /// Outcomes a second, as of `rate_at`.
+    rate: f64,
     rate_at: Micros,
+    /// The rate of outcomes when an outage was last detected.
     rate_before_outage: f64,
-    round_started: Micros, // when the first failure of the latest round ended
+    /// When the first failure of the latest round ended.
+    round_started: Micros,
+    /// Failures in the latest round.
     round_failures: f64,
     last_failure: Option<Micros>,
     lossy_since: Option<Micros>,
-    tolerated_share: f64, // does not depend on the window, according to the trials of smaller ones
+    /// Failure share that does not depend on the window, according to the trials of smaller windows.
+    tolerated_share: f64,
     trial: Option<WindowTrial>,
 }
 
 /// Trial of a smaller window.
 #[derive(Clone, Copy, Debug)]
 struct WindowTrial {
-    share_before: f64, // failure share before the trial
-    since: Micros,     // calls sent before do not count
+    /// Failure share before the trial.
+    share_before: f64,
+    /// Start of the trial. Calls sent earlier do not count.
+    since: Micros,
+    /// Outcomes of calls sent since the start.
     calls: f64,
+    /// Failures among them.
     failures: f64,
 }
 
@@ -70,16 +99,16 @@
         OUTAGE_STEPS + STEPS_PER_E_FOLD * self.rate_factor(now).ln()
     }
 
-    /// Counts one outcome.
+    /// Updates the rate, the failure share and the trial of a smaller window with one outcome.
     fn record(&mut self, sent: Micros, now: Micros, failed: f64, weight: f64) {
         let part = weight / self.rate_factor(now);
         (self.rate, self.rate_at) = (self.rate(now) + 1e6 / RATE_SPAN, now);
         self.failure_share += (failed - self.failure_share) * part;
         self.lossy_since = (self.failure_share > LOSSY_SHARE).then(|| self.lossy_since.unwrap_or(now));
-        self.tolerated_share *= 0.5f64.powf(1e6 / TOLERATED_SPAN / self.rate.max(0.1));
+        self.tolerated_share *= 0.5f64.powf(1e6 / TOLERATED_HALF_LIFE / self.rate.max(0.1));
         let Some(trial) = self.trial.as_mut().filter(|t| sent >= t.since) else { return };
         (trial.calls, trial.failures) = (trial.calls + 1.0, trial.failures + failed);
-        if trial.calls * trial.share_before >= TRIAL_FAILURES {
+        if trial.calls * trial.share_before >= EXPECTED_TRIAL_FAILURES {
             // With fewer calls at once the failure share stays the same: load is not the cause.
             let share = trial.failures / trial.calls;
             if share > HELPED * trial.share_before {
@@ -92,7 +121,7 @@
     /// Records a call that was answered: the destination can be reached and works.
     pub fn record_answer(&mut self, sent: Micros, now: Micros) {
         self.cusum = (self.cusum - 1.0).max(0.0);
-        self.record(sent, now, 0.0, WEIGHT);
+        self.record(sent, now, 0.0, OUTCOME_WEIGHT);
     }
 
     /// Records an unreadable response.
@@ -107,9 +136,9 @@
         }
         self.round_failures += 1.0;
         self.last_failure = Some(now);
-        let step = (FULL_FAILURES / self.round_failures).min(1.0);
-        self.cusum = (self.cusum + step).min(self.threshold(now) + EXCESS_STEPS);
-        self.record(sent, now, 1.0, WEIGHT);
+        let step = (FULL_FAILURES_PER_ROUND / self.round_failures).min(1.0);
+        self.cusum = (self.cusum + step).min(self.threshold(now) + MAX_EXCESS_STEPS);
+        self.record(sent, now, 1.0, OUTCOME_WEIGHT);
     }
 
     /// Whether most calls fail, beyond what chance explains.
@@ -117,10 +146,11 @@
         self.cusum >= self.threshold(now)
     }
 
-    /// Notes that an outage was detected: few calls from now on, and few answers withdraw the verdict.
+    /// Notes that an outage was detected. From now on there are few calls, and few answers withdraw the
+    /// verdict.
     pub fn record_outage(&mut self) {
         self.rate_before_outage = self.rate;
-        (self.cusum, self.rate) = (self.cusum.min(OUTAGE_STEPS + EXCESS_STEPS), self.rate.min(LOW_RATE));
+        (self.cusum, self.rate) = (self.cusum.min(OUTAGE_STEPS + MAX_EXCESS_STEPS), self.rate.min(LOW_RATE));
     }
 
     /// Ratio of the call rate to [`LOW_RATE`] when the outage was detected, at least 1.
@@ -158,19 +188,20 @@
         self.lossy_since.is_some()
     }
 
-    /// Whether it has been lossy for longer than `span` at a high rate and will not recover soon.
+    /// Whether the destination has been lossy for longer than `span` at a high call rate, so that it is not
+    /// expected to recover soon.
     pub fn stays_lossy(&self, now: Micros, span: Micros) -> bool {
         self.rate_factor(now) > 1.0 && self.lossy_since.is_some_and(|since| now >= since + span)
     }
 
     /// Whether a failure calls for a smaller window. At low rates every one does. At high rates a cut is a
-    /// trial: if as many calls fail afterwards, load is not the cause, and that share alone asks for no more
-    /// cuts.
+    /// trial: if as many calls fail afterwards, load is not the cause, and that failure share alone asks for
+    /// no further cuts.
     pub fn should_cut(&mut self, now: Micros) -> bool {
         if self.rate_factor(now) <= 1.0 {
             return true;
         }
-        self.trial = self.trial.filter(|t| now < t.since + TRIAL_TIME);
+        self.trial = self.trial.filter(|t| now < t.since + MAX_TRIAL_TIME);
         let new = self.failure_share > NEW_SHARE.0 * self.tolerated_share + NEW_SHARE.1
             || self.failure_share > MAX_TOLERATED;
         let cut = new && self.trial.is_none_or(|t| self.failure_share > SURGE * t.share_before);
@@ -183,7 +214,7 @@
 
     /// Whether a smaller window is on trial. It must not grow before the trial has a result.
     pub fn window_on_trial(&self, now: Micros) -> bool {
-        self.trial.is_some_and(|t| now < t.since + TRIAL_TIME)
+        self.trial.is_some_and(|t| now < t.since + MAX_TRIAL_TIME)
     }
 }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -10,45 +10,78 @@
 use crate::wait_estimate::{wait_factor, WaitEstimate};
 use std::collections::{BTreeMap, BTreeSet};
 
-const MIN_ANSWERS: u32 = 20; // answers before τ is used
-const UNANSWERED_RUN: u32 = 3; // planned resends in a row without an answer after which τ is too low
+/// Answers that are needed before τ is used.
+const MIN_ANSWERS_FOR_TAU: u32 = 20;
+/// Planned resends in a row without an answer after which τ is taken to be too low.
+const UNANSWERED_RUN: u32 = 3;
 /// τ is extended at random by up to this fraction, so that senders with the same τ do not resend together.
 const TAU_JITTER: f64 = 0.25;
-const RESENDS_PER_ANSWER: f64 = 0.2; // resends that each answer allows
-const SAVED_RESENDS: f64 = 5.0; // resends that may be saved up
-/// Retries that each first try allows. They do not overload a failing destination: attempts < twice the
-/// messages.
-const RETRIES_PER_TRY: f64 = 1.0;
-const RETRY_REFILL: f64 = 1.0; // retries that each maintenance interval allows
-const SAVED_RETRIES: f64 = 20.0; // retries that may be saved up, or one for each slot if there are more slots
-/// Flag in a queue tag: the messages were tried before. The other bits are the zone that binds them, plus 1.
-const RETRY: u32 = 1 << 31;
-const SLOT_SHARE: f64 = 0.75; // share of the slots for calls to one destination; half if it is lossy
-const MAINTENANCE: Micros = 100_000; // interval of the maintenance timer
-const SECOND: f64 = 1e6; // microseconds in a second
-/// Failures that end sooner were a false suspicion of an outage: no destination goes cold in that time.
+
+/// Resends that each answer adds to the resend budget.
+const RESENDS_PER_ANSWER: f64 = 0.2;
+/// Upper bound of the resend budget.
+const MAX_SAVED_RESENDS: f64 = 5.0;
+/// Retries that each first try adds to the retry budget. The budget keeps retries from overloading a failing
+/// destination further: there are fewer attempts than twice the messages.
+const RETRIES_PER_FIRST_TRY: f64 = 1.0;
+/// Retries that each maintenance interval adds to the retry budget.
+const RETRIES_PER_MAINTENANCE: f64 = 1.0;
+/// Retries that may be saved up. With more slots than this, first tries may save up one for each slot.
+const MAX_SAVED_RETRIES: f64 = 20.0;
+/// Flag in a queue tag: the messages of the queue were tried before. The other bits are the zone that binds
+/// them, plus 1.
+const RETRY_FLAG: u32 = 1 << 31;
+/// Share of the slots that calls to one destination may take. A lossy destination gets half of the slots.
+const DESTINATION_SLOT_SHARE: f64 = 0.75;
+
+/// Interval of the maintenance timer in microseconds.
+const MAINTENANCE_INTERVAL: Micros = 100_000;
+/// Microseconds in a second.
+const SECOND: f64 = 1e6;
+/// Failures that end within this time, in microseconds, were a false suspicion of an outage: no destination
+/// goes cold so fast.
 const FALSE_SUSPICION: Micros = 1_000_000;
-const PACE_GAIN: f64 = 0.08; // largest relative growth of the pace for a served call
-const PACE_DRIFT: f64 = 0.005; // relative growth of the pace in a maintenance interval
-const NOISE: f64 = 1.5; // factor up to which a change of a reported limit is noise
-const MIX_DECAY: f64 = 0.998; // decay of the class mix for each accepted message
-const HIGH_RATE: f64 = 10.0; // served calls a second that are enough to estimate a capacity
-const IN_FLIGHT_WEIGHT: f64 = 0.2; // weight of the calls in flight in their mean over half a second
-const STEADY_WEIGHT: f64 = 0.0125; // weight of the served rate in its mean over eight seconds
-const RATE_DECAY: f64 = 0.95; // decay of the served rate in a maintenance interval
-const RESERVE: f64 = 0.05; // share of the places for held messages that is kept free
-const SILENCE_MEANS: f64 = 12.0; // unanswered call time, in mean answer times, that is unlikely to be chance
-const HARMLESS_CALLS: f64 = 3.0; // calls of all senders in the overload time that a cold destination bears
-const MIN_RATE: f64 = 2.5; // least capacity assumed for a destination, in calls a second
-const TRIAL_SPACING: f64 = 3.0; // largest trial interval, in multiples of the time since the first failure
-const PAUSE_DOWN: f64 = 0.8; // factor on the learned pause when a retry after a rejection is served
-const PAUSE_UP: f64 = 1.5; // factor on the learned pause when it is rejected again
-const SAFE_LOAD: f64 = 0.6; // part of the load that overloads a cold destination which is used in total
+
+/// Largest relative increase of the pace for a served call.
+const PACE_GAIN_PER_CALL: f64 = 0.08;
+/// Relative increase of the pace in a maintenance interval.
+const PACE_GAIN_PER_MAINTENANCE: f64 = 0.005;
+/// Factor by which a reported limit has to change to count as a new limit. Smaller changes are noise.
+const LIMIT_CHANGE_FACTOR: f64 = 1.5;
+
+/// Factor by which the class mix of a destination decays with each accepted message.
+const CLASS_MIX_DECAY: f64 = 0.998;
+/// Served calls a second above which a capacity can be estimated from them.
+const MIN_CAPACITY_RATE: f64 = 10.0;
+/// Weight of the calls in flight in their mean over half a second.
+const IN_FLIGHT_WEIGHT: f64 = 0.2;
+/// Weight of the served rate in its mean over eight seconds.
+const STEADY_RATE_WEIGHT: f64 = 0.0125;
+/// Factor by which the rate of served calls decays in a maintenance interval.
+const SERVED_RATE_DECAY: f64 = 0.95;
+/// Share of the capacity for held messages that is kept free.
+const FREE_SHARE: f64 = 0.05;
+
+/// Total time of the unanswered calls, in mean answer times, from which their silence is unlikely to be
+/// chance.
+const SILENCE_MEANS: f64 = 12.0;
+/// Calls of all senders together, within the overload duration, that do a cold destination no harm.
+const HARMLESS_CALLS: f64 = 3.0;
+/// Least capacity assumed for a destination, in calls a second.
+const MIN_DESTINATION_RATE: f64 = 2.5;
+/// Largest interval between two trials, in multiples of the time since the failures began.
+const MAX_TRIAL_SPACING: f64 = 3.0;
+/// Factor on the learned rejection pause when a retry after a rejection is served.
+const REJECTION_PAUSE_DOWN: f64 = 0.8;
+/// Factor on the learned rejection pause when a retry after a rejection is rejected again.
+const REJECTION_PAUSE_UP: f64 = 1.5;
+/// Share of the load that would overload a cold destination which all senders together may use.
+const SAFE_LOAD_SHARE: f64 = 0.6;
 
 impl LatencyHistogram {
     /// Moves τ to the candidate of least expected time Ê, then up while condition (6) of the paper holds.
-    /// Returns Ê. The mean of the answers up to τ is M/p already; dividing by p again misses the paper's
-    /// tables.
+    /// Returns Ê. The mean of the answers up to τ already equals M/p; dividing it by p again does not
+    /// reproduce the paper's tables.
     fn retune(&mut self, cost: f64) -> Option<f64> {
         let total = self.counts.iter().sum::<f64>() + self.unanswered;
         let (mut n, mut s) = (0.0, 0.0);
@@ -91,36 +124,52 @@
 pub struct DeliveryScheduler {
     config: Settings,
     now: Micros,
-    actions: Vec<Action>, // not returned yet
+    /// Actions that have not been returned yet.
+    actions: Vec<Action>,
+    /// State of the random number generator.
     rng_state: u64,
     messages: BTreeMap<MessageId, Message>,
-    keys: BTreeMap<u64, KeyQueue>, // by order key
+    /// Queues of the order keys.
+    key_queues: BTreeMap<u64, KeyQueue>,
     destinations: BTreeMap<DestinationId, Destination>,
     targets: BTreeMap<TargetId, Target>,
     routes: Vec<Route>,
-    free_routes: Vec<usize>, // unused entries of `routes`, which nothing refers to
-    timers: BTreeSet<(Micros, MessageId)>, // when a message expires or the pause of its key is over
+    /// Indices of unused entries in `routes`. Nothing refers to them.
+    free_routes: Vec<usize>,
+    /// When to look at a message again: it expires, or the pause of its key is over.
+    message_timers: BTreeSet<(Micros, MessageId)>,
+    /// When the next maintenance is due.
     maintain_at: Micros,
-    span: f64,        // seconds over which arrivals are counted, decaying like them
-    pause: f64,       // pause after a rejection in microseconds, learned from the retries that follow
-    wake_at: Micros,  // when a route that takes no call now may take one
-    timer_at: Micros, // when the requested timer fires
+    /// Time over which arrivals are counted, in seconds, with the same decay as the counts.
+    arrival_span: f64,
+    /// Pause after a rejection, in microseconds, learned from how retries after rejections end.
+    rejection_pause: f64,
+    /// The earliest time at which a route that takes no call now may take one.
+    wake_at: Micros,
+    /// When the requested timer expires.
+    timer_at: Micros,
+    /// Number of calls in flight.
     in_flight: u32,
+    /// Number given to the latest call.
     last_call: u64,
-    blocked: bool, // a message was ready in the last decision, but all slots were taken
-    stopping: Option<Micros>, // when the process ends
+    /// After the last decision a message was ready to be sent, but all slots were taken.
+    send_blocked: bool,
+    /// When the process ends, once it is stopping.
+    stopping: Option<Micros>,
     list_version: u32,
+    /// Log lines written so far.
     log_lines: u32,
-    crowded: BTreeSet<usize>, // kinds of destination that run out of connections
+    /// Kinds of destination whose endpoints run out of connections.
+    crowded_kinds: BTreeSet<usize>,
 }
 
 impl DeliveryScheduler {
     /// Creates the scheduler of a sender that has just started.
     pub fn new(now: Micros, seed: u64, settings: Settings) -> Self {
         let rng_state = seed ^ 0x9e37_79b9_7f4a_7c15;
-        let (maintain_at, timer_at) = (now + MAINTENANCE, Micros::MAX);
+        let (maintain_at, timer_at) = (now + MAINTENANCE_INTERVAL, Micros::MAX);
         let scheduler = Self { config: settings, rng_state, now, maintain_at, timer_at, ..Self::default() };
-        Self { pause: scheduler.safe_gap().min(scheduler.least_aim()), ..scheduler }
+        Self { rejection_pause: scheduler.safe_gap().min(scheduler.least_aim()), ..scheduler }
     }
 
     /// Processes one event. [`DeliveryScheduler::decide`] chooses what is sent.
@@ -158,28 +207,28 @@
 
     /// Least interval between attempts on a failing route. It keeps many senders that each try rarely from
     /// overloading a destination that is out, waiting or cold. Each keeps to its share of that load: by its
-    /// own traffic, evenly, or by the time of the failures, in which each message brought one sender at most.
-    /// The cost: needless waits if few came.
+    /// own traffic, evenly, or by the time since the failures began, in which each message brought at most
+    /// one sender. The cost: longer intervals than necessary if few messages came.
     fn trial_gap(&self, route: usize, at: Micros) -> f64 {
         let rules = &self.config.rules;
         let own = self.recovery_rate(route)
             * rules.cold_capacity_share
             * rules.overload_factor.max(1.0)
-            * SAFE_LOAD
+            * SAFE_LOAD_SHARE
             / SECOND;
         let failing_for = at - self.routes[route].failing_since.unwrap_or(at).min(at);
-        (1.0 / own.max(1e-12)).min(self.safe_gap()).min(TRIAL_SPACING * failing_for as f64)
+        (1.0 / own.max(1e-12)).min(self.safe_gap()).min(MAX_TRIAL_SPACING * failing_for as f64)
     }
 
     /// Calls a second that count as a sender's own on a failing or cold route: its traffic, and in a fleet at
     /// most what adds up to the limit for all senders after the safety margin, however much more is waiting.
     fn recovery_rate(&self, route: usize) -> f64 {
         let fair_share = self.routes[route].fair_share;
-        self.arrival_rate(route).min(if fair_share > 0.0 { fair_share / SAFE_LOAD } else { f64::MAX })
+        self.arrival_rate(route).min(if fair_share > 0.0 { fair_share / SAFE_LOAD_SHARE } else { f64::MAX })
     }
 
     /// Admission control. If clients honour advised waits, a message is refused if it would be late, or if
-    /// its destination already holds its share of the places.
+    /// its destination already takes its share of the capacity for held messages.
     fn admit(&mut self, id: MessageId, m: Message) {
         let left = m.expires.saturating_sub(self.now) as f64;
         self.count_arrival(m.destination);
@@ -188,7 +237,8 @@
             estimate.key_wait = self.key_wait(&m);
             let wait_factor = wait_factor(&d.class_mix, &self.config.classes);
             let patience = self.config.classes.get(m.class).map_or(0, |c| c.max_wait);
-            let free = f64::from(self.config.max_held) * (1.0 - RESERVE) - 2.0 - self.messages.len() as f64;
+            let free =
+                f64::from(self.config.max_held) * (1.0 - FREE_SHARE) - 2.0 - self.messages.len() as f64;
             if left > 0.0 && estimate.refuses(wait_factor, left, patience, free) {
                 let retry_after = self.jittered_wait(estimate.wait());
                 return self.actions.push(Action::Refuse { id, retry_after });
@@ -197,7 +247,8 @@
         self.accept(id, m);
     }
 
-    /// The wait for a destination. Of several independent routes the first to become available counts.
+    /// Estimates the wait for a destination. Of several independent routes the first to become available
+    /// counts.
     fn wait_estimate(&self, d: &Destination) -> WaitEstimate {
         let is_ready = |route: &Route| {
             route.targets.iter().any(|t| self.targets.get(t).is_some_and(|t| t.state == EndpointState::Ready))
@@ -218,17 +269,18 @@
 
     /// Least time in microseconds that the earlier messages of the same order key take.
     fn key_wait(&self, m: &Message) -> f64 {
-        let key_queue = self.keys.get(&m.order_key).filter(|_| m.order_key != 0);
+        let key_queue = self.key_queues.get(&m.order_key).filter(|_| m.order_key != 0);
         let route = self.destinations.get(&m.destination).and_then(|d| self.routes.get(*d.routes.first()?));
         key_queue.zip(route).map_or(0.0, |((waiting, _), r)| waiting.len() as f64 * r.latency.mean())
     }
 
     /// Time in microseconds after which a client may come back for a destination: what is held for it has
-    /// been served, or places are free. 0 if this is unknown, or if clients ignore advised waits.
+    /// been served, or capacity for held messages is free. 0 if this is unknown, or if clients ignore advised
+    /// waits.
     pub fn advised_wait(&mut self, destination: DestinationId) -> Micros {
         let wait = self.destinations.get(&destination).map_or(0.0, |d| self.wait_estimate(d).wait());
         let capacity: f64 = self.routes.iter().map(Route::capacity).sum();
-        let until_free = RESERVE * self.messages.len() as f64 / capacity * SECOND;
+        let until_free = FREE_SHARE * self.messages.len() as f64 / capacity * SECOND;
         self.jittered_wait(if wait <= 0.0 && capacity > 0.0 { until_free } else { wait })
     }
 
@@ -254,22 +306,24 @@
         let d = self.destinations.entry(m.destination).or_default();
         d.held += 1;
         d.class_mix.resize(self.config.classes.len(), 0.0);
-        d.class_mix.iter_mut().for_each(|part| *part *= MIX_DECAY);
+        d.class_mix.iter_mut().for_each(|part| *part *= CLASS_MIX_DECAY);
         d.class_mix[m.class] += 1.0;
         self.messages.insert(id, m);
-        self.timers.insert((self.give_up_at(expires), id));
+        self.message_timers.insert((self.give_up_at(expires), id));
         if order_key != 0 {
-            self.keys.entry(order_key).or_default().0.push_back(id);
+            self.key_queues.entry(order_key).or_default().0.push_back(id);
         }
         self.enqueue(id);
         self.make_room();
     }
 
     /// Takes over a message from before a restart. Calls that were cut off may still run, so the key is
-    /// paused. What may not be sent again, such as an at-most-once message that may have run, ends.
+    /// paused. A message that may not be sent again, such as an at-most-once message that may have run, ends
+    /// at once.
     fn restore(&mut self, id: MessageId, m: Message) {
         if self.config.classes.get(m.class).is_some_and(|c| c.in_order) && m.order_key != 0 {
-            self.keys.entry(m.order_key).or_default().1 = self.now + self.config.rules.uncertain_key_pause;
+            self.key_queues.entry(m.order_key).or_default().1 =
+                self.now + self.config.rules.uncertain_key_pause;
         }
         self.count_arrival(m.destination);
         self.accept(id, m);
@@ -279,9 +333,10 @@
     }
 
     /// Load shedding: keeps the backlog of one destination from shutting out all others, whatever its cause.
-    /// Ends the message of least worth in the longest queue. The cost: it may have been about to go.
+    /// Ends the message of least worth in the longest queue. The cost: the backlog may have been about to
+    /// move.
     fn make_room(&mut self) {
-        let reserve = (f64::from(self.config.max_held) * RESERVE).ceil() as usize + 1;
+        let reserve = (f64::from(self.config.max_held) * FREE_SHARE).ceil() as usize + 1;
         if self.messages.len() + reserve <= self.config.max_held as usize {
             return;
         }
@@ -313,7 +368,11 @@
             Effect::Repeatable => (may_send, 0, !m.ended),
             Effect::Keyed => {
                 let all = class.dedup_scope == DedupScope::All;
-                (may_send && self.now < self.cutoff(m), if all { 0 } else { zone + 1 }, !m.ended && all)
+                (
+                    may_send && self.now < self.attempt_deadline(m),
+                    if all { 0 } else { zone + 1 },
+                    !m.ended && all,
+                )
             }
             Effect::Once => (false, 0, false),
         }
@@ -322,7 +381,7 @@
     /// When the next attempt is cancelled: the message expires, or its destination forgets the key of an
     /// attempt that may have run. Guards against connections that come up late and bytes that a broken line
     /// delivers late. The cost: repeats that would have been answered just after it.
-    fn cutoff(&self, m: &Message) -> Micros {
+    fn attempt_deadline(&self, m: &Message) -> Micros {
         let c = &self.config.classes[m.class];
         let forgotten = m.first_run.filter(|_| c.effect == Effect::Keyed).map(|(at, _)| at + c.dedup_window);
         forgotten.map_or(m.expires, |at| m.expires.min(at.saturating_sub(self.config.tick)))
@@ -332,15 +391,15 @@
     fn enqueue(&mut self, id: MessageId) {
         let Some(m) = self.messages.get(&id).filter(|m| m.queue.is_none()) else { return };
         let (true, zone, _) = self.permissions(m) else { return };
-        match self.keys.get(&m.order_key) {
+        match self.key_queues.get(&m.order_key) {
             Some((waiting, _)) if waiting.front() != Some(&id) => return,
             Some((_, paused_until)) if *paused_until > self.now && m.attempts.is_empty() => {
-                self.timers.insert((*paused_until, id));
+                self.message_timers.insert((*paused_until, id));
                 return;
             }
             _ => {}
         }
-        let retry = if m.attempts.is_empty() { 0 } else { RETRY };
+        let retry = if m.attempts.is_empty() { 0 } else { RETRY_FLAG };
         let (queue, accepted) = ((m.class, zone | retry), m.accepted);
         let d = self.destinations.entry(m.destination).or_default();
         d.ready.entry(queue).or_default().insert((accepted, id));
@@ -356,7 +415,8 @@
         self.finish(id);
     }
 
-    /// Processes the outcome of an attempt.
+    /// Processes the outcome of an attempt: frees its slot, updates its route, and ends, queues or gives up
+    /// its message.
     fn attempt_ended(&mut self, id: MessageId, number: usize, mut end: CallEnd, ended: bool) {
         let Some(m) = self.messages.get_mut(&id) else { return };
         let Some(attempt) = m.attempts.get_mut(number).filter(|a| a.outcome.is_none()) else { return };
@@ -372,7 +432,7 @@
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::UnreadableResponse
         ) {
-            if let Some(key_queue) = self.keys.get_mut(&m.order_key) {
+            if let Some(key_queue) = self.key_queues.get_mut(&m.order_key) {
                 key_queue.1 = key_queue.1.max(self.now + self.config.rules.uncertain_key_pause);
             }
         }
@@ -400,7 +460,7 @@
                 if outcome == Outcome::NotSent {
                     // The cause may persist, and immediate retries would use up all attempts.
                     let pause = self.config.tick << m.attempts.len().min(8);
-                    self.timers.insert((self.now + pause, id));
+                    self.message_timers.insert((self.now + pause, id));
                 } else {
                     self.enqueue(id);
                 }
@@ -418,40 +478,46 @@
         let least_pace = f64::from(self.config.max_attempts) * SECOND / self.longest_deadline();
         let (own, gap) =
             (self.arrival_rate(route), self.trial_gap(route, self.now.max(self.routes[route].wait_until)));
-        if self.routes[route].rejections > 0 && matches!(outcome, Outcome::Ok | Outcome::Rejected) {
-            self.pause *= if outcome == Outcome::Ok { PAUSE_DOWN } else { PAUSE_UP };
-            self.pause = self.pause.min(self.safe_gap()).min(self.longest_deadline()).max(MAINTENANCE as f64);
+        if self.routes[route].rejection_run > 0 && matches!(outcome, Outcome::Ok | Outcome::Rejected) {
+            self.rejection_pause *=
+                if outcome == Outcome::Ok { REJECTION_PAUSE_DOWN } else { REJECTION_PAUSE_UP };
+            self.rejection_pause = self
+                .rejection_pause
+                .min(self.safe_gap())
+                .min(self.longest_deadline())
+                .max(MAINTENANCE_INTERVAL as f64);
         }
-        let (learned, safe_gap, half_aim) = (self.pause, self.safe_gap(), least_aim / 2.0);
+        let (learned, safe_gap, half_aim) = (self.rejection_pause, self.safe_gap(), least_aim / 2.0);
         let r = &mut self.routes[route];
         if let Some(limit) = report.filter(|r| r.rate > 0.0) {
             r.set_limit(limit.rate, self.config.senders, least_aim / SECOND);
-            r.reported = true;
+            r.limit_reported = true;
         }
-        r.last_end = self.now;
+        r.last_outcome = self.now;
         let (before, fleet) = (r.circuit, r.fair_share > 0.0);
         match outcome {
             Outcome::Ok => {
                 r.latency.record_answer((self.now - sent) as f64);
                 r.detector.record_answer(sent, self.now);
-                let share = if r.detector.is_lossy() { 0.5 } else { SLOT_SHARE };
+                let share = if r.detector.is_lossy() { 0.5 } else { DESTINATION_SLOT_SHARE };
                 let step = if r.detector.window_on_trial(self.now) { 0.0 } else { 1.0 };
                 r.window = (r.window + step).min((f64::from(self.config.slots) * share).floor().max(1.0));
-                r.resends = (r.resends + RESENDS_PER_ANSWER).min(SAVED_RESENDS);
-                r.served_rate += (1.0 - RATE_DECAY) * SECOND / MAINTENANCE as f64;
+                r.resend_budget = (r.resend_budget + RESENDS_PER_ANSWER).min(MAX_SAVED_RESENDS);
+                r.served_rate += (1.0 - SERVED_RATE_DECAY) * SECOND / MAINTENANCE_INTERVAL as f64;
                 let remaining_share = report.filter(|r| r.rate > 0.0).map_or(0.3, |r| r.share_left);
                 if fleet {
                     r.served_in_fleet(remaining_share, self.now);
                 } else {
-                    r.pace *= 1.0 + PACE_GAIN * (2.0 * remaining_share).min(1.0);
+                    r.pace *= 1.0 + PACE_GAIN_PER_CALL * (2.0 * remaining_share).min(1.0);
                     if r.limit > 0.0 {
                         r.pace = r.pace.min(r.limit);
                     } else if r.pace > 4.0 * own.max(1.0) {
                         r.pace = 0.0;
                     }
                 }
-                (r.rejections, r.last_ok) = (0, self.now);
-                // In a fleet one answer is enough, as each goes on slowly: several trials each are a burst.
+                (r.rejection_run, r.last_answer) = (0, self.now);
+                // In a large fleet one answer is enough, since each sender continues slowly: several trials
+                // by every sender would be a burst.
                 (fleet && matches!(r.circuit, Circuit::Open { .. })).then(|| r.detector.retract(self.now));
                 let out = r.detector.is_out(self.now);
                 let since = if out { r.failing_since } else { r.failing_since.take() };
@@ -460,11 +526,12 @@
                 let warm = since.is_some_and(|t| self.now < t + 2 * self.config.rules.overload_duration);
                 r.circuit = match r.circuit {
                     Circuit::Open { .. } if out => {
-                        Circuit::Open { next: self.now, backoff: r.latency.mean() }
+                        Circuit::Open { next_trial: self.now, backoff: r.latency.mean() }
                     }
                     Circuit::Open { .. } if brief && usual_latency => {
-                        // A false suspicion: half of the window at once, the rest as calls are served.
-                        r.window = r.window.max(r.window_before / 2.0);
+                        // A false suspicion: half of the window is restored at once, the rest as calls are
+                        // served.
+                        r.window = r.window.max(r.window_before_outage / 2.0);
                         r.detector.retract(self.now);
                         Circuit::Closed
                     }
@@ -474,18 +541,19 @@
                 };
             }
             Outcome::Rejected => {
-                r.rejections += 1;
+                r.rejection_run += 1;
                 r.failing_since.get_or_insert(self.now);
                 let halved = r.halve_window(sent, self.now);
-                let run = f64::from(r.rejections.min(6));
+                let run = f64::from(r.rejection_run.min(6));
                 let pause = (r.latency.mean() * jitter * run).min(half_aim);
                 r.wait_until = r.wait_until.max(self.now + pause as Micros);
                 if fleet {
                     // Senders that keep to their shares need no long pause in addition.
                     r.rejected_in_fleet(2.0 - jitter, self.now);
                 } else {
-                    if halved && (r.rejections > 1 || r.pace + r.limit + end.wait as f64 > 0.0) {
-                        // One rejection alone reveals no limit. The pace stays above the served rate.
+                    if halved && (r.rejection_run > 1 || r.pace + r.limit + end.wait as f64 > 0.0) {
+                        // A single rejection reveals no limit if none is known. The pace never falls below
+                        // the served rate.
                         let initial = r.window * SECOND / r.latency.mean().max(1e3);
                         let lowered = if r.pace > 0.0 { r.pace * PACE_CUT } else { initial };
                         r.pace = lowered.max(r.served_rate).max(least_pace);
@@ -496,7 +564,7 @@
             }
             Outcome::UnreadableResponse => {
                 r.detector.record_unreadable(self.now);
-                r.last_ok = self.now;
+                r.last_answer = self.now;
                 r.failing_since = r.failing_since.or(r.detector.is_lossy().then_some(sent));
             }
             _ => {
@@ -504,11 +572,11 @@
                     r.latency.record_unanswered(planned);
                 }
                 if planned {
-                    r.resends -= 1.0;
+                    r.resend_budget -= 1.0;
                 } else {
                     r.detector.record_failure(sent, self.now);
                     r.failing_since.get_or_insert(sent);
-                    let may_halve = outcome != Outcome::Error && r.halved_at <= sent;
+                    let may_halve = outcome != Outcome::Error && r.window_halved <= sent;
                     let _ = may_halve && r.detector.should_cut(self.now) && r.halve_window(sent, self.now);
                 }
             }
@@ -519,8 +587,10 @@
         match r.circuit {
             Circuit::Open { .. } if outcome == Outcome::Ok => {}
             Circuit::Open { backoff, .. } => {
-                r.circuit =
-                    Circuit::Open { next: self.now + (backoff.max(gap) * jitter * 0.75) as Micros, backoff };
+                r.circuit = Circuit::Open {
+                    next_trial: self.now + (backoff.max(gap) * jitter * 0.75) as Micros,
+                    backoff,
+                };
             }
             _ if r.detector.is_out(self.now) || end.wait > self.config.rules.overload_duration => {
                 self.open_circuit(route)
@@ -530,21 +600,23 @@
         // Idle connections fill the table of an endpoint that accepts few, or are dropped unnoticed. They are
         // closed after use if a connection failed there or this sender comes rarely, at the cost of a
         // handshake. A rejection without a limit report, where others have one, means a table that a fleet
-        // has filled. Senders with a connection never see one, so it applies to all destinations of the kind.
-        let reports = self.config.senders >= LARGE_FLEET && self.routes.iter().any(|r| r.reported);
+        // has filled. A sender that holds a connection never sees such a rejection, so it applies to all
+        // destinations of the kind.
+        let reports = self.config.senders >= LARGE_FLEET && self.routes.iter().any(|r| r.limit_reported);
         let r = &self.routes[route];
         let connections_full = reports && outcome == Outcome::Rejected && report.is_none() && end.wait == 0;
-        if connections_full && self.crowded.insert(r.kind) {
+        if connections_full && self.crowded_kinds.insert(r.kind) {
             let same_kind = self.targets.iter().filter(|(_, t)| self.routes[t.route].kind == r.kind);
             self.actions.extend(same_kind.map(|(id, _)| Action::CloseIdle { target: *id }));
         }
-        let rare = (r.arrivals - 1.0) * self.config.idle_timeout as f64 / SECOND <= self.span;
+        let rare = (r.arrivals - 1.0) * self.config.idle_timeout as f64 / SECOND <= self.arrival_span;
         if let Some(t) = self.targets.get_mut(&target) {
             // One of several endpoints may be out alone: it is avoided while the others serve.
             t.avoid_until = if failed || connections_full { self.now + least_aim as Micros } else { 0 };
             t.connect_failed |= outcome == Outcome::ConnectFailed;
             let idle = outcome != Outcome::ConnectFailed && !r.calls.values().any(|c| c.target == target);
-            let close = t.connect_failed || self.crowded.contains(&r.kind) || rare && outcome == Outcome::Ok;
+            let close =
+                t.connect_failed || self.crowded_kinds.contains(&r.kind) || rare && outcome == Outcome::Ok;
             self.actions.extend((idle && close).then_some(Action::CloseIdle { target }));
         }
         let recovered = before != self.routes[route].circuit
@@ -562,8 +634,9 @@
         // At high call rates a false verdict costs many messages: the first trial goes out sooner.
         let least_backoff = least_aim / 10.0 / r.detector.rate_factor_before();
         let backoff = (2.0 * r.latency.mean()).clamp(least_backoff, least_aim / 4.0);
-        r.circuit = Circuit::Open { next: start + (backoff.max(trial_gap) * jitter) as Micros, backoff };
-        r.window_before = r.window;
+        r.circuit =
+            Circuit::Open { next_trial: start + (backoff.max(trial_gap) * jitter) as Micros, backoff };
+        r.window_before_outage = r.window;
         (r.failing_since, r.window) = (r.failing_since.or(Some(self.now)), 1.0);
         let first = r.targets.first().copied().unwrap_or(0);
         self.actions.push(Action::OutageDetected { target: first });
@@ -573,13 +646,13 @@
     /// Since when calls have been overdue, with no answer since. The next answer closes the circuit again.
     fn silent_since(&self, route: usize) -> Option<Micros> {
         let r = &self.routes[route];
-        let (_, oldest) = r.calls.iter().find(|(_, call)| call.sent >= r.last_ok && !call.trial)?;
+        let (_, oldest) = r.calls.iter().find(|(_, call)| call.sent >= r.last_answer && !call.trial)?;
         let age = (self.now - oldest.sent) as f64;
         let mean = r.latency.mean();
         if age > self.overdue_age(r) {
             return Some(oldest.sent);
         }
-        let calls = r.calls.values().filter(|call| call.sent >= r.last_ok);
+        let calls = r.calls.values().filter(|call| call.sent >= r.last_answer);
         let total_wait: f64 = calls.map(|call| (self.now - call.sent) as f64).sum();
         let unlikely = (r.latency.tau > 0.0) && total_wait > SILENCE_MEANS * mean && age > 3.0 * mean;
         unlikely.then_some(oldest.sent)
@@ -604,7 +677,8 @@
         let rules = &self.config.rules;
         let r = &mut self.routes[route];
         let (mut rate, mut burst) = (r.pace, (r.pace / 2.0).max(1.0));
-        let start = if let Circuit::Open { next, .. } = r.circuit { next } else { 0 }.max(r.wait_until);
+        let start =
+            if let Circuit::Open { next_trial, .. } = r.circuit { next_trial } else { 0 }.max(r.wait_until);
         if start > self.now {
             return Err(start);
         }
@@ -614,15 +688,22 @@
             let progress = ((self.now - since) as f64 / rules.slow_start_time.max(1) as f64).min(1.0);
             let warm_share = rules.cold_capacity_share + (1.0 - rules.cold_capacity_share) * progress;
             // What it served lately it can still do, also if clients come less often meanwhile.
-            let own = own.max(if r.peak_rate > HIGH_RATE && r.fair_share <= 0.0 { r.peak_rate } else { 0.0 });
-            let capacity = own.max(r.limit.max(MIN_RATE) / f64::from(self.config.senders.max(1)));
-            (rate, burst) = (capacity * warm_share * rules.overload_factor.max(1.0) * SAFE_LOAD, 1.0);
+            let own = own.max(if r.peak_rate > MIN_CAPACITY_RATE && r.fair_share <= 0.0 {
+                r.peak_rate
+            } else {
+                0.0
+            });
+            let capacity = own.max(r.limit.max(MIN_DESTINATION_RATE) / f64::from(self.config.senders.max(1)));
+            (rate, burst) = (capacity * warm_share * rules.overload_factor.max(1.0) * SAFE_LOAD_SHARE, 1.0);
         }
-        let refill =
-            if rate > 0.0 { rate * self.now.saturating_sub(r.filled) as f64 / SECOND } else { f64::MAX };
+        let refill = if rate > 0.0 {
+            rate * self.now.saturating_sub(r.tokens_filled) as f64 / SECOND
+        } else {
+            f64::MAX
+        };
         r.tokens = (r.tokens + refill).min(burst);
         r.resumed_in_fleet(rate, aim, draw, self.now);
-        r.filled = self.now;
+        r.tokens_filled = self.now;
         match r.circuit {
             Circuit::Open { .. } => Ok(true),
             _ if rate > 0.0 && r.tokens < 1.0 => {
@@ -633,7 +714,8 @@
         }
     }
 
-    /// The more urgent of the oldest message and the oldest that still loses worth, by the loss over one aim.
+    /// The more urgent of the oldest message of a queue and the oldest whose worth still falls. The urgency
+    /// is the worth that is lost by waiting for one more aim.
     fn most_urgent(&self, class: usize, set: &BTreeSet<(Micros, MessageId)>) -> Option<(f64, MessageId)> {
         let c = &self.config.classes[class];
         let floor_age = match self.config.decay {
@@ -666,10 +748,10 @@
         best.map(|(id, _)| *id)
     }
 
-    /// The best send to a destination now.
+    /// The best send to a destination now, if there is one.
     fn best_send(&mut self, destination: DestinationId) -> Option<SendChoice> {
         let d = self.destinations.get(&destination)?;
-        let slot_share = (f64::from(self.config.slots) * SLOT_SHARE) as u32;
+        let slot_share = (f64::from(self.config.slots) * DESTINATION_SLOT_SHARE) as u32;
         let cap = slot_share.min(d.slots.unwrap_or(slot_share)).max(1);
         let calls: usize = d.routes.iter().map(|id| self.routes[*id].calls.len()).sum();
         if calls as u32 >= cap || d.ready.is_empty() {
@@ -692,22 +774,22 @@
         let mut best: Option<SendChoice> = None;
         for ((class, tag), set) in &d.ready {
             let Some((urgency, id)) = self.most_urgent(*class, set) else { continue };
-            let (m, retry) = (&self.messages[&id], tag & RETRY != 0);
+            let (m, retry) = (&self.messages[&id], tag & RETRY_FLAG != 0);
             let once = self.config.classes[*class].effect == Effect::Once;
             let mut choice: Option<((f64, f64), usize, TargetId, bool)> = None;
             for (route, trial) in &open {
                 let r = &self.routes[*route];
                 // Once the retry budget is used up, first tries go before retries.
-                if retry && r.retries < 1.0 {
+                if retry && r.retry_budget < 1.0 {
                     continue;
                 }
                 // An at-most-once message is lost if its attempt is not answered. It avoids a lossy or silent
-                // route, but becomes the trial if nothing else has for an aim. If some of the calls have
-                // failed for an aim, waiting longer gains nothing.
+                // route, but becomes the trial if nothing else has been one for an aim. If some of the calls
+                // have kept failing for an aim, waiting longer gains nothing.
                 let aim = self.config.classes[*class].aim;
                 let lossy = r.detector.is_lossy() && !r.detector.stays_lossy(self.now, aim);
                 let risky = r.may_have_run && (*trial || lossy);
-                let recent = lossy && self.now < r.last_end + aim;
+                let recent = lossy && self.now < r.last_outcome + aim;
                 if once && risky && (self.now < m.accepted + aim || recent) {
                     continue;
                 }
@@ -715,7 +797,7 @@
                 if extra_cost > 0.0 && urgency < extra_cost * worth && self.now < m.accepted + aim / 2 {
                     continue;
                 }
-                let zone = (tag & !RETRY).checked_sub(1);
+                let zone = (tag & !RETRY_FLAG).checked_sub(1);
                 let Some(target) = self.endpoint(*route, zone) else { continue };
                 let busy = r.calls.len() as f64 / r.window.max(1.0) + f64::from(u8::from(*trial));
                 let load = (extra_cost.max(0.0), busy);
@@ -745,16 +827,16 @@
             r.tokens -= 1.0;
             r.calls.insert(self.last_call, Call { target, sent: self.now, trial, ..Call::default() });
             if let Circuit::Open { backoff, .. } = r.circuit {
-                let next = self.now + (backoff.max(trial_gap) * jitter) as Micros;
-                r.circuit = Circuit::Open { next, backoff: (backoff * 1.3).min(longest_backoff) };
+                let next_trial = self.now + (backoff.max(trial_gap) * jitter) as Micros;
+                r.circuit = Circuit::Open { next_trial, backoff: (backoff * 1.3).min(longest_backoff) };
             }
             self.last_call
         });
         let (first, cap) = (self.messages.get(&id).is_some_and(|m| m.attempts.is_empty()), self.config.slots);
-        let deadline = self.messages.get(&id).map_or(0, |m| self.cutoff(m));
+        let deadline = self.messages.get(&id).map_or(0, |m| self.attempt_deadline(m));
         let r = &mut self.routes[route];
-        let change = if first { RETRIES_PER_TRY } else { -1.0 };
-        r.retries = (r.retries + change).clamp(0.0, SAVED_RETRIES.max(f64::from(cap)));
+        let change = if first { RETRIES_PER_FIRST_TRY } else { -1.0 };
+        r.retry_budget = (r.retry_budget + change).clamp(0.0, MAX_SAVED_RETRIES.max(f64::from(cap)));
         let zone = self.targets.get(&target).map_or(0, |t| t.zone);
         let Some(m) = self.messages.get_mut(&id) else { return call };
         let c = &self.config.classes[m.class];
@@ -768,8 +850,11 @@
         };
         let last = m.attempts.len() + 1 >= self.config.max_attempts as usize;
         // The attempt may last until τ if a resend may follow, otherwise for all the time left.
-        let planned =
-            retry && !last && r.latency.tau > 0.0 && (r.resends > 0.0 || trial) && self.now + tau < m.expires;
+        let planned = retry
+            && !last
+            && r.latency.tau > 0.0
+            && (r.resend_budget > 0.0 || trial)
+            && self.now + tau < m.expires;
         let until = if planned { self.now + tau } else { deadline };
         m.first_run.get_or_insert((self.now, zone));
         let number = m.attempts.len() as u32;
@@ -785,7 +870,8 @@
         let zone = self.targets.get(&target).map_or(0, |t| t.zone + 1);
         for _ in 1..max_batch {
             let Some(d) = self.destinations.get(&destination) else { return };
-            let unbound = d.ready.iter().filter(|((_, tag), _)| tag & !RETRY == 0 || tag & !RETRY == zone);
+            let unbound =
+                d.ready.iter().filter(|((_, tag), _)| tag & !RETRY_FLAG == 0 || tag & !RETRY_FLAG == zone);
             let next = unbound.filter_map(|((class, _), set)| self.most_urgent(*class, set));
             let Some((_, id)) = next.max_by(|a, b| a.0.total_cmp(&b.0)) else { return };
             let (m, r) = (&self.messages[&id], &self.routes[route]);
@@ -800,8 +886,8 @@
     /// Chooses what is sent now. To be called once after the last event of a moment.
     pub fn decide(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.now = now;
-        while let Some((_, id)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
-            self.timers.pop_first();
+        while let Some((_, id)) = self.message_timers.first().copied().filter(|(at, _)| *at <= now) {
+            self.message_timers.pop_first();
             let Some(m) = self.messages.get(&id) else { continue };
             match self.give_up_at(m.expires) > now {
                 true => self.enqueue(id),
@@ -819,8 +905,8 @@
             let Some(i) = top else { break };
             let (destination, (_, id, route, target, trial)) = best[i];
             let m = &self.messages[&id];
-            let time_left = self.cutoff(m).saturating_sub(self.now) as f64;
-            // Nor may a keyed message whose deduplication window ended while it was held.
+            let time_left = self.attempt_deadline(m).saturating_sub(self.now) as f64;
+            // A keyed message whose deduplication window ended while it was held may not be sent either.
             if !self.permissions(m).0 || time_left < self.routes[route].latency.shortest() {
                 self.give_up(id);
             } else {
@@ -834,8 +920,8 @@
         }
         let backlogged = self.destinations.values_mut().filter(|d| !d.ready.is_empty());
         backlogged.for_each(|d| d.backlog_since = d.backlog_since.or(Some(now)));
-        self.blocked = !best.is_empty();
-        let next = self.timers.first().map_or(Micros::MAX, |a| a.0);
+        self.send_blocked = !best.is_empty();
+        let next = self.message_timers.first().map_or(Micros::MAX, |a| a.0);
         let at = self.maintain_at.min(self.wake_at).min(next);
         if at < self.timer_at {
             self.timer_at = at;
@@ -846,23 +932,25 @@
 
     /// Periodic maintenance of the routes: decay, τ, rates and detection of silence.
     fn maintain(&mut self) {
-        self.maintain_at = self.now + MAINTENANCE;
-        self.keys.retain(|_, (waiting, paused_until)| !waiting.is_empty() || *paused_until > self.now);
-        let keep = 0.5f64.powf(MAINTENANCE as f64 / self.longest_deadline());
-        self.span = self.span * keep + MAINTENANCE as f64 / SECOND;
+        self.maintain_at = self.now + MAINTENANCE_INTERVAL;
+        self.key_queues.retain(|_, (waiting, paused_until)| !waiting.is_empty() || *paused_until > self.now);
+        let keep = 0.5f64.powf(MAINTENANCE_INTERVAL as f64 / self.longest_deadline());
+        self.arrival_span = self.arrival_span * keep + MAINTENANCE_INTERVAL as f64 / SECOND;
         let slow_start = self.config.rules.slow_start_time;
         for route in 0..self.routes.len() {
             let r = &mut self.routes[route];
             r.latency.age(keep);
             r.arrivals *= keep;
             // A resend repeats work that is thrown away, so it costs a mean answer time.
-            (r.latency.answers >= MIN_ANSWERS).then(|| r.latency.retune(r.latency.mean()));
-            r.steady_rate += STEADY_WEIGHT * (r.served_rate - r.steady_rate);
+            (r.latency.answers >= MIN_ANSWERS_FOR_TAU).then(|| r.latency.retune(r.latency.mean()));
+            r.steady_rate += STEADY_RATE_WEIGHT * (r.served_rate - r.steady_rate);
             r.peak_rate = (r.peak_rate * keep).max(r.served_rate);
-            r.served_rate *= RATE_DECAY;
-            r.mean_calls += IN_FLIGHT_WEIGHT * (r.calls.len() as f64 - r.mean_calls);
-            r.retries = r.retries.max((r.retries + RETRY_REFILL).min(SAVED_RETRIES));
-            r.pace += if r.pace > 0.0 && r.limit <= 0.0 { PACE_DRIFT * (r.pace + 0.5) } else { 0.0 };
+            r.served_rate *= SERVED_RATE_DECAY;
+            r.mean_in_flight += IN_FLIGHT_WEIGHT * (r.calls.len() as f64 - r.mean_in_flight);
+            r.retry_budget =
+                r.retry_budget.max((r.retry_budget + RETRIES_PER_MAINTENANCE).min(MAX_SAVED_RETRIES));
+            r.pace +=
+                if r.pace > 0.0 && r.limit <= 0.0 { PACE_GAIN_PER_MAINTENANCE * (r.pace + 0.5) } else { 0.0 };
             if matches!(r.circuit, Circuit::SlowStart { since } if self.now > since + slow_start) {
                 r.circuit = Circuit::Closed;
             }
@@ -878,10 +966,10 @@
     }
 
     /// Cancels overdue calls, whatever keeps them from ending, so that a silent endpoint does not block the
-    /// others. If the circuit is open, repeatable messages are cancelled at once; others a few at a time
-    /// while a send is blocked. The cost: very late answers are lost.
+    /// others. If the circuit is open, calls of repeatable messages are cancelled at once; other calls are
+    /// cancelled a few at a time while a send is blocked. The cost: very late answers are lost.
     fn cancel_overdue(&mut self) {
-        let mut few = if self.blocked { self.config.slots.div_ceil(16) } else { 0 };
+        let mut few = if self.send_blocked { self.config.slots.div_ceil(16) } else { 0 };
         for route in 0..if self.config.may_cancel { self.routes.len() } else { 0 } {
             let threshold = self.overdue_age(&self.routes[route]);
             let out =
@@ -906,17 +994,18 @@
     /// lately, ignoring a dip of a second; the rate by Little's law from the calls in flight; or the pace.
     fn capacity(&self) -> f64 {
         let served = 1.0 - self.detector.failure_share();
-        let by_calls = self.mean_calls * served / self.latency.mean().max(1.0) * SECOND;
-        let known = self.latency.answers >= MIN_ANSWERS && !matches!(self.circuit, Circuit::Open { .. });
+        let by_calls = self.mean_in_flight * served / self.latency.mean().max(1.0) * SECOND;
+        let known =
+            self.latency.answers >= MIN_ANSWERS_FOR_TAU && !matches!(self.circuit, Circuit::Open { .. });
         f64::from(u8::from(known))
             * self.served_rate.max(self.steady_rate).max(by_calls).max(self.pace * served)
     }
 
     /// Halves the window, once for all calls that were in flight together.
     fn halve_window(&mut self, sent: Micros, now: Micros) -> bool {
-        let due = self.halved_at <= sent;
+        let due = self.window_halved <= sent;
         if due {
-            (self.window, self.halved_at) = ((self.window / 2.0).max(1.0), now);
+            (self.window, self.window_halved) = ((self.window / 2.0).max(1.0), now);
         }
         due
     }
@@ -929,7 +1018,10 @@
         self.fair_share = if senders >= LARGE_FLEET { even } else { 0.0 };
         if self.limit <= 0.0 {
             self.pace = if self.fair_share > 0.0 || even * aim > 3.0 { even } else { 0.0 };
-        } else if self.fair_share > 0.0 || rate > NOISE * self.limit || self.limit > NOISE * rate {
+        } else if self.fair_share > 0.0
+            || rate > LIMIT_CHANGE_FACTOR * self.limit
+            || self.limit > LIMIT_CHANGE_FACTOR * rate
+        {
             self.pace *= rate / self.limit;
         }
         self.limit = rate;
--- a/src/scheduler/derived.rs
+++ b/src/scheduler/derived.rs
@@ -1,6 +1,6 @@
 //! Values that the scheduler derives from its settings and state.
 
-use super::{DeliveryScheduler, MAINTENANCE};
+use super::{DeliveryScheduler, MAINTENANCE_INTERVAL};
 use crate::interface::*;
 
 impl DeliveryScheduler {
@@ -11,12 +11,12 @@
 
     /// The longest deadline of any class, in microseconds.
     pub(super) fn longest_deadline(&self) -> f64 {
-        self.config.classes.iter().map(|c| c.deadline).max().unwrap_or(MAINTENANCE).max(1) as f64
+        self.config.classes.iter().map(|c| c.deadline).max().unwrap_or(MAINTENANCE_INTERVAL).max(1) as f64
     }
 
     /// Messages a second that arrive at this sender for a route.
     pub(super) fn arrival_rate(&self, route_id: usize) -> f64 {
-        self.routes[route_id].arrivals / self.span.max(1.0)
+        self.routes[route_id].arrivals / self.arrival_span.max(1.0)
     }
 
     /// What the delivery of a message is worth at an age in microseconds.
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Applies the endpoint list: adds destinations, routes and endpoints, and forgets those that are gone, which
 //! bounds the memory in use.
 
-use super::{DeliveryScheduler, SAVED_RESENDS, SECOND};
+use super::{DeliveryScheduler, MAX_SAVED_RESENDS, SECOND};
 use crate::interface::*;
 use crate::latency::LatencyHistogram;
 use crate::state::*;
@@ -47,10 +47,10 @@
                         cost,
                         latency,
                         window: 1.0,
-                        resends: SAVED_RESENDS,
+                        resend_budget: MAX_SAVED_RESENDS,
                         ..Route::default()
                     };
-                    let route = Route { tokens: 1.0, last_ok: self.now, ..route };
+                    let route = Route { tokens: 1.0, last_answer: self.now, ..route };
                     let index = self.free_routes.pop().unwrap_or(self.routes.len());
                     match self.routes.get_mut(index) {
                         Some(free) => *free = route,
@@ -61,7 +61,7 @@
                 });
             let route = &mut self.routes[route_id];
             // A reported limit is the current one; the list has the limit that was agreed on.
-            if self.config.listed_rate != ListedRate::Unknown && e.rate > 0.0 && !route.reported {
+            if self.config.listed_rate != ListedRate::Unknown && e.rate > 0.0 && !route.limit_reported {
                 route.set_limit(e.rate, self.config.senders, aim);
             }
             route.wait_until = route.wait_until.max(e.hold_until);
@@ -91,7 +91,7 @@
             let quiet = |route: &Route| {
                 let bound = route.circuit != Circuit::Closed
                     || route.wait_until > now
-                    || route.last_end.max(route.last_ok) + longest_deadline > now;
+                    || route.last_outcome.max(route.last_answer) + longest_deadline > now;
                 route.targets.is_empty() && route.calls.is_empty() && !bound
             };
             let forget = destination.routes.iter().all(|route_id| quiet(&routes[*route_id]));
--- a/src/scheduler/queues.rs
+++ b/src/scheduler/queues.rs
@@ -41,8 +41,8 @@
             return;
         }
         self.messages.remove(&id);
-        self.timers.remove(&(self.give_up_at(expires), id));
-        if let Some(key_queue) = self.keys.get_mut(&key) {
+        self.message_timers.remove(&(self.give_up_at(expires), id));
+        if let Some(key_queue) = self.key_queues.get_mut(&key) {
             key_queue.0.retain(|x| *x != id);
             if let Some(next) = key_queue.0.front().copied() {
                 self.enqueue(next);
--- a/src/scheduler/status_report.rs
+++ b/src/scheduler/status_report.rs
@@ -30,7 +30,7 @@
             let health = match route.circuit {
                 Circuit::Closed if route.detector.is_lossy() => Health::Failing,
                 Circuit::Closed => Health::Up,
-                Circuit::Open { next, .. } => Health::Out { next_trial_in: time_left(next) },
+                Circuit::Open { next_trial, .. } => Health::Out { next_trial_in: time_left(next_trial) },
                 Circuit::SlowStart { since } => Health::SlowStart { elapsed: now.saturating_sub(since) },
             };
             RouteStatus {
--- a/src/scheduler_tests.rs
+++ b/src/scheduler_tests.rs
@@ -240,7 +240,9 @@
         assert!(sent(&out, 1), "sent when the wait is over");
         let route = &scheduler.routes[0];
         assert!(
-            route.detector.failure_share() == 0.0 && route.rejections == 0 && route.failing_since.is_none(),
+            route.detector.failure_share() == 0.0
+                && route.rejection_run == 0
+                && route.failing_since.is_none(),
             "the call counted for its route"
         );
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -11,9 +11,9 @@
     /// Calls go out.
     #[default]
     Closed,
-    /// Only single trial calls go out, the next one at `next` at the earliest, spaced by `backoff`
+    /// Only single trial calls go out, the next one at `next_trial` at the earliest, spaced by `backoff`
     /// microseconds.
-    Open { next: Micros, backoff: f64 },
+    Open { next_trial: Micros, backoff: f64 },
     /// Slow start since the first answer after an outage.
     SlowStart { since: Micros },
 }
@@ -40,27 +40,27 @@
     pub kind: usize,
     pub latency: LatencyHistogram,
     /// Planned resends that may still be made.
-    pub resends: f64,
+    pub resend_budget: f64,
     /// Retries of any kind that may still be made.
-    pub retries: f64,
+    pub retry_budget: f64,
     /// Calls that may be in flight at once.
     pub window: f64,
     /// When the window was last halved.
-    pub halved_at: Micros,
+    pub window_halved: Micros,
     /// Calls in flight by call number.
     pub calls: BTreeMap<u64, Call>,
     pub circuit: Circuit,
     /// When a call was last answered.
-    pub last_ok: Micros,
+    pub last_answer: Micros,
     /// When a call last ended.
-    pub last_end: Micros,
+    pub last_outcome: Micros,
     /// Start of the failures since the last answer.
     pub failing_since: Option<Micros>,
     /// Rejected calls in a row.
-    pub rejections: u32,
+    pub rejection_run: u32,
     pub detector: FailureDetector,
     /// The window when the circuit was last opened.
-    pub window_before: f64,
+    pub window_before_outage: f64,
     /// The call that failed last may have taken effect.
     pub may_have_run: bool,
     /// Nothing is sent before this time.
@@ -68,11 +68,11 @@
     /// The known rate limit in calls a second, 0 if none is known.
     pub limit: f64,
     /// The limit comes from a report of the destination, not from the list alone.
-    pub reported: bool,
+    pub limit_reported: bool,
     /// This sender's even share of the limit in a large fleet, else 0.
     pub fair_share: f64,
     /// When the pace of a sender of a large fleet was last raised.
-    pub raised: Micros,
+    pub pace_raised: Micros,
     /// When a call of a sender of a large fleet was last rejected.
     pub last_rejection: Option<Micros>,
     /// Calls a second that this sender may make, 0 if not limited.
@@ -80,7 +80,7 @@
     /// Tokens of the token bucket that enforces the pace.
     pub tokens: f64,
     /// When the token bucket was last filled.
-    pub filled: Micros,
+    pub tokens_filled: Micros,
     /// Calls served a second, smoothed over some seconds.
     pub served_rate: f64,
     /// Calls served a second, smoothed over eight seconds.
@@ -88,7 +88,7 @@
     /// Highest recent rate of served calls a second; it halves over the longest deadline.
     pub peak_rate: f64,
     /// Calls in flight, smoothed over half a second.
-    pub mean_calls: f64,
+    pub mean_in_flight: f64,
     /// Cost of a message on an independent route.
     pub cost: f64,
     /// Messages that came for this route, decaying over the longest deadline.
--- a/src/wait_estimate.rs
+++ b/src/wait_estimate.rs
@@ -4,15 +4,20 @@
 
 use crate::interface::{Class, Micros};
 
-const SETTLED: Micros = 300_000; // a backlog that has lasted so long shows what a destination can serve
-/// Share of a message's time left that its estimated wait may take. Later messages of more worth go first.
-const WAIT_SHARE: f64 = 0.6;
-/// Messages held for a destination for each free place (dynamic thresholds, Choudhury and Hahne 1998):
-/// whatever has a backlog, some places remain for destinations without one.
-const HELD_PER_FREE: f64 = 4.0;
-const MIN_HELD: u32 = 4; // messages accepted for a destination in any case: trials need messages
-const MIN_CLASS_SHARE: f64 = 0.02; // share of the accepted messages below which a class does not count
-const MAX_FACTOR: f64 = 8.0; // largest wait of the class of least worth, in estimates
+/// A destination whose backlog has lasted for this long, in microseconds, shows what rate it can serve.
+const SETTLED_BACKLOG: Micros = 300_000;
+/// Share of a message's time left that the estimated wait may take. Messages that arrive later and are worth
+/// more go first.
+const MAX_WAIT_SHARE: f64 = 0.6;
+/// A destination may hold this many times the number of free places (dynamic thresholds, Choudhury and Hahne
+/// 1998). Whichever destinations have a backlog, some places stay free for those that have none.
+const HELD_PER_FREE_PLACE: f64 = 4.0;
+/// Messages that are accepted for a destination in any case, since trials need messages.
+const ALWAYS_ACCEPTED: u32 = 4;
+/// Share of the accepted messages below which a class does not count.
+const MIN_CLASS_SHARE: f64 = 0.02;
+/// Upper bound of the wait of the class of least worth, in multiples of the estimate.
+const MAX_WAIT_FACTOR: f64 = 8.0;
 
 /// What the wait of a message for a destination depends on.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,22 +38,25 @@
 impl WaitEstimate {
     /// Microseconds until the messages held now have been served; 0 if nothing indicates a long wait.
     pub fn wait(&self) -> f64 {
-        let settled = self.backlog_for >= SETTLED && self.served_rate > 0.0;
+        let settled = self.backlog_for >= SETTLED_BACKLOG && self.served_rate > 0.0;
         let queue = if settled { f64::from(self.held) / self.served_rate * 1e6 } else { 0.0 };
         (self.unavailable_for as f64 + queue).max(self.key_wait)
     }
 
-    /// Whether to refuse a message with so many microseconds left, if its class may wait `factor` estimates
-    /// and at most `max_wait` (0 for no bound), and `free` places are left.
+    /// Whether to refuse a message that has `left` microseconds left, if some class waits `factor` times the
+    /// estimate, its own class accepts a wait of at most `max_wait` (0 for no bound), and `free` more
+    /// messages can be held.
     pub fn refuses(&self, factor: f64, left: f64, max_wait: Micros, free: f64) -> bool {
-        let most = if max_wait > 0 { (max_wait as f64).min(WAIT_SHARE * left) } else { WAIT_SHARE * left };
-        self.held >= MIN_HELD && (f64::from(self.held) > HELD_PER_FREE * free || self.wait() * factor > most)
+        let most =
+            if max_wait > 0 { (max_wait as f64).min(MAX_WAIT_SHARE * left) } else { MAX_WAIT_SHARE * left };
+        self.held >= ALWAYS_ACCEPTED
+            && (f64::from(self.held) > HELD_PER_FREE_PLACE * free || self.wait() * factor > most)
     }
 }
 
 /// How many estimates the class of least worth waits: classes of more worth go first, and its own share of
-/// the rate is left. All are admitted by this factor, or those of more worth would fill the whole rate.
-/// `class_mix` holds the messages accepted lately, by class.
+/// the rate is left. All classes are admitted by this factor, since otherwise those of more worth would fill
+/// the whole rate. `class_mix` holds the messages accepted lately, by class.
 pub(crate) fn wait_factor(class_mix: &[f64], classes: &[Class]) -> f64 {
     let total: f64 = class_mix.iter().sum();
     let present = || class_mix.iter().zip(classes).filter(|(part, _)| **part > MIN_CLASS_SHARE * total);
@@ -56,7 +64,7 @@
     let least_worth = present().map(|(_, c)| c.worth).fold(f64::INFINITY, f64::min);
     let own: f64 = present().filter(|(_, c)| c.worth <= least_worth).map(|(part, _)| part).sum();
     if own > 0.0 {
-        (all / own).min(MAX_FACTOR)
+        (all / own).min(MAX_WAIT_FACTOR)
     } else {
         1.0
     }
--- a/src/wait_estimate_tests.rs
+++ b/src/wait_estimate_tests.rs
@@ -66,7 +66,7 @@
         1.0,
         "the other class is negligible"
     );
-    assert_eq!(wait_factor(&[5.0, 95.0, 0.0], &classes), MAX_FACTOR);
+    assert_eq!(wait_factor(&[5.0, 95.0, 0.0], &classes), MAX_WAIT_FACTOR);
     assert_eq!(wait_factor(&[], &classes), 1.0);
 }
 
