--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -936,7 +936,6 @@
         self.key_queues.retain(|_, (waiting, paused_until)| !waiting.is_empty() || *paused_until > self.now);
         let keep = 0.5f64.powf(MAINTENANCE_INTERVAL as f64 / self.longest_deadline());
         self.arrival_span = self.arrival_span * keep + MAINTENANCE_INTERVAL as f64 / SECOND;
-        let slow_start = self.config.rules.slow_start_time;
         for route in 0..self.routes.len() {
             let r = &mut self.routes[route];
             r.latency.age(keep);
@@ -951,7 +950,8 @@
                 r.retry_budget.max((r.retry_budget + RETRIES_PER_MAINTENANCE).min(MAX_SAVED_RETRIES));
             r.pace +=
                 if r.pace > 0.0 && r.limit <= 0.0 { PACE_GAIN_PER_MAINTENANCE * (r.pace + 0.5) } else { 0.0 };
-            if matches!(r.circuit, Circuit::SlowStart { since } if self.now > since + slow_start) {
+            if matches!(r.circuit, Circuit::SlowStart { since } if self.now > since + self.config.rules.slow_start_time)
+            {
                 r.circuit = Circuit::Closed;
             }
             let is_out = matches!(r.circuit, Circuit::Open { .. });
