--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -7,14 +7,14 @@
 use lossy::*;
 
 /// Messages applied a second while messages are submitted.
-fn rate(plan: &Scenario, report: &Report) -> f64 {
-    let span = (plan.duration / SECOND) as usize;
+fn rate(scenario: &Scenario, report: &Report) -> f64 {
+    let span = (scenario.duration / SECOND) as usize;
     report.by_second[..span].iter().sum::<u64>() as f64 / span as f64
 }
 
 /// Fails if a payment took effect twice or a false outcome was reported.
-fn assert_truthful(plan: &Scenario, report: &Report) {
-    assert_eq!((report.duplicates, report.false_outcomes), (0, 0), "{plan:?}: {report:?}");
+fn assert_truthful(scenario: &Scenario, report: &Report) {
+    assert_eq!((report.duplicates, report.false_outcomes), (0, 0), "{scenario:?}: {report:?}");
 }
 
 /// Runs of random failures, which occur by chance at a thousand calls a second, opened the circuit of a
@@ -22,14 +22,14 @@
 #[test]
 fn random_failures_cost_little_throughput() {
     let whole = {
-        let plan = Scenario::default();
-        rate(&plan, &simulate(&plan))
+        let scenario = Scenario::default();
+        rate(&scenario, &simulate(&scenario))
     };
     for (share, least) in [(0.055, 0.7), (0.11, 0.4), (0.22, 0.2)] {
-        let plan = Scenario { failure_share: share, ..Scenario::default() };
-        let report = simulate(&plan);
-        assert_truthful(&plan, &report);
-        assert!(rate(&plan, &report) > least * whole, "{share}: {} of {whole}", rate(&plan, &report));
+        let scenario = Scenario { failure_share: share, ..Scenario::default() };
+        let report = simulate(&scenario);
+        assert_truthful(&scenario, &report);
+        assert!(rate(&scenario, &report) > least * whole, "{share}: {} of {whole}", rate(&scenario, &report));
         assert!(report.outages_detected <= 2, "{share}: outage detected {} times", report.outages_detected);
     }
 }
@@ -39,7 +39,7 @@
     for kind in MIXED {
         for (calls, share) in [(5.0, 0.1), (50.0, 0.2), (500.0, 0.2), (5_000.0, 0.1)] {
             for endpoints in [1, 4] {
-                let plan = Scenario {
+                let scenario = Scenario {
                     rate: calls,
                     clients: 0,
                     failure_share: share,
@@ -49,8 +49,8 @@
                     duration: 4 * SECOND,
                     ..Scenario::default()
                 };
-                let report = simulate(&plan);
-                assert_truthful(&plan, &report);
+                let report = simulate(&scenario);
+                assert_truthful(&scenario, &report);
                 // Messages that are submitted at the end are applied later, so the whole run counts.
                 let applied = report.applied as f64 / report.taken.max(1) as f64;
                 let most = if kind == FailureKind::Late && calls > 1_000.0 { 0.2 } else { 0.6 };
@@ -69,7 +69,7 @@
         for (calls, most, spent) in [(5.0, 5_000, 12), (50.0, 400, 20), (500.0, 150, 80), (5_000.0, 150, 400)]
         {
             let outage = Some((4 * SECOND, 12 * SECOND, kind));
-            let plan = Scenario {
+            let scenario = Scenario {
                 rate: calls,
                 clients: 0,
                 outage,
@@ -77,8 +77,8 @@
                 duration: 8 * SECOND,
                 ..Scenario::default()
             };
-            let report = simulate(&plan);
-            assert_truthful(&plan, &report);
+            let report = simulate(&scenario);
+            assert_truthful(&scenario, &report);
             let found = report.detected_after.unwrap_or(Micros::MAX) / MS;
             assert!(
                 found <= most && report.calls_before_detection <= spent,
@@ -93,9 +93,9 @@
 /// as before.
 #[test]
 fn calls_that_fail_together_are_one_event() {
-    let plan = Scenario { restarts: vec![3 * SECOND, 5 * SECOND], ..Scenario::default() };
-    let report = simulate(&plan);
-    assert_truthful(&plan, &report);
+    let scenario = Scenario { restarts: vec![3 * SECOND, 5 * SECOND], ..Scenario::default() };
+    let report = simulate(&scenario);
+    assert_truthful(&scenario, &report);
     assert_eq!(report.outages_detected, 0);
     let (before, after) = (report.by_second[2] as f64, report.by_second[3] as f64);
     assert!(after > 0.7 * before, "{:?}", &report.by_second[..8]);
@@ -105,38 +105,43 @@
 /// service as soon as the burst is over.
 #[test]
 fn bursts_of_failures_are_survived() {
-    let plan = Scenario { failure_share: 0.1, burst: 8 * MS, ..Scenario::default() };
-    let report = simulate(&plan);
-    assert_truthful(&plan, &report);
-    assert!(rate(&plan, &report) > 300.0, "{}, {} verdicts", rate(&plan, &report), report.outages_detected);
+    let scenario = Scenario { failure_share: 0.1, burst: 8 * MS, ..Scenario::default() };
+    let report = simulate(&scenario);
+    assert_truthful(&scenario, &report);
+    assert!(
+        rate(&scenario, &report) > 300.0,
+        "{}, {} verdicts",
+        rate(&scenario, &report),
+        report.outages_detected
+    );
 }
 
 /// Failures caused by load still reduce the load: the more calls are in flight, the more fail, and the
 /// scheduler stays below the number at which they do.
 #[test]
 fn failures_caused_by_load_reduce_the_load() {
-    let plan = Scenario {
+    let scenario = Scenario {
         strained_from: 12,
         strain: 0.03,
         failure_kinds: vec![FailureKind::Refused, FailureKind::ResetBefore],
         ..Scenario::default()
     };
-    let report = simulate(&plan);
-    assert_truthful(&plan, &report);
+    let report = simulate(&scenario);
+    assert_truthful(&scenario, &report);
     let tries = report.attempts as f64 / report.applied as f64;
     assert!(
-        tries < 1.35 && rate(&plan, &report) > 1_000.0,
+        tries < 1.35 && rate(&scenario, &report) > 1_000.0,
         "{tries:.2} attempts per message, {} messages a second",
-        rate(&plan, &report)
+        rate(&scenario, &report)
     );
     // A partner that accepts only a fixed number of calls at once.
-    let plan = Scenario { most_at_once: 12, ..Scenario::default() };
-    let report = simulate(&plan);
+    let scenario = Scenario { most_at_once: 12, ..Scenario::default() };
+    let report = simulate(&scenario);
     let tries = report.attempts as f64 / report.applied as f64;
     assert!(
-        tries < 1.5 && rate(&plan, &report) > 600.0,
+        tries < 1.5 && rate(&scenario, &report) > 600.0,
         "{tries:.2} attempts per message, {} messages a second",
-        rate(&plan, &report)
+        rate(&scenario, &report)
     );
 }
 
@@ -145,8 +150,9 @@
 fn no_false_outcome_is_reported_at_any_failure_share() {
     for share in [0.3, 0.45, 0.6, 0.9] {
         for seed in 1..=2 {
-            let plan = Scenario { seed, failure_share: share, duration: 4 * SECOND, ..Scenario::default() };
-            assert_truthful(&plan, &simulate(&plan));
+            let scenario =
+                Scenario { seed, failure_share: share, duration: 4 * SECOND, ..Scenario::default() };
+            assert_truthful(&scenario, &simulate(&scenario));
         }
     }
 }
@@ -157,7 +163,7 @@
 fn an_overload_is_refused_at_intake() {
     // Each partner processes eight calls of 15 ms at once: 533 calls a second.
     for (times, max_held) in [(2.0, 100_000), (10.0, 100_000), (10.0, 2_000)] {
-        let plan = Scenario {
+        let scenario = Scenario {
             rate: times * 1_066.0,
             clients: 0,
             concurrency: 8,
@@ -166,8 +172,8 @@
             duration: 60 * SECOND,
             ..Scenario::default()
         };
-        let report = simulate(&plan);
-        assert_truthful(&plan, &report);
+        let report = simulate(&scenario);
+        assert_truthful(&scenario, &report);
         let what = format!("{times} times the capacity, {max_held} places");
         let back = (report.handed_back + report.failed) as f64 / report.taken as f64;
         assert!(back < 0.01, "{what}: {:.2}% of {} handed back", back * 100.0, report.taken);
@@ -202,7 +208,7 @@
 /// A partner that doubles its capacity gets twice the load within seconds.
 #[test]
 fn a_partner_that_doubles_its_capacity_gets_twice_the_load() {
-    let plan = Scenario {
+    let scenario = Scenario {
         rate: 3_200.0,
         clients: 0,
         concurrency: 8,
@@ -212,8 +218,8 @@
         duration: 40 * SECOND,
         ..Scenario::default()
     };
-    let report = simulate(&plan);
-    assert_truthful(&plan, &report);
+    let report = simulate(&scenario);
+    assert_truthful(&scenario, &report);
     let sum = |from: usize| report.by_second[from..from + 5].iter().sum::<u64>() as f64 / 5.0;
     assert!(sum(25) > 1.8 * sum(14), "{:?}", &report.by_second[..40]);
 }
@@ -222,7 +228,7 @@
 /// partner is back, this is detected and it is served again, although hardly any messages waited for it.
 #[test]
 fn a_lasting_outage_does_not_affect_other_partners_and_its_end_is_detected() {
-    let plan = Scenario {
+    let scenario = Scenario {
         rate: 400.0,
         clients: 0,
         outage: Some((5 * SECOND, 90 * SECOND, FailureKind::Refused)),
@@ -230,8 +236,8 @@
         duration: 130 * SECOND,
         ..Scenario::default()
     };
-    let report = simulate(&plan);
-    assert_truthful(&plan, &report);
+    let report = simulate(&scenario);
+    assert_truthful(&scenario, &report);
     let second = |at: usize| report.by_second[at..at + 5].iter().sum::<u64>() as f64 / 5.0;
     assert!(second(60) > 0.9 * 200.0, "the other partner: {}", second(60));
     assert!(second(120) > 0.9 * 400.0, "both partners again: {}", second(120));
@@ -250,7 +256,7 @@
 fn retries_are_bounded_by_first_tries_at_any_share() {
     for share in [0.22, 0.4, 0.6, 0.8] {
         for kinds in [MIXED.to_vec(), vec![FailureKind::Error], vec![FailureKind::Refused]] {
-            let plan = Scenario {
+            let scenario = Scenario {
                 rate: 500.0,
                 clients: 0,
                 failure_share: share,
@@ -258,8 +264,8 @@
                 duration: 10 * SECOND,
                 ..Scenario::default()
             };
-            let report = simulate(&plan);
-            assert_truthful(&plan, &report);
+            let report = simulate(&scenario);
+            assert_truthful(&scenario, &report);
             // Twice the first tries, the saved retry budget, and ten retries a second for each of two
             // partners.
             let most = 2.0 * report.taken as f64 + 2.0 * (64.0 + 10.0 * 40.0);
--- a/tests/lossy/mod.rs
+++ b/tests/lossy/mod.rs
@@ -165,7 +165,7 @@
 ];
 
 struct Simulation {
-    plan: Scenario,
+    scenario: Scenario,
     rng: fastrand::Rng,
     now: Micros,
     scheduler: DeliveryScheduler,
@@ -237,14 +237,14 @@
 }
 
 /// Runs a simulation.
-pub fn simulate(plan: &Scenario) -> Report {
+pub fn simulate(scenario: &Scenario) -> Report {
     let mut simulation = Simulation {
-        rng: fastrand::Rng::with_seed(plan.seed),
+        rng: fastrand::Rng::with_seed(scenario.seed),
         now: 0,
         scheduler: DeliveryScheduler::new(
             0,
-            plan.seed,
-            Settings { max_held: plan.max_held, ..settings(plan.slots) },
+            scenario.seed,
+            Settings { max_held: scenario.max_held, ..settings(scenario.slots) },
         ),
         queue: BinaryHeap::new(),
         sequence: 0,
@@ -259,8 +259,11 @@
         submitted_at: HashMap::new(),
         busy_until: HashMap::new(),
         is_out: BTreeMap::new(),
-        report: Report { by_second: vec![0; (plan.duration / SECOND) as usize + 60], ..Report::default() },
-        plan: plan.clone(),
+        report: Report {
+            by_second: vec![0; (scenario.duration / SECOND) as usize + 60],
+            ..Report::default()
+        },
+        scenario: scenario.clone(),
     };
     simulation.run();
     simulation.report
@@ -275,8 +278,8 @@
 
     fn run(&mut self) {
         let mut endpoints = Vec::new();
-        for partner in 0..self.plan.partners {
-            for e in 0..self.plan.endpoints {
+        for partner in 0..self.scenario.partners {
+            for e in 0..self.scenario.endpoints {
                 let target = partner * 10 + e;
                 endpoints.push(Endpoint {
                     target,
@@ -288,17 +291,17 @@
         }
         let mut actions = Vec::new();
         self.scheduler.handle(0, Event::List { kind: ListKind::Full, version: 1, endpoints }, &mut actions);
-        for client in 0..self.plan.clients {
+        for client in 0..self.scenario.clients {
             self.schedule(client as Micros * 50, SimEvent::Submit(client));
         }
-        if self.plan.rate > 0.0 {
+        if self.scenario.rate > 0.0 {
             self.schedule(0, SimEvent::Arrive);
         }
-        for at in self.plan.restarts.clone() {
+        for at in self.scenario.restarts.clone() {
             self.schedule(at, SimEvent::Restart);
         }
         // The simulation continues past the last arrival until every message has ended.
-        let last = self.plan.duration + 30 * SECOND;
+        let last = self.scenario.duration + 30 * SECOND;
         while let Some(Reverse((at, ..))) = self.queue.peek().copied() {
             if at > last {
                 break;
@@ -319,12 +322,14 @@
 
     fn process(&mut self, event: SimEvent, actions: &mut Vec<Action>) {
         match event {
-            SimEvent::Submit(client) if self.now < self.plan.duration => self.submit(Some(client), actions),
+            SimEvent::Submit(client) if self.now < self.scenario.duration => {
+                self.submit(Some(client), actions)
+            }
             SimEvent::Submit(_) => {}
             SimEvent::Arrive => {
                 self.submit(None, actions);
-                let gap = -self.rng.f64().max(1e-9).ln() / self.plan.rate * SECOND as f64;
-                if self.now < self.plan.duration {
+                let gap = -self.rng.f64().max(1e-9).ln() / self.scenario.rate * SECOND as f64;
+                if self.now < self.scenario.duration {
                     self.schedule(self.now + gap as Micros + 1, SimEvent::Arrive);
                 }
             }
@@ -343,14 +348,14 @@
     }
 
     fn submit(&mut self, client: Option<usize>, actions: &mut Vec<Action>) {
-        if self.messages.len() >= self.plan.max_held as usize {
+        if self.messages.len() >= self.scenario.max_held as usize {
             self.report.refused += 1;
             return client.into_iter().for_each(|c| self.schedule(self.now + 100 * MS, SimEvent::Submit(c)));
         }
         self.last_id += 1;
         let id = self.last_id;
         let (class, destination) =
-            (u32::from(self.rng.f64() < self.plan.payments), self.rng.u32(0..self.plan.partners));
+            (u32::from(self.rng.f64() < self.scenario.payments), self.rng.u32(0..self.scenario.partners));
         let order_key = if class == 0 { 1 + self.rng.u64(0..500) } else { 0 };
         self.messages.insert(id, (destination, class == 1));
         self.submitted.insert(id, client);
@@ -415,16 +420,16 @@
         *in_flight += 1;
         let in_flight = *in_flight;
         self.report.max_in_flight = self.report.max_in_flight.max(in_flight);
-        let (from, to) = self.plan.latency;
+        let (from, to) = self.scenario.latency;
         let mut took = from + self.rng.u64(0..=to - from) + 200;
-        let outage = self.plan.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
+        let outage = self.scenario.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
         if let Some((from, ..)) = outage.filter(|_| partner == 0 && self.report.detected_after.is_none()) {
             self.report.calls_before_detection += u64::from(from <= self.now);
         }
         took += self.queueing_time(partner, took);
         let failure = match outage {
             Some((.., kind)) if partner == 0 => Some(kind),
-            _ if in_flight > self.plan.most_at_once => Some(FailureKind::Refused),
+            _ if in_flight > self.scenario.most_at_once => Some(FailureKind::Refused),
             _ => self.random_failure(partner, in_flight),
         };
         let outcome = match failure {
@@ -461,12 +466,12 @@
 
     /// Time that a call waits in the queue of a partner.
     fn queueing_time(&mut self, partner: u32, took: Micros) -> Micros {
-        if self.plan.concurrency == 0 {
+        if self.scenario.concurrency == 0 {
             return 0;
         }
-        let twice = self.plan.doubles_at.is_some_and(|at| self.now >= at);
+        let twice = self.scenario.doubles_at.is_some_and(|at| self.now >= at);
         let busy_until = self.busy_until.entry(partner).or_default();
-        busy_until.resize(self.plan.concurrency * if twice { 2 } else { 1 }, 0);
+        busy_until.resize(self.scenario.concurrency * if twice { 2 } else { 1 }, 0);
         let Some(first) = busy_until.iter_mut().min() else { return 0 };
         let begins = self.now.max(*first);
         *first = begins + took;
@@ -475,21 +480,21 @@
 
     /// Whether and how a call fails at random, with `in_flight` calls in flight to its partner.
     fn random_failure(&mut self, partner: u32, in_flight: usize) -> Option<FailureKind> {
-        let strain = in_flight.saturating_sub(self.plan.strained_from) as f64 * self.plan.strain;
-        let share = (self.plan.failure_share + strain).min(0.95);
+        let strain = in_flight.saturating_sub(self.scenario.strained_from) as f64 * self.scenario.strain;
+        let share = (self.scenario.failure_share + strain).min(0.95);
         let (failing, until) = self.bursts.entry(partner).or_insert((false, 0));
-        if self.plan.burst == 0 {
+        if self.scenario.burst == 0 {
             *failing = self.rng.f64() < share;
         }
-        while self.plan.burst > 0 && *until <= self.now {
+        while self.scenario.burst > 0 && *until <= self.now {
             // The time in bursts is `share` of all time. The durations of both states are exponential.
             *failing = *until > 0 && !*failing;
             let part = if *failing { 1.0 } else { (1.0 - share) / share.max(1e-9) };
-            let mean = self.plan.burst as f64 * part;
+            let mean = self.scenario.burst as f64 * part;
             *until += (-self.rng.f64().max(1e-9).ln() * mean) as Micros + 1;
         }
         let failing = *failing;
-        let kinds = &self.plan.failure_kinds;
+        let kinds = &self.scenario.failure_kinds;
         failing.then(|| kinds[self.rng.usize(0..kinds.len())])
     }
 
@@ -510,7 +515,7 @@
             let out = d.routes.iter().any(|l| matches!(l.health, Health::Out { .. }));
             let before = self.is_out.insert(d.destination, out).unwrap_or(false);
             self.report.outages_detected += u64::from(out && !before);
-            let outage = self.plan.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
+            let outage = self.scenario.outage.filter(|(from, to, _)| (*from..*to).contains(&self.now));
             if let Some((from, ..)) = outage.filter(|_| out && d.destination == 0) {
                 self.report.detected_after.get_or_insert(self.now - from);
             }
