--- a/src/fleet_pacing.rs
+++ b/src/fleet_pacing.rs
@@ -1,69 +1,79 @@
-//! The pace of a sender that is one of many: its calls are a small part of what uses a limit up.
-//! What it sees for itself comes too seldom to find a pace by, so it begins with its even part of the limit
-//! and lets what answers tell of the allowance that is left, which is true for all, move it from there.
-//! No clock, no I/O. `docs/design/fleet.md` has the figures.
+//! Pacing for a sender of a large fleet, whose own calls are a small part of what uses up a limit.
+//!
+//! Such a sender sees too few answers to find a pace from them alone. It starts with its even share of the
+//! limit and adjusts it by the remaining allowance that answers report, which is the same for all senders. No
+//! clock, no I/O; `docs/design/fleet.md` derives the constants.
 
 use crate::interface::Micros;
-use crate::state::{Gate, Lane};
+use crate::state::{Circuit, Route};
 
-/// To what a refusal cuts the pace, of one of many as of one of few.
-pub(crate) const PACE_DOWN: f64 = 0.7;
-/// Growth a second, up to its part and beyond it; there in full where nothing was refused for FORGETS. So a
-/// fleet that has met its limit passes it again at 0.045 a second: with three seconds until most have heard,
-/// what a bucket of half a second bears. An answer tells of the time since the one before, TOLD_FOR at most:
-/// what is older the others know too. From the least it brings a sender to its part, and no further.
+/// Factor by which a rejection cuts the pace, in fleets of any size.
+pub(crate) const PACE_CUT: f64 = 0.7;
+/// Relative growth of the pace a second while it is below the even share.
 const GROWTH: f64 = 0.15;
-const GROWTH_BEYOND: f64 = 0.4;
-const FORGETS: f64 = 40e6;
-const TOLD_FOR: Micros = 3_000_000;
-/// Share of the allowance above which there is room beyond the even parts, and below which there is none.
-const ROOM: f64 = 0.5;
-const USED_UP: f64 = 0.25;
-/// Parts that a sender may take at the most (some have several times the mean traffic), after a refusal or
-/// where nothing is left, and at the least: all that are behind come to less than the limit with it, and a
-/// lower one is not found back from in a message's time, since a sender's calls are seconds apart.
-const MOST: f64 = 4.0;
-const SHORT: f64 = 0.9;
-const LEAST: f64 = 0.7;
-/// Part of an aim that a message may wait here at no cost: the call and a second try take the rest.
-const FREE: f64 = 0.4;
+/// Relative growth of the pace a second above the even share. It applies in full once nothing has been
+/// rejected for [`REJECTION_MEMORY`]. A fleet that has met its limit passes it again at 0.045 a second; in
+/// the three seconds until most senders have learned of it, this is what a token bucket of half a second
+/// tolerates.
+const GROWTH_ABOVE_SHARE: f64 = 0.4;
+/// Time after which a rejection no longer slows the growth, in microseconds.
+const REJECTION_MEMORY: f64 = 40e6;
+/// Longest time since the previous answer, in microseconds, for which an answer raises the pace; the other
+/// senders know what is older. It brings a sender from the least pace to its even share and no further.
+const MAX_REPORT_SPAN: Micros = 3_000_000;
+/// Remaining share of the allowance above which the pace may exceed the even share.
+const PLENTY_LEFT: f64 = 0.5;
+/// Remaining share of the allowance below which the pace stays under the even share.
+const LITTLE_LEFT: f64 = 0.25;
+/// Largest pace in even shares: some senders have several times the mean traffic.
+const MAX_SHARES: f64 = 4.0;
+/// Pace in even shares after a rejection, or when little of the allowance is left.
+const REDUCED_SHARES: f64 = 0.9;
+/// Least pace in even shares. With it all senders that are behind stay below the limit together. From a lower
+/// pace a sender would not recover within the time of a message, since its calls are seconds apart.
+const MIN_SHARES: f64 = 0.7;
+/// Share of an aim that a message may wait here at no cost. The call and a second attempt take the rest.
+const FREE_WAIT_SHARE: f64 = 0.4;
 
-impl Lane {
-    /// A call of one of many was served; `left` is the share of the allowance that is.
-    pub(crate) fn served_in_fleet(&mut self, left: f64, now: Micros) {
-        let told = now.saturating_sub(self.raised).min(TOLD_FOR) as f64 / 1e6;
-        self.raised = now;
-        let calm = self.refused.map_or(1.0, |at| now.saturating_sub(at) as f64 / FORGETS).min(1.0);
-        let growth = match self.pace < self.part {
-            true => GROWTH * (2.0 * left).min(1.0),
-            false if left > ROOM => GROWTH_BEYOND * calm,
+impl Route {
+    /// Adjusts the pace of a sender of a large fleet after a served call. `remaining` is the share of the
+    /// allowance that is left.
+    pub(crate) fn served_in_fleet(&mut self, remaining: f64, now: Micros) {
+        let reported_span = now.saturating_sub(self.pace_raised).min(MAX_REPORT_SPAN) as f64 / 1e6;
+        self.pace_raised = now;
+        let calm =
+            self.last_rejection.map_or(1.0, |at| now.saturating_sub(at) as f64 / REJECTION_MEMORY).min(1.0);
+        let growth = match self.pace < self.fair_share {
+            true => GROWTH * (2.0 * remaining).min(1.0),
+            false if remaining > PLENTY_LEFT => GROWTH_ABOVE_SHARE * calm,
             false => 0.0,
         };
-        self.pace = (self.pace * (1.0 + growth * told)).min(MOST * self.part);
-        if left < USED_UP {
-            self.pace = self.pace.min(SHORT * self.part);
+        self.pace = (self.pace * (1.0 + growth * reported_span)).min(MAX_SHARES * self.fair_share);
+        if remaining < LITTLE_LEFT {
+            self.pace = self.pace.min(REDUCED_SHARES * self.fair_share);
         }
     }
 
-    /// One of many has a message again after a while without. What reaches the whole fleet in one
-    /// moment, a clump for one destination say, would be sent on in one moment: each has a call saved
-    /// up, together two seconds of the limit, and refused ones use it up. Each takes a place of its
-    /// own, by `draw` in 0 to 1, within a span of its pace and the part of an aim in which waiting
-    /// costs nothing.
-    pub(crate) fn rested_in_fleet(&mut self, rate: f64, aim: f64, draw: f64, now: Micros) {
+    /// Delays the first message of a sender of a large fleet after a time without messages. A burst that
+    /// reaches the whole fleet at once, for example many messages for one destination, would be forwarded at
+    /// once: every sender has a token saved up, together two seconds of the limit, and rejected calls use it
+    /// up. Each sender therefore starts at its own time, given by `draw` in 0 to 1, within one interval of
+    /// its pace and within the part of an aim in which waiting costs nothing.
+    pub(crate) fn resumed_in_fleet(&mut self, rate: f64, aim: f64, draw: f64, now: Micros) {
         let rested =
-            self.tokens >= 1.0 && self.calls.is_empty() && now as f64 > self.filled as f64 + aim / 2.0;
-        if self.part > 0.0 && self.gate == Gate::Open && rested {
-            self.tokens = 1.0 - draw * (rate * FREE * aim / 1e6).min(1.0);
+            self.tokens >= 1.0 && self.calls.is_empty() && now as f64 > self.tokens_filled as f64 + aim / 2.0;
+        if self.fair_share > 0.0 && self.circuit == Circuit::Closed && rested {
+            self.tokens = 1.0 - draw * (rate * FREE_WAIT_SHARE * aim / 1e6).min(1.0);
         }
     }
 
-    /// A call of one of many was turned away, and nothing goes before `wait_until`. All that were told
-    /// one moment would come at it together: `draw` in 0 to 1 has the next call go at a place of its
-    /// own within a span of the pace.
-    pub(crate) fn refused_in_fleet(&mut self, draw: f64, now: Micros) {
-        self.refused = Some(now);
-        self.pace = (self.pace * PACE_DOWN).min(SHORT * self.part).max(LEAST * self.part);
-        (self.tokens, self.filled) = (self.tokens.min(draw), self.filled.max(self.wait_until));
+    /// Lowers the pace of a sender of a large fleet after a rejected call. Nothing is sent before
+    /// `wait_until`. All senders that were given the same time would come back together; `draw` in 0 to 1
+    /// places the next call of each at its own time within one interval of the pace.
+    pub(crate) fn rejected_in_fleet(&mut self, draw: f64, now: Micros) {
+        self.last_rejection = Some(now);
+        self.pace =
+            (self.pace * PACE_CUT).min(REDUCED_SHARES * self.fair_share).max(MIN_SHARES * self.fair_share);
+        (self.tokens, self.tokens_filled) = (self.tokens.min(draw), self.tokens_filled.max(self.wait_until));
     }
 }
