--- a/src/bin/foldtrack/node/snapshot.rs
+++ b/src/bin/foldtrack/node/snapshot.rs
@@ -205,7 +205,7 @@
                 paused: partner.paused,
                 health: if open == 0 { "closed" } else { worst.map_or("up", health) }.into(),
                 verdict: if open == 0 {
-                    "no new calls are sent to it".into()
+                    "nothing new goes to it".into()
                 } else {
                     worst.map_or(String::new(), RouteStatus::describe)
                 },
