--- a/src/emulator_policy.rs
+++ b/src/emulator_policy.rs
@@ -1,33 +1,31 @@
-//! The module as a policy of the emulator: the same decisions, in simulated time.
+//! The scheduler as a policy of the emulator: the same decisions, in simulated time.
 
 use crate::{
     Action, Class, DeliveryScheduler, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind,
     ListedRate, Outcome, Rules, Settings,
 };
-use foldtrack_emulator::policy::{
-    AttemptOutcome, Command, Effect as ClassEffect, Policy, PolicyEvent, PolicyFactory, Site,
-};
+use foldtrack_emulator::policy::{Deed, Effect as EmulatedEffect, Ending, Maker, News, Policy, Site};
 use foldtrack_emulator::{Micros, SECOND};
 
-/// A forwarder handles what has come in once in so long.
+/// Shortest time between two moments at which a forwarder processes events.
 const TICK: Micros = 5_000;
-/// What is told to drain gets nothing new after this time.
+/// Time after which a drained endpoint gets no new calls.
 const DRAIN_GRACE: Micros = 2 * SECOND;
-/// After an end that may still run a key rests for so long.
+/// Pause of an order key after an attempt that may still run.
 const ORDER_PAUSE: Micros = 100_000;
 
-/// Makes modules with the settings of a fleet's site.
+/// Creates a scheduler for each forwarder of an emulated fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SchedulerFactory;
 
-impl PolicyFactory for SchedulerFactory {
+impl Maker for SchedulerFactory {
     fn name(&self) -> &str {
         "module"
     }
 
-    fn create(&self, site: &Site) -> Box<dyn Policy> {
-        let brain = DeliveryScheduler::new(0, site.seed, settings(site));
-        Box::new(Module { brain, version: 0, actions: Vec::new() })
+    fn make(&self, site: &Site) -> Box<dyn Policy> {
+        let scheduler = DeliveryScheduler::new(0, site.seed, settings(site));
+        Box::new(SchedulerPolicy { scheduler, version: 0, actions: Vec::new() })
     }
 }
 
@@ -38,12 +36,12 @@
         worth: c.worth,
         late_value: c.late,
         effect: match c.effect {
-            ClassEffect::Repeatable => Effect::Repeatable,
-            ClassEffect::Keyed(_) => Effect::Keyed,
-            ClassEffect::Once => Effect::Once,
+            EmulatedEffect::Repeatable => Effect::Repeatable,
+            EmulatedEffect::Keyed(_) => Effect::Keyed,
+            EmulatedEffect::Once => Effect::Once,
         },
         dedup_window: match c.effect {
-            ClassEffect::Keyed(window) => window,
+            EmulatedEffect::Keyed(window) => window,
             _ => 0,
         },
         in_order: c.in_order,
@@ -52,15 +50,15 @@
     Settings {
         senders: site.forwarders,
         slots: site.slots,
-        max_held: site.max_held,
-        max_attempts: site.max_attempts,
+        max_held: site.held,
+        max_attempts: site.attempts,
         classes: site.classes.iter().map(class).collect(),
         rules: Rules {
             drain_grace: DRAIN_GRACE,
-            cold_capacity_share: site.slow_start.initial_share,
-            slow_start_time: site.slow_start.duration,
-            overload_factor: site.slow_start.overload_factor,
-            overload_duration: site.slow_start.overload_duration,
+            cold_capacity_share: site.cold.from,
+            slow_start_time: site.cold.warm_after,
+            overload_factor: site.cold.tip,
+            overload_duration: site.cold.tip_after,
             uncertain_key_pause: ORDER_PAUSE,
             ..Rules::default()
         },
@@ -70,29 +68,30 @@
     }
 }
 
-struct Module {
-    brain: DeliveryScheduler,
+struct SchedulerPolicy {
+    scheduler: DeliveryScheduler,
+    /// Version of the endpoint list.
     version: u32,
     actions: Vec<Action>,
 }
 
-fn scheduler_outcome(outcome: AttemptOutcome) -> Outcome {
-    match outcome {
-        AttemptOutcome::Delivered => Outcome::Ok,
-        AttemptOutcome::Failed => Outcome::Error,
-        AttemptOutcome::Rejected => Outcome::Rejected,
-        AttemptOutcome::TimedOut => Outcome::TimedOut,
-        AttemptOutcome::Reset => Outcome::Reset,
-        AttemptOutcome::NotSent => Outcome::NotSent,
+fn outcome(ending: Ending) -> Outcome {
+    match ending {
+        Ending::Done => Outcome::Ok,
+        Ending::Failed => Outcome::Error,
+        Ending::Full => Outcome::Rejected,
+        Ending::TimedOut => Outcome::TimedOut,
+        Ending::Reset => Outcome::Reset,
+        Ending::NotSent => Outcome::NotSent,
     }
 }
 
-impl Policy for Module {
-    fn handle_event(&mut self, now: Micros, event: PolicyEvent, commands: &mut Vec<Command>) {
-        let event = match event {
-            PolicyEvent::List(lines) => {
+impl Policy for SchedulerPolicy {
+    fn hear(&mut self, now: Micros, news: News, deeds: &mut Vec<Deed>) {
+        let event = match news {
+            News::List(lines) => {
                 self.version += 1;
-                let endpoint = |line: foldtrack_emulator::policy::ListedEndpoint| Endpoint {
+                let endpoint = |line: foldtrack_emulator::policy::Line| Endpoint {
                     target: line.target,
                     destination: line.partner,
                     state: EndpointState::Ready,
@@ -102,49 +101,39 @@
                 let endpoints = lines.into_iter().map(endpoint).collect();
                 Event::List { kind: ListKind::Full, version: self.version, endpoints }
             }
-            PolicyEvent::Message { id, class, partner, key, expires } => {
+            News::Message { id, class, partner, key, expires } => {
                 Event::Request { id, class, destination: partner, order_key: key, expires }
             }
-            PolicyEvent::AttemptEnded {
-                id,
-                attempt,
-                target,
-                outcome,
-                took,
-                finished,
-                wait,
-                limit_report,
-            } => Event::Outcome {
+            News::Ended { id, attempt, target, ending, took, over, wait, told } => Event::Outcome {
                 id,
                 attempt,
                 target,
-                outcome: scheduler_outcome(outcome),
+                outcome: outcome(ending),
                 took,
-                ended: finished,
+                ended: over,
                 wait,
-                report: limit_report
-                    .map(|report| LimitReport { share_left: report.share_left, rate: report.rate }),
+                report: told.map(|told| LimitReport { share_left: told.left, rate: told.rate }),
             },
-            PolicyEvent::Wake { token } => Event::Timer { token },
+            News::Wake { token } => Event::Timer { token },
         };
-        self.brain.handle(now, event, &mut self.actions);
-        self.tell(commands);
+        self.scheduler.handle(now, event, &mut self.actions);
+        self.translate_actions(deeds);
     }
 
-    fn decide(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        self.brain.decide(now, &mut self.actions);
-        self.tell(commands);
+    fn decide(&mut self, now: Micros, deeds: &mut Vec<Deed>) {
+        self.scheduler.decide(now, &mut self.actions);
+        self.translate_actions(deeds);
     }
 }
 
-impl Module {
-    fn tell(&mut self, commands: &mut Vec<Command>) {
-        commands.extend(self.actions.drain(..).filter_map(|action| match action {
-            Action::Send { id, target, until } => Some(Command::Send { id, target, until }),
-            Action::Refuse { id, retry_after } => Some(Command::Refuse { id, retry_after }),
-            Action::Fail { id } => Some(Command::Fail { id }),
-            Action::Timer { after, token } => Some(Command::Wake { after, token }),
-            // Probes, lists and calls that are called off are none of this world's.
+impl SchedulerPolicy {
+    fn translate_actions(&mut self, deeds: &mut Vec<Deed>) {
+        deeds.extend(self.actions.drain(..).filter_map(|action| match action {
+            Action::Send { id, target, until } => Some(Deed::Send { id, target, until }),
+            Action::Refuse { id, retry_after } => Some(Deed::Refuse { id, again_after: retry_after }),
+            Action::Fail { id } => Some(Deed::Fail { id }),
+            Action::Timer { after, token } => Some(Deed::Wake { after, token }),
+            // The emulator has no probes, no list subscriptions and no cancelled calls.
             _ => None,
         }));
     }
