--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -7,10 +7,10 @@
 use foldtrack_control::{Client, ControlCommand, ControlResponse, Partner as PartnerStats, Status};
 use foldtrack_load::forwarder::{Forwarder, ListedPartner};
 use foldtrack_load::http_client::{post_request, HttpClient};
-use foldtrack_rig::run::Play;
-use foldtrack_rig::story::{Story, What};
-use foldtrack_standin::books::{judge, Books, Fate};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_rig::run::RunConfig;
+use foldtrack_rig::scenario::{Action, Scenario};
+use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -38,12 +38,12 @@
 
 /// Runs a fleet that is partitioned in two for a while, with an operator order on each side.
 fn partitioned_fleet(forwarders: usize, seed: u64) -> CommandResult {
-    let mut story = Story::told("cut")
+    let mut scenario = Scenario::built_in("cut")
         .ok_or_else(|| CommandError(EXIT_FAILED, "the built-in scenario `cut` is missing".into()))?;
     // The scenario is written for five forwarders; with fewer, the second side is the smaller one.
-    story.forwarders = 3;
-    for step in &mut story.steps {
-        if let What::Order(who, ..) = &mut step.what {
+    scenario.forwarders = 3;
+    for step in &mut scenario.steps {
+        if let Action::Order(who, ..) = &mut step.what {
             if forwarders < 4 && who == "d" {
                 *who = "c".into();
             }
@@ -51,9 +51,9 @@
     }
     print(&format!(
         "{forwarders} forwarders as peers, with their partners and clients.\n{}.\n\n",
-        story.about
+        scenario.about
     ))?;
-    let report = fleet::run_with_progress(&Play::of("demo", story, forwarders, seed), false)?;
+    let report = fleet::run_with_progress(&RunConfig::new("demo", scenario, forwarders, seed), false)?;
     print(&fleet::table(&report))?;
     if report.is_clean() {
         return Ok(());
@@ -78,13 +78,18 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How each partner behaves.
-fn conduct(name: &str) -> Conduct {
+fn behavior(name: &str) -> PartnerBehavior {
     let ms = Duration::from_millis;
     match name {
-        "slow" => Conduct { answers: (ms(150), ms(400)), ..Conduct::default() },
-        "limited" => Conduct { rate: Some(60.0), ..Conduct::default() },
-        "shaky" => Conduct { answers: (ms(5), ms(40)), errors: 0.01, capacity: 200.0, ..Conduct::default() },
-        _ => Conduct::default(),
+        "slow" => PartnerBehavior { answers: (ms(150), ms(400)), ..PartnerBehavior::default() },
+        "limited" => PartnerBehavior { rate: Some(60.0), ..PartnerBehavior::default() },
+        "shaky" => PartnerBehavior {
+            answers: (ms(5), ms(40)),
+            errors: 0.01,
+            capacity: 200.0,
+            ..PartnerBehavior::default()
+        },
+        _ => PartnerBehavior::default(),
     }
 }
 
@@ -112,7 +117,7 @@
     let partners: Vec<(&str, Partner)> = PARTNERS
         .iter()
         .enumerate()
-        .map(|(n, (name, ..))| (*name, Partner::start(demo.seed + n as u64, conduct(name))))
+        .map(|(n, (name, ..))| (*name, Partner::start(demo.seed + n as u64, behavior(name))))
         .collect();
     let site_partners: Vec<ListedPartner> = partners
         .iter()
@@ -151,9 +156,9 @@
         let faults = scope.spawn(move || {
             let Some(shaky) = shaky else { return };
             sleep(span.mul_f64(OUTAGE.0));
-            shaky.conduct(|c| c.silent = true);
+            shaky.update_behavior(|c| c.silent = true);
             sleep(span.mul_f64(OUTAGE.1 - OUTAGE.0));
-            shaky.come_back_cold();
+            shaky.recover_with_slow_start();
         });
         let progress = watch(&mut client, &sent, demo.messages);
         sent.done.store(true, Ordering::SeqCst);
@@ -162,7 +167,8 @@
     });
     let (status, partner_stats) = progress?;
     let outcomes = foldtrack_rig::run::ends(listen).map_err(|e| failed("reading the outcomes", &e))?;
-    let call_records: Vec<(&str, Books)> = partners.iter().map(|(name, p)| (*name, p.books())).collect();
+    let call_records: Vec<(&str, CallRecords)> =
+        partners.iter().map(|(name, p)| (*name, p.call_records())).collect();
     conclude(&status, &partner_stats, &outcomes, &call_records, &sent, start.elapsed())
 }
 
@@ -251,11 +257,13 @@
 /// call records.
 fn conclude(
     status: &Status, partners: &[PartnerStats], outcomes: &BTreeMap<String, Vec<String>>,
-    call_records: &[(&str, Books)], sent: &Sent, elapsed: Duration,
+    call_records: &[(&str, CallRecords)], sent: &Sent, elapsed: Duration,
 ) -> CommandResult {
     let accepted = lock_ignoring_poison(&sent.accepted);
-    let verdict = judge(call_records.iter().map(|(_, b)| b));
-    let effect = |call: &&foldtrack_standin::books::Call| matches!(call.fate, Fate::Took | Fate::Swallowed);
+    let verdict = check_rules(call_records.iter().map(|(_, b)| b));
+    let effect = |call: &&foldtrack_standin::call_records::Call| {
+        matches!(call.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered)
+    };
     let effects: BTreeSet<&str> =
         call_records.iter().flat_map(|(_, b)| b.calls.iter().filter(effect).map(|c| c.id.as_str())).collect();
     let mut by_outcome: BTreeMap<(&str, &str), u64> = BTreeMap::new();
--- a/src/bin/foldtrack/cli/fleet.rs
+++ b/src/bin/foldtrack/cli/fleet.rs
@@ -3,10 +3,10 @@
 
 use super::{print, CommandError, CommandResult, EXIT_FAILED, EXIT_USAGE};
 use clap::Subcommand;
-use foldtrack_rig::run::{play, Play, Progress};
-use foldtrack_rig::shrink::shortest;
-use foldtrack_rig::story::{Story, TOLD};
-use foldtrack_rig::verdict::Report;
+use foldtrack_rig::report::Report;
+use foldtrack_rig::run::{run_scenario, Progress, RunConfig};
+use foldtrack_rig::scenario::{Scenario, BUILT_IN};
+use foldtrack_rig::shrink::shrink_scenario;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -56,17 +56,17 @@
     match args {
         Fleet::List => {
             let line = |(name, text): &(&str, &str)| {
-                let about = Story::read(text).map(|s| s.about).unwrap_or_default();
+                let about = Scenario::read(text).map(|s| s.about).unwrap_or_default();
                 format!("{name:<16}{about}\n")
             };
-            print(&TOLD.iter().map(line).collect::<String>())
+            print(&BUILT_IN.iter().map(line).collect::<String>())
         }
-        Fleet::Story { name } => match TOLD.iter().find(|(known, _)| known == name) {
+        Fleet::Story { name } => match BUILT_IN.iter().find(|(known, _)| known == name) {
             Some((_, text)) => print(text),
             None => Err(unknown(name)),
         },
         Fleet::Run { forwarders, scenario, seed, json, alone, no_shrink } => {
-            let mut plan = Play::of(scenario, load_scenario(scenario)?, *forwarders as usize, *seed);
+            let mut plan = RunConfig::new(scenario, load_scenario(scenario)?, *forwarders as usize, *seed);
             plan.peers = !alone;
             run(&plan, *json, !no_shrink)
         }
@@ -75,7 +75,7 @@
 
 /// The error for a scenario that is neither built in nor a file.
 fn unknown(name: &str) -> CommandError {
-    let names: Vec<&str> = TOLD.iter().map(|(name, _)| *name).collect();
+    let names: Vec<&str> = BUILT_IN.iter().map(|(name, _)| *name).collect();
     CommandError(
         EXIT_USAGE,
         format!(
@@ -86,16 +86,16 @@
 }
 
 /// Reads a built-in scenario or a file.
-fn load_scenario(name: &str) -> Result<Story, CommandError> {
-    if let Some(story) = Story::told(name) {
-        return Ok(story);
+fn load_scenario(name: &str) -> Result<Scenario, CommandError> {
+    if let Some(scenario) = Scenario::built_in(name) {
+        return Ok(scenario);
     }
     let text = std::fs::read_to_string(PathBuf::from(name)).map_err(|_| unknown(name))?;
-    Story::read(&text).map_err(|e| CommandError(EXIT_USAGE, format!("{name}: {e}")))
+    Scenario::read(&text).map_err(|e| CommandError(EXIT_USAGE, format!("{name}: {e}")))
 }
 
 /// Runs a scenario, with a progress bar unless `quiet`.
-pub(super) fn run_with_progress(plan: &Play, quiet: bool) -> Result<Report, CommandError> {
+pub(super) fn run_with_progress(plan: &RunConfig, quiet: bool) -> Result<Report, CommandError> {
     let program =
         std::env::current_exe().map_err(|e| CommandError(EXIT_FAILED, format!("this program: {e}")))?;
     let (progress, finished) = (Progress::default(), AtomicBool::new(false));
@@ -109,12 +109,12 @@
     let report = std::thread::scope(|scope| {
         scope.spawn(|| {
             while !finished.load(Ordering::Relaxed) {
-                bar.set_position(progress.part.load(Ordering::Relaxed));
-                bar.set_message(progress.doing.lock().unwrap_or_else(PoisonError::into_inner).clone());
+                bar.set_position(progress.per_mille.load(Ordering::Relaxed));
+                bar.set_message(progress.activity.lock().unwrap_or_else(PoisonError::into_inner).clone());
                 std::thread::sleep(Duration::from_millis(100));
             }
         });
-        let report = play(&program, plan, &progress);
+        let report = run_scenario(&program, plan, &progress);
         finished.store(true, Ordering::Relaxed);
         report
     });
@@ -124,9 +124,9 @@
 
 /// Runs a scenario, prints the report and, on failure, searches for the shortest scenario that
 /// fails.
-fn run(plan: &Play, json: bool, shrink: bool) -> CommandResult {
+fn run(plan: &RunConfig, json: bool, shrink: bool) -> CommandResult {
     if !json {
-        print(&format!("{}: {}\n", plan.name, plan.story.about))?;
+        print(&format!("{}: {}\n", plan.name, plan.scenario.about))?;
     }
     let report = run_with_progress(plan, json)?;
     if !json {
@@ -138,12 +138,12 @@
             "a rule was violated with seed {}; searching for the shortest scenario that violates one\n",
             plan.seed
         ))?;
-        let fails = |story: &Story| {
-            let shorter = Play { story: story.clone(), ..plan.clone() };
+        let fails = |candidate: &Scenario| {
+            let shorter = RunConfig { scenario: candidate.clone(), ..plan.clone() };
             run_with_progress(&shorter, false).is_ok_and(|r| r.breaches.sum() > 0)
         };
-        let (short, runs) = shortest(&plan.story, MAX_SHRINK_RUNS, fails);
-        print(&format!("after {runs} runs, for --seed {}:\n\n{}\n", plan.seed, short.text()))?;
+        let (short, runs) = shrink_scenario(&plan.scenario, MAX_SHRINK_RUNS, fails);
+        print(&format!("after {runs} runs, for --seed {}:\n\n{}\n", plan.seed, short.to_toml()))?;
     }
     let line = serde_json::to_string(&report).map_err(|e| CommandError(EXIT_FAILED, e.to_string()))?;
     print(&format!("{line}\n"))?;
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -7,7 +7,7 @@
 use foldtrack_peers::seal::{Sealer, MAX_DATAGRAM};
 use foldtrack_peers::store::{ClaimLog, Opened, OpenedClaims, Store};
 use foldtrack_peers::{Peers, Record, Restored, Settings};
-use foldtrack_site::PeerSettings as PeersConfig;
+use foldtrack_site::PeerSettings;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -26,7 +26,7 @@
 
 /// What is opened before the node loop starts.
 pub(crate) struct PeerSetup {
-    config: PeersConfig,
+    config: PeerSettings,
     sealer: Sealer,
     store: Store,
     restored: Restored,
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// The secret can't be read or is too short, or the claim log can't be written.
-    pub fn open(config: &PeersConfig, state: &Path, blocks: Arc<Blocks>) -> Result<PeerSetup, String> {
+    pub fn open(config: &PeerSettings, state: &Path, blocks: Arc<Blocks>) -> Result<PeerSetup, String> {
         let named = |e: &dyn std::fmt::Display| format!("{}: {e}", config.secret.display());
         let secret = std::fs::read(&config.secret).map_err(|e| named(&e))?;
         let sealer = Sealer::new(secret.trim_ascii()).map_err(|e| named(&e))?;
--- a/tests/site/admission.rs
+++ b/tests/site/admission.rs
@@ -5,7 +5,7 @@
 use super::flood_clients::{connect_from, flood, p99, submit, submit_to};
 use super::site_process::*;
 use foldtrack_control::{Clients, ControlCommand, ControlResponse};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::io::{Read, Write};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -27,7 +27,7 @@
 
 /// Floods a site from these addresses; known clients must lose nothing.
 fn check_flood(what: &str, addresses: &[String], admission: &'static str) {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.limits = "descriptors = 400\ncalls = 64";
     config.admission = admission;
@@ -90,7 +90,7 @@
 /// The address of a flood is reported once and can be blocked; the block survives a restart.
 #[test]
 fn a_flood_is_reported_blocked_and_unblocked() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.admission = "new-per-second = 5\nburst = 20";
     let mut site = SiteProcess::start(&config);
@@ -131,9 +131,12 @@
 /// control socket responds, and only new connections have to wait.
 #[test]
 fn accepted_messages_end_when_descriptors_run_out() {
-    let conduct = Conduct { answers: (Duration::from_secs(2), Duration::from_secs(2)), ..Conduct::default() };
-    let partner = Partner::start(3, conduct);
-    let quick = Partner::start(4, Conduct::default());
+    let behavior = PartnerBehavior {
+        answers: (Duration::from_secs(2), Duration::from_secs(2)),
+        ..PartnerBehavior::default()
+    };
+    let partner = Partner::start(3, behavior);
+    let quick = Partner::start(4, PartnerBehavior::default());
     let mut config =
         SiteConfig::with_endpoints(&[("p", "a", partner.address()), ("q", "b", quick.address())]);
     config.limits = "descriptors = 400\ncalls = 64\ndisk = \"10MiB\"";
@@ -176,7 +179,7 @@
 
 #[test]
 fn a_descriptor_limit_that_is_too_small_is_reported_at_start() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.limits = "descriptors = 400\ncalls = 64";
     let site = SiteProcess::prepared(&config);
@@ -195,9 +198,11 @@
 #[test]
 fn all_users_of_descriptors_together_stay_within_the_limit() {
     const LIMIT: usize = 104;
-    let conduct =
-        Conduct { answers: (Duration::from_millis(40), Duration::from_millis(60)), ..Conduct::default() };
-    let (p, q) = (Partner::start(3, conduct.clone()), Partner::start(4, conduct));
+    let behavior = PartnerBehavior {
+        answers: (Duration::from_millis(40), Duration::from_millis(60)),
+        ..PartnerBehavior::default()
+    };
+    let (p, q) = (Partner::start(3, behavior.clone()), Partner::start(4, behavior));
     let mut config = SiteConfig::with_endpoints(&[("p", "a", p.address()), ("q", "b", q.address())]);
     config.limits = "descriptors = 104\ncalls = 20";
     config.admission = "known = [\"127.0.9.0/24\"]\nper-known = 36\nrequests = 36";
@@ -236,7 +241,7 @@
 /// A client that reads its responses below the minimum rate is disconnected.
 #[test]
 fn a_client_that_reads_too_slowly_is_disconnected() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.admission = "known = [\"127.0.9.0/24\"]";
     let site = SiteProcess::start(&config);
@@ -270,7 +275,7 @@
 /// clients.
 #[test]
 fn clients_that_retry_at_once_delay_nobody() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.limits = "descriptors = 400\ncalls = 64";
     config.admission =
--- a/tests/site/connections.rs
+++ b/tests/site/connections.rs
@@ -3,8 +3,8 @@
 
 use super::site_process::*;
 use foldtrack_control::ControlCommand;
-use foldtrack_standin::http::{Closing, Reply, Server, OK};
-use foldtrack_standin::tls::{Authority, Front};
+use foldtrack_standin::http::{IdleClose, Reply, Server, OK};
+use foldtrack_standin::tls::{Authority, TlsFrontend};
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -23,16 +23,16 @@
 /// times the timeout, and every fifth time a tenth of it. Returns how many were written to a
 /// connection that the partner had dropped.
 fn submit_near_idle_timeout(
-    site: &SiteProcess, server: &Server, name: &str, idle: u64, closing: Closing,
+    site: &SiteProcess, server: &Server, name: &str, idle: u64, closing: IdleClose,
 ) -> usize {
     server.drop_idle(Some((MS(idle), closing)));
-    let before = server.behind.load(Ordering::SeqCst);
+    let before = server.late_requests.load(Ordering::SeqCst);
     for call in 0..calls() {
         assert_eq!(site.post("fee", "", &format!("{name}-{call}"), "x").0, 202);
         let gap = if call % 5 == 0 { idle / 10 } else { idle / 2 + (call * 37 % 100) * idle * 3 / 400 };
         sleep(MS(gap));
     }
-    server.behind.load(Ordering::SeqCst) - before
+    server.late_requests.load(Ordering::SeqCst) - before
 }
 
 /// A partner drops idle connections after a time that it does not announce and that changes. A
@@ -43,11 +43,11 @@
     let mut config = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
     config.calls = "open-ahead = false";
     let site = SiteProcess::start(&config);
-    let announced = submit_near_idle_timeout(&site, &server, "told", 60, Closing::Told);
-    let sooner = submit_near_idle_timeout(&site, &server, "sooner", 30, Closing::Told);
+    let announced = submit_near_idle_timeout(&site, &server, "told", 60, IdleClose::Fin);
+    let sooner = submit_near_idle_timeout(&site, &server, "sooner", 30, IdleClose::Fin);
     // A silent close shows only when a message is sent, so a few are lost until the timeout is
     // learned.
-    let silent = submit_near_idle_timeout(&site, &server, "silent", 50, Closing::Silent);
+    let silent = submit_near_idle_timeout(&site, &server, "silent", 50, IdleClose::Silent);
     let sent = 3 * calls();
     eventually("all have ended", || site.status().held == 0);
     let status = site.status();
@@ -69,7 +69,7 @@
 /// A partner behind TLS with slow handshakes.
 struct SlowPartner {
     server: Arc<Server>,
-    front: Arc<Front>,
+    front: Arc<TlsFrontend>,
     _folder: TempDir,
     lines: String,
 }
@@ -79,7 +79,7 @@
     let authority = Authority::new("far");
     let server = Server::start(|_| OK);
     let issued = authority.issue(&["far.example".into()], (2020, 2090));
-    let front = Front::start(server.address, Authority::server(&issued, None));
+    let front = TlsFrontend::start(server.address, Authority::server(&issued, None));
     front.delay(handshake);
     let folder = tempfile::tempdir().unwrap();
     let roots = folder.path().join("roots.pem");
--- a/tests/site/encrypted.rs
+++ b/tests/site/encrypted.rs
@@ -3,7 +3,7 @@
 use super::site_process::*;
 use foldtrack_control::{ControlCommand, ControlResponse};
 use foldtrack_standin::http::{Reply, Server, OK};
-use foldtrack_standin::tls::{Authority, Front, Issued};
+use foldtrack_standin::tls::{Authority, Issued, TlsFrontend};
 use std::fs::{self, Permissions};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
 struct TlsPartner {
     authority: Authority,
     server: Arc<Server>,
-    front: Arc<Front>,
+    front: Arc<TlsFrontend>,
     folder: TempDir,
 }
 
@@ -28,7 +28,7 @@
     fn start(issue: impl Fn(&Authority) -> Issued) -> TlsPartner {
         let authority = Authority::new("the partner's");
         let server = Server::start(|_| OK);
-        let front = Front::start(server.address, Authority::server(&issue(&authority), None));
+        let front = TlsFrontend::start(server.address, Authority::server(&issue(&authority), None));
         let partner = TlsPartner { authority, server, front, folder: tempfile::tempdir().unwrap() };
         partner.write("roots.pem", &partner.authority.pem, 0o644);
         partner
--- a/tests/site/kills.rs
+++ b/tests/site/kills.rs
@@ -3,9 +3,9 @@
 
 use super::site_process::*;
 use foldtrack_control::{Client, ControlCommand};
-use foldtrack_standin::books::{judge, Fate};
+use foldtrack_standin::call_records::{check_rules, CallOutcome};
 use foldtrack_standin::http::{Server, OK};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -145,7 +145,8 @@
 
 /// A site with a small journal that compacts constantly, and a partner that fails some calls.
 fn small_site(durability: &'static str, budget: bool) -> (SiteProcess, Partner) {
-    let partner = Partner::start(7, Conduct { resets: 0.02, errors: 0.02, ..Conduct::default() });
+    let partner =
+        Partner::start(7, PartnerBehavior { resets: 0.02, errors: 0.02, ..PartnerBehavior::default() });
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.limits = "messages = 2000\ndisk = \"16MiB\"";
     config.ends = "size = \"8MiB\"";
@@ -231,13 +232,13 @@
     for id in &taken {
         assert_eq!(by_id.get(id.as_str()).map(Vec::len), Some(1), "{id}: {:?}", by_id.get(id.as_str()));
     }
-    let records = partner.books();
-    let verdict = judge([&records]);
+    let records = partner.call_records();
+    let verdict = check_rules([&records]);
     assert!(verdict.twice.is_empty(), "{verdict:?}");
     let effective: BTreeSet<&str> = records
         .calls
         .iter()
-        .filter(|c| matches!(c.fate, Fate::Took | Fate::Swallowed))
+        .filter(|c| matches!(c.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered))
         .map(|c| c.id.as_str())
         .collect();
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -11,9 +11,9 @@
 mod site_process;
 
 use foldtrack_control::{ClientError, ControlCommand, ControlResponse};
-use foldtrack_standin::books::judge;
+use foldtrack_standin::call_records::check_rules;
 use foldtrack_standin::http::{Reply, Server, OK};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use site_process::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -512,13 +512,13 @@
 
 /// Submits an update, waits, submits it again and checks that it took effect once.
 fn resubmit_after(wait: Duration, memory: u64) {
-    let conduct = Conduct {
+    let behavior = PartnerBehavior {
         failing: 1.0,
-        kinds: vec![foldtrack_standin::Kind::ResetAfter],
+        kinds: vec![foldtrack_standin::FailureKind::ResetAfter],
         remembers: Duration::from_secs(memory),
-        ..Conduct::default()
+        ..PartnerBehavior::default()
     };
-    let partner = Partner::start(5, conduct);
+    let partner = Partner::start(5, behavior);
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.update_deadline = "2s";
     config.remembered = format!("{memory}s");
@@ -526,7 +526,7 @@
     assert_eq!(site.post("update", "k", "u1", "class=update;").0, 202);
     eventually("it has an outcome", || site.message_state("u1") != "held");
     let end = site.get("/v1/messages/u1").1;
-    partner.conduct(|c| c.failing = 0.0);
+    partner.update_behavior(|c| c.failing = 0.0);
     sleep(wait);
     site.kill();
     site.restart();
@@ -539,15 +539,20 @@
         None => assert!(answer == 409 && end["state"] == "in_doubt", "{wait:?}: {answer}, {end}"),
     }
     eventually("it has an outcome again", || site.message_state("u1") != "held");
-    let verdict = judge([&partner.books()]);
-    assert_eq!((verdict.effects, verdict.twice.len()), (1, 0), "{wait:?}: {:?}", partner.books().calls);
+    let verdict = check_rules([&partner.call_records()]);
+    assert_eq!(
+        (verdict.effects, verdict.twice.len()),
+        (1, 0),
+        "{wait:?}: {:?}",
+        partner.call_records().calls
+    );
 }
 
 /// `foldtrack send` is killed, and later the forwarder, while a file is submitted. Run again, the
 /// command submits the rest, and nothing twice.
 #[test]
 fn a_file_is_submitted_once_despite_interruptions() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut site = SiteProcess::start(&SiteConfig::with_endpoints(&[("p", "a", partner.address())]));
     let file = site.folder.path().join("in.jsonl");
     let line = |n: usize| match n % 3 {
@@ -578,12 +583,12 @@
     let ended = second.wait_with_output().unwrap();
     let table = String::from_utf8_lossy(&ended.stdout).into_owned();
     eventually("all have ended", || site.status().held == 0);
-    let books = partner.books();
-    let verdict = judge([&books]);
+    let call_records = partner.call_records();
+    let verdict = check_rules([&call_records]);
     assert!(verdict.twice.is_empty() && verdict.out_of_order.is_empty(), "{verdict:?}");
     // Calls in flight when the forwarder was killed may be in doubt and may never have arrived; all
     // other messages are delivered.
-    let ids: BTreeSet<&str> = books.calls.iter().map(|c| c.id.as_str()).collect();
+    let ids: BTreeSet<&str> = call_records.calls.iter().map(|c| c.id.as_str()).collect();
     let output_text = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
     let ends: Vec<serde_json::Value> =
         output_text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
@@ -595,7 +600,7 @@
     }
     let again = site.run_command(&["send", file.to_str().unwrap(), "--partner", "p"]);
     assert!(String::from_utf8_lossy(&again.stderr).contains(&format!("{count} lines were already accepted")));
-    assert_eq!(judge([&partner.books()]), verdict);
+    assert_eq!(check_rules([&partner.call_records()]), verdict);
 }
 
 #[test]
@@ -629,7 +634,8 @@
 /// share syncs, and the outcomes are the same.
 #[test]
 fn messages_are_accepted_delivered_and_reported_with_machine_durability() {
-    let partner = Partner::start(5, Conduct { answers: (MS(0), MS(1)), ..Conduct::default() });
+    let partner =
+        Partner::start(5, PartnerBehavior { answers: (MS(0), MS(1)), ..PartnerBehavior::default() });
     let mut config = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     config.durability = "machine";
     let mut site = SiteProcess::start(&config);
@@ -649,7 +655,7 @@
     });
     eventually("all ends", || site.status().delivered == 240);
     // On a slow machine some messages may be sent again; the partner recognises their keys.
-    let verdict = judge([&partner.books()]);
+    let verdict = check_rules([&partner.call_records()]);
     assert!(verdict.effects == 240 && verdict.is_clean(), "{verdict:?}");
     let output_text = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
     assert_eq!(output_text.lines().count(), 240);
