--- a/src/bin/foldtrack/cli/journal.rs
+++ b/src/bin/foldtrack/cli/journal.rs
@@ -1,5 +1,5 @@
 //! `foldtrack journal`: inspects a journal, while a forwarder uses it or afterwards. It only reads,
-//! and takes no lock that a running forwarder could wait for.
+//! and does nothing that a running forwarder could wait for.
 
 use super::{load, print, show, CommandError, CommandResult, EXIT_FAILED, EXIT_REFUSED};
 use base64::prelude::{Engine, BASE64_STANDARD};
--- a/src/bin/foldtrack/cli/send.rs
+++ b/src/bin/foldtrack/cli/send.rs
@@ -32,7 +32,7 @@
 /// Maximum length of an input line. A body has 64 KiB at most.
 const MAX_LINE_BYTES: u64 = 256 * 1024;
 /// How long the forwarder may be unreachable, for example during a restart, before the command
-/// gives up.
+/// gives up. Running it again resumes.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Minimum delay before a request is retried, and the interval between polls for outcomes.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
