--- a/benches/peers.rs
+++ b/benches/peers.rs
@@ -4,7 +4,7 @@
 //!
 //!     cargo bench --bench peers [-- cost | waits]
 
-use foldtrack_control::Ask;
+use foldtrack_control::ControlCommand;
 use foldtrack_load::exchange::{post, Exchange};
 use foldtrack_rig::fleet::{Fleet, FolderAs, Listed, Plan};
 use foldtrack_rig::run::{play, Play, Progress};
@@ -50,8 +50,8 @@
     let to = fleet.forwarders[0].listen;
     if how == How::CatchUp {
         for n in 0..ORDERS / 2 {
-            fleet.forwarders[1].ask(Ask::Drain { endpoint: "p-2".into() }).unwrap();
-            let resume = Ask::Resume { endpoint: Some("p-2".into()), partner: None };
+            fleet.forwarders[1].ask(ControlCommand::Drain { endpoint: "p-2".into() }).unwrap();
+            let resume = ControlCommand::Resume { endpoint: Some("p-2".into()), partner: None };
             assert!(fleet.forwarders[1].ask(resume).is_ok(), "order {n}");
         }
     }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -5,7 +5,7 @@
 use crate::report::{Report, Spans};
 use crate::schedule::{schedule, Due};
 use crate::{clients, plain};
-use foldtrack_control::{Ask, Status, Told};
+use foldtrack_control::{ControlCommand, ControlResponse, Status};
 use foldtrack_standin::books::{judge, Books, Fate};
 use foldtrack_standin::Partner;
 use std::collections::HashMap;
@@ -58,7 +58,9 @@
     let mut control = forwarder.control()?;
     let by = Instant::now() + OVER;
     let status = loop {
-        let Told::Status(status) = control.ask(Ask::Status).map_err(|e| e.to_string())? else {
+        let ControlResponse::Status(status) =
+            control.request(ControlCommand::Status).map_err(|e| e.to_string())?
+        else {
             return Err("the forwarder answers something else than it was asked".into());
         };
         if status.held == 0 || Instant::now() > by {
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::net::Net;
 use crate::stage::Stage;
 use crate::story::{forwarder, Clock};
-use foldtrack_control::{Ask, Client, Endpoint, Peers, SiteState, Status, Told};
+use foldtrack_control::{Client, ControlCommand, ControlResponse, Endpoint, Peers, SiteState, Status};
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -363,40 +363,42 @@
     ///
     /// # Errors
     /// It does not answer, or refuses.
-    pub fn ask(&self, ask: Ask) -> Result<Told, String> {
+    pub fn ask(&self, ask: ControlCommand) -> Result<ControlResponse, String> {
         let socket = self.state().join("control.sock");
         let mut client = Client::connect(&socket).map_err(|e| e.to_string())?;
-        client.ask(ask).map_err(|e| e.to_string())
+        client.request(ask).map_err(|e| e.to_string())
     }
 
     /// Its endpoints by name; none if it does not answer.
     pub fn endpoints(&self) -> Option<BTreeMap<String, Endpoint>> {
-        match self.ask(Ask::Endpoints) {
-            Ok(Told::Endpoints(all)) => Some(all.into_iter().map(|e| (e.name.clone(), e)).collect()),
+        match self.ask(ControlCommand::Endpoints) {
+            Ok(ControlResponse::Endpoints(all)) => {
+                Some(all.into_iter().map(|e| (e.name.clone(), e)).collect())
+            }
             _ => None,
         }
     }
 
     /// What it has of the site's orders.
     pub fn site_state(&self) -> Option<SiteState> {
-        match self.ask(Ask::State) {
-            Ok(Told::State(state)) => Some(*state),
+        match self.ask(ControlCommand::State) {
+            Ok(ControlResponse::State(state)) => Some(*state),
             _ => None,
         }
     }
 
     /// How it sees the others.
     pub fn peers(&self) -> Option<Peers> {
-        match self.ask(Ask::Peers) {
-            Ok(Told::Peers(peers)) => Some(*peers),
+        match self.ask(ControlCommand::Peers) {
+            Ok(ControlResponse::Peers(peers)) => Some(*peers),
             _ => None,
         }
     }
 
     /// Its figures.
     pub fn status(&self) -> Option<Status> {
-        match self.ask(Ask::Status) {
-            Ok(Told::Status(status)) => Some(*status),
+        match self.ask(ControlCommand::Status) {
+            Ok(ControlResponse::Status(status)) => Some(*status),
             _ => None,
         }
     }
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -7,7 +7,7 @@
 use crate::net::{Call, Crossed, Name, Wait};
 use crate::story::{Step, Story, What};
 use crate::verdict::{Breaches, Drain, Report};
-use foldtrack_control::Ask;
+use foldtrack_control::ControlCommand;
 use foldtrack_standin::books::{judge, Books, Fate, Verdict, WAIT_GRACE};
 use foldtrack_standin::{Conduct, Partner};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -315,11 +315,11 @@
     fn order(&mut self, who: &str, word: &str, name: &str) -> Result<(), String> {
         let place = self.fleet.place(who)?;
         let ask = match word {
-            "drain" => Ask::Drain { endpoint: name.into() },
-            "resume" => Ask::Resume { endpoint: Some(name.into()), partner: None },
-            "resume-partner" => Ask::Resume { endpoint: None, partner: Some(name.into()) },
-            "pause" => Ask::Pause { partner: name.into() },
-            _ => Ask::Remove { endpoint: name.into() },
+            "drain" => ControlCommand::Drain { endpoint: name.into() },
+            "resume" => ControlCommand::Resume { endpoint: Some(name.into()), partner: None },
+            "resume-partner" => ControlCommand::Resume { endpoint: None, partner: Some(name.into()) },
+            "pause" => ControlCommand::Pause { partner: name.into() },
+            _ => ControlCommand::Remove { endpoint: name.into() },
         };
         let at = Instant::now();
         let kept = self.fleet.forwarders[place].ask(ask);
--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -4,7 +4,7 @@
 use crate::client_connections::ClientConnections;
 use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::Event;
-use foldtrack_control::{self as control, ClientLine, Clients, Holding, KernelSockets};
+use foldtrack_control::{self as control, ClientStats, Clients, DescriptorUsage, KernelSockets};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::io::{self, Write};
@@ -245,7 +245,7 @@
 
     /// What there is to see of clients: the busiest addresses, at most so many.
     pub fn clients(&self, most: usize) -> Clients {
-        let client = |seen: foldtrack_admission::Seen| ClientLine {
+        let client = |seen: foldtrack_admission::Seen| ClientStats {
             address: seen.address.to_string(),
             known: match (seen.named, seen.known) {
                 (true, _) => "by name",
@@ -265,7 +265,7 @@
         };
         let parties = ["clients", "calls", "control"].into_iter().zip(self.places.descriptors().seen());
         let descriptors = parties
-            .map(|(party, (held, most))| Holding {
+            .map(|(party, (held, most))| DescriptorUsage {
                 party: party.into(),
                 held: held as u32,
                 most: most as u32,
--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -4,7 +4,7 @@
 use super::{fleet, say, show, Ended, Failure, FAILED};
 use crate::lock::lock_ignoring_poison;
 use clap::Args;
-use foldtrack_control::{Ask, Client, Partner as Shown, Status, Told};
+use foldtrack_control::{Client, ControlCommand, ControlResponse, Partner as PartnerStats, Status};
 use foldtrack_load::exchange::{post, Exchange};
 use foldtrack_load::forwarder::{Forwarder, Listed};
 use foldtrack_rig::run::Play;
@@ -193,12 +193,12 @@
 }
 
 /// Shows what happens until everything has ended.
-fn watch(client: &mut Client, sent: &Sent, messages: u64) -> Result<(Status, Vec<Shown>), Failure> {
+fn watch(client: &mut Client, sent: &Sent, messages: u64) -> Result<(Status, Vec<PartnerStats>), Failure> {
     let live = std::io::stdout().is_terminal();
     let mut first = true;
     loop {
-        let (Told::Status(status), Told::Partners(partners)) =
-            (client.ask(Ask::Status)?, client.ask(Ask::Partners)?)
+        let (ControlResponse::Status(status), ControlResponse::Partners(partners)) =
+            (client.request(ControlCommand::Status)?, client.request(ControlCommand::Partners)?)
         else {
             return Err(Failure(FAILED, "the forwarder answers something else than it was asked".into()));
         };
@@ -237,8 +237,8 @@
 
 /// The table at the end: what the forwarder says, and what the partners' books say of it.
 fn conclude(
-    status: &Status, partners: &[Shown], ends: &BTreeMap<String, Vec<String>>, books: &[(&str, Books)],
-    sent: &Sent, took: Duration,
+    status: &Status, partners: &[PartnerStats], ends: &BTreeMap<String, Vec<String>>,
+    books: &[(&str, Books)], sent: &Sent, took: Duration,
 ) -> Ended {
     let taken = lock_ignoring_poison(&sent.taken);
     let verdict = judge(books.iter().map(|(_, b)| b));
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -4,7 +4,9 @@
 use crate::connections::Connection;
 use crate::list::ServerList;
 use crate::message;
-use foldtrack_control::{Done, Endpoint, Error, Failure, Message, Partner, Peers, Queue, SiteState, Status};
+use foldtrack_control::{
+    Endpoint, Error, Failure, Message, OrderResult, Partner, Peers, Queue, SiteState, Status,
+};
 use foldtrack_delivery::{LimitReport, Micros, Outcome, TargetId};
 use foldtrack_ends::Fetched;
 use foldtrack_journal::journal::SyncJob;
@@ -114,10 +116,10 @@
     /// What was ordered and holds.
     State { reply: oneshot::Sender<Option<SiteState>> },
     /// An order. The answer comes when it is on the disk.
-    Order { order: Order, reply: oneshot::Sender<Result<Done, Error>> },
+    Order { order: Order, reply: oneshot::Sender<Result<OrderResult, Error>> },
     /// A network is blocked for so long, or let in again: what the others of the site are told. It holds here already, or is
     /// ended here if nobody objects.
-    Network { network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<Done, Error>> },
+    Network { network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<OrderResult, Error>> },
 }
 
 /// What there is to see at a moment.
--- a/src/bin/foldtrack/node/appliance.rs
+++ b/src/bin/foldtrack/node/appliance.rs
@@ -104,7 +104,7 @@
             failures: VecDeque::new(),
             closed: HashMap::new(),
             longest_round: Duration::ZERO,
-            journal_most: site.journal_room(),
+            journal_most: site.journal_capacity(),
             name: site.name,
             state: site.state,
         }
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::events::SiteRequest;
-use foldtrack_control::{Done, Error};
+use foldtrack_control::{Error, OrderResult};
 use foldtrack_delivery::ListKind;
 use foldtrack_ends::Fetched;
 use foldtrack_membership::{Change, Order, OrderError};
@@ -36,7 +36,7 @@
 
     /// Carries out an order: first in the log, then in the list that the module goes by, and that within this round,
     /// so that nothing new is decided against it. The answer waits for the disk, not the loop.
-    fn order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
+    fn order(&mut self, order: Order, reply: oneshot::Sender<Result<OrderResult, Error>>) {
         let now = self.clock.unix_time(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
@@ -87,7 +87,7 @@
         }
     }
 
-    pub(super) fn done(&self, order: &Order, change: Change) -> Done {
+    pub(super) fn done(&self, order: &Order, change: Change) -> OrderResult {
         let none = std::collections::BTreeMap::new();
         let state = self.membership.state();
         let endpoints = state.map_or(&none, |s| s.endpoints());
@@ -103,12 +103,12 @@
         };
         let number = partner.and_then(|p| state?.partners().get(p)).map(|p| p.number);
         let held = self.messages.values().filter(|h| Some(h.message.destination) == number).count() as u32;
-        Done {
+        OrderResult {
             changed: change == Change::Applied,
             version: state.map_or(0, |s| s.version()),
             calls,
             held,
-            ..Done::default()
+            ..OrderResult::default()
         }
     }
 }
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -6,7 +6,7 @@
 use crate::list::ServerList;
 use crate::message::Message;
 use crate::peers::PeerIo;
-use foldtrack_control::{Done, Error, Peer, Peers as Shown, SiteState, Statement};
+use foldtrack_control::{Error, OrderResult, Peer, Peers as PeersReport, SiteState, Statement};
 use foldtrack_delivery::ListKind;
 use foldtrack_ends::{FinalStatus, MessageOutcome};
 use foldtrack_membership::{Change, EndpointState, Order, OrderError};
@@ -54,7 +54,7 @@
 struct Pending {
     /// None for one about a network, which is no member's.
     order: Option<(Order, Change)>,
-    reply: oneshot::Sender<Result<Done, Error>>,
+    reply: oneshot::Sender<Result<OrderResult, Error>>,
 }
 
 impl Side {
@@ -241,7 +241,9 @@
 
     /// An order of an operator. What makes things safer holds at once; the opposite once a majority has told what it knows.
     /// The answer comes when it is kept here and at another, or when that has been waited for long enough.
-    pub(super) fn order_among_peers(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
+    pub(super) fn order_among_peers(
+        &mut self, order: Order, reply: oneshot::Sender<Result<OrderResult, Error>>,
+    ) {
         let judged = self.membership.validate(&order);
         let change = match judged {
             Ok(change) => change,
@@ -257,7 +259,7 @@
     /// States a word for an operator who waits; `order` is none for one about a network, which is no member's.
     fn state_among_peers(
         &mut self, subject: Subject, word: FactAction, order: Option<(Order, Change)>,
-        reply: oneshot::Sender<Result<Done, Error>>,
+        reply: oneshot::Sender<Result<OrderResult, Error>>,
     ) {
         let (now, at) = (self.ms(), self.clock.unix_time(self.clock.now()));
         let Some(side) = &mut self.peers else { return };
@@ -287,14 +289,14 @@
 
     /// A network that is blocked here, or is to be let in again, is so at the others as well. A block holds at this one already.
     pub(super) fn network_among_peers(
-        &mut self, network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<Done, Error>>,
+        &mut self, network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<OrderResult, Error>>,
     ) {
-        let Some(side) = &self.peers else { return drop(reply.send(Ok(Done::default()))) };
+        let Some(side) = &self.peers else { return drop(reply.send(Ok(OrderResult::default()))) };
         let subject = Subject::Network(network);
         let word = match for_ms {
             Some(for_ms) => FactAction::Close { for_ms },
             None if side.peers.subject_state(&subject).closed.is_none() => {
-                return drop(reply.send(Ok(Done::default())));
+                return drop(reply.send(Ok(OrderResult::default())));
             }
             None => FactAction::Open,
         };
@@ -304,7 +306,7 @@
     /// Blocks a network here for as long as the others do, or lets it in again.
     fn project_network(&mut self, subject: &Subject) {
         let Some(side) = &self.peers else { return };
-        let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
+        let Ok(network) = foldtrack_site::check::parse_network(subject.name()) else { return };
         let verdict = side.peers.subject_state(subject);
         if verdict.closed.is_none() {
             if verdict.opened && side.io.blocks.remove(&network) {
@@ -329,9 +331,9 @@
             Ok(Settled { copies, others, .. }) => {
                 let done = match &pending.order {
                     Some((order, change)) => self.done(order, *change),
-                    None => Done { changed: true, ..Done::default() },
+                    None => OrderResult { changed: true, ..OrderResult::default() },
                 };
-                Ok(Done { copies: copies as u32, others: others as u32, ..done })
+                Ok(OrderResult { copies: copies as u32, others: others as u32, ..done })
             }
             Err(refusal) => Err(refused(&refusal)),
         };
@@ -585,7 +587,7 @@
         }
     }
 
-    fn show_peers(&self) -> Option<Shown> {
+    fn show_peers(&self) -> Option<PeersReport> {
         let side = self.peers.as_ref()?;
         let (now, p) = (self.ms(), &side.peers);
         let (there, members) = p.reachable_members();
@@ -607,7 +609,7 @@
             heard_ms: o.heard_ms,
             same_ms: o.same_ms,
         });
-        Some(Shown {
+        Some(PeersReport {
             name: p.run().name.clone(),
             start: p.run().start,
             mode: mode.into(),
--- a/src/bin/foldtrack/partner_protocol.rs
+++ b/src/bin/foldtrack/partner_protocol.rs
@@ -4,7 +4,7 @@
 use crate::connections::Encryption;
 use foldtrack_dialect::{CallContext, Dialect, Unsendable};
 use foldtrack_proof::{headers, AuthScheme, Secrets, SignedCall};
-use foldtrack_site::{Proof, Site, Tls};
+use foldtrack_site::{Authentication, Site, Tls};
 use foldtrack_tls::{certificate, expiry, PemFiles};
 use http::request::Parts;
 use secrecy::zeroize::Zeroize;
@@ -164,22 +164,22 @@
 
 type Proven = (AuthScheme, watch::Receiver<Arc<Secrets>>);
 
-fn proof(partner: &str, said: &Proof, watched: &mut Vec<Watched>) -> Result<Proven, String> {
-    let kind = said.kind.clone();
-    let file = said.file.display().to_string();
+fn proof(partner: &str, said: &Authentication, watched: &mut Vec<Watched>) -> Result<Proven, String> {
+    let kind = said.scheme.clone();
+    let file = said.secret_file.display().to_string();
     let make = move |texts: &[Vec<u8>]| {
         let read = Secrets::parse(&kind, texts.first().map_or(&[][..], Vec::as_slice));
         read.map(Arc::new).map_err(|problem| format!("{file}: {problem}"))
     };
-    let secrets = watch_files(partner, "proof", vec![said.file.clone()], None, watched, make)?;
-    Ok((said.kind.clone(), secrets))
+    let secrets = watch_files(partner, "proof", vec![said.secret_file.clone()], None, watched, make)?;
+    Ok((said.scheme.clone(), secrets))
 }
 
 fn encryption(partner: &str, said: &Tls, watched: &mut Vec<Watched>) -> Result<Encryption, String> {
     let client = said.client.iter().flat_map(|(chain, key)| [chain, key]);
     let files: Vec<PathBuf> = said.roots.iter().chain(client).cloned().collect();
     let certificate = said.client.as_ref().map(|_| files.len() - 2);
-    let (plan, with_roots) = (said.plan.clone(), said.roots.is_some());
+    let (plan, with_roots) = (said.settings.clone(), said.roots.is_some());
     let make = move |texts: &[Vec<u8>]| {
         let (roots, client) = texts.split_at(usize::from(with_roots));
         let client = match client {
@@ -189,7 +189,7 @@
         foldtrack_tls::configuration(&plan, &PemFiles { roots: roots.first().cloned(), client })
     };
     let config = watch_files(partner, "tls", files, certificate, watched, make)?;
-    Ok(Encryption { name: said.plan.server_name.clone(), config })
+    Ok(Encryption { name: said.settings.server_name.clone(), config })
 }
 
 fn stamp(file: &File) -> std::io::Result<Stamp> {
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -7,7 +7,7 @@
 use foldtrack_peers::seal::{Sealer, LONGEST};
 use foldtrack_peers::store::{ClaimLog, Opened, OpenedClaims, Store};
 use foldtrack_peers::{Peers, Record, Restored, Settings};
-use foldtrack_site::Peers as Said;
+use foldtrack_site::PeerSettings;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -25,7 +25,7 @@
 
 /// What is there before the loop runs.
 pub(crate) struct PeerSetup {
-    said: Said,
+    said: PeerSettings,
     sealer: Sealer,
     store: Store,
     restored: Restored,
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// There is no secret that is one.
-    pub fn open(said: &Said, state: &Path, blocks: Arc<Blocks>) -> Result<PeerSetup, String> {
+    pub fn open(said: &PeerSettings, state: &Path, blocks: Arc<Blocks>) -> Result<PeerSetup, String> {
         let told = |e: &dyn std::fmt::Display| format!("{}: {e}", said.secret.display());
         let secret = std::fs::read(&said.secret).map_err(|e| told(&e))?;
         let sealer = Sealer::new(secret.trim_ascii()).map_err(|e| told(&e))?;
--- a/tests/peers/main.rs
+++ b/tests/peers/main.rs
@@ -2,7 +2,7 @@
 //!
 //! `FOLDTRACK_SEEDS=N cargo test --release --test peers` plays each story with N seeds, `FOLDTRACK_KILLS=N` kills so often.
 
-use foldtrack_control::{Ask, Told};
+use foldtrack_control::{ControlCommand, ControlResponse};
 use foldtrack_rig::fleet::{Fleet, FolderAs, Listed, Plan};
 use foldtrack_rig::run::{play, Play, Progress};
 use foldtrack_rig::story::{Story, What};
@@ -74,12 +74,12 @@
     (fleet, partner)
 }
 
-fn drain(name: &str) -> Ask {
-    Ask::Drain { endpoint: name.into() }
+fn drain(name: &str) -> ControlCommand {
+    ControlCommand::Drain { endpoint: name.into() }
 }
 
-fn resume(name: &str) -> Ask {
-    Ask::Resume { endpoint: Some(name.into()), partner: None }
+fn resume(name: &str) -> ControlCommand {
+    ControlCommand::Resume { endpoint: Some(name.into()), partner: None }
 }
 
 fn state_of(fleet: &Fleet, place: usize, endpoint: &str) -> String {
@@ -96,7 +96,7 @@
     for round in 0..number("FOLDTRACK_KILLS", 12) as usize {
         let told = round % 3;
         let acknowledged = fleet.forwarders[told].ask(drain("p-1"));
-        let Ok(Told::Done(done)) = acknowledged else { panic!("round {round}: {acknowledged:?}") };
+        let Ok(ControlResponse::Done(done)) = acknowledged else { panic!("round {round}: {acknowledged:?}") };
         assert!(done.copies >= 1 && done.others == 2, "round {round}: {done:?}");
         std::thread::sleep(Duration::from_micros(random.u64(0..50_000)));
         fleet.forwarders[told].kill();
@@ -131,8 +131,8 @@
     let refused = fleet.forwarders[0].ask(resume("p-1")).unwrap_err();
     assert!(refused.contains("majority") && refused.contains("1 of the 2"), "{refused}");
     // Drained anew where the others can't hear it: the order is taken, and says that nobody else has it.
-    fleet.forwarders[0].ask(Ask::Pause { partner: "p".into() }).unwrap();
-    let Told::Done(alone) = fleet.forwarders[0].ask(drain("p-2")).unwrap() else { panic!() };
+    fleet.forwarders[0].ask(ControlCommand::Pause { partner: "p".into() }).unwrap();
+    let ControlResponse::Done(alone) = fleet.forwarders[0].ask(drain("p-2")).unwrap() else { panic!() };
     assert_eq!((alone.copies, alone.others), (0, 2));
     fleet.forwarders[1].ask(resume("p-1")).unwrap();
     assert_eq!(
@@ -193,15 +193,16 @@
 fn a_block_holds_at_all_and_ends_at_all() {
     let (mut fleet, _partner) = started(3);
     let network = || "203.0.113.0/24".to_string();
-    let blocked = |fleet: &Fleet, n: usize| match fleet.forwarders[n].ask(Ask::Clients { most: None }) {
-        Ok(Told::Clients(clients)) => {
-            clients.blocks.iter().find(|(name, _)| *name == network()).map(|(_, ms)| *ms)
-        }
-        other => panic!("{other:?}"),
-    };
+    let blocked =
+        |fleet: &Fleet, n: usize| match fleet.forwarders[n].ask(ControlCommand::Clients { most: None }) {
+            Ok(ControlResponse::Clients(clients)) => {
+                clients.blocks.iter().find(|(name, _)| *name == network()).map(|(_, ms)| *ms)
+            }
+            other => panic!("{other:?}"),
+        };
     fleet.forwarders[2].kill();
-    let block = Ask::Block { network: network(), for_ms: 3_600_000 };
-    let Ok(Told::Done(done)) = fleet.forwarders[0].ask(block) else { panic!() };
+    let block = ControlCommand::Block { network: network(), for_ms: 3_600_000 };
+    let Ok(ControlResponse::Done(done)) = fleet.forwarders[0].ask(block) else { panic!() };
     assert!(done.changed && done.copies >= 1 && done.others == 2, "{done:?}");
     eventually("another has it", || blocked(&fleet, 1).is_some());
     fleet.start(2, FolderAs::Left).unwrap();
@@ -210,10 +211,10 @@
     fleet.forwarders[1].kill();
     fleet.start(1, FolderAs::Left).unwrap();
     assert!(blocked(&fleet, 1).is_some_and(|ms| ms <= 3_600_000));
-    fleet.forwarders[1].ask(Ask::Unblock { network: network() }).unwrap();
+    fleet.forwarders[1].ask(ControlCommand::Unblock { network: network() }).unwrap();
     eventually("all let it in", || (0..3).all(|n| blocked(&fleet, n).is_none()));
     // For a span.
-    fleet.forwarders[0].ask(Ask::Block { network: network(), for_ms: 2_000 }).unwrap();
+    fleet.forwarders[0].ask(ControlCommand::Block { network: network(), for_ms: 2_000 }).unwrap();
     eventually("all have it", || (0..3).all(|n| blocked(&fleet, n).is_some()));
     eventually("its time is over", || (0..3).all(|n| blocked(&fleet, n).is_none()));
     let open = |n: usize| {
@@ -365,7 +366,7 @@
     assert_eq!(own.count(), 0);
     let state = fleet.folder().join("a/state");
     assert!(!state.join("peers.redb").exists());
-    let refused = forwarder.ask(Ask::Peers).unwrap_err();
+    let refused = forwarder.ask(ControlCommand::Peers).unwrap_err();
     assert!(refused.contains("no [peers]"), "{refused}");
 }
 
--- a/tests/site/admission.rs
+++ b/tests/site/admission.rs
@@ -3,7 +3,7 @@
 
 use super::floods::{flood, from, hand_in, hand_in_to, p99};
 use super::world::*;
-use foldtrack_control::{Ask, Clients, Told};
+use foldtrack_control::{Clients, ControlCommand, ControlResponse};
 use foldtrack_standin::{Conduct, Partner};
 use std::io::{Read, Write};
 use std::process::Command;
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 fn clients(site: &Site) -> Clients {
-    match site.ask(Ask::Clients { most: None }).unwrap() {
-        Told::Clients(clients) => *clients,
+    match site.ask(ControlCommand::Clients { most: None }).unwrap() {
+        ControlResponse::Clients(clients) => *clients,
         told => panic!("{told:?}"),
     }
 }
--- a/tests/site/connections.rs
+++ b/tests/site/connections.rs
@@ -2,7 +2,7 @@
 //! is drained.
 
 use super::world::*;
-use foldtrack_control::Ask;
+use foldtrack_control::ControlCommand;
 use foldtrack_standin::http::{Closing, Reply, Server, OK};
 use foldtrack_standin::tls::{Authority, Front};
 use std::collections::BTreeMap;
@@ -99,13 +99,13 @@
         assert_eq!(site.post("fee", "", &format!("m{n}"), "x").0, 202);
     }
     sleep(MS(300));
-    site.order(Ask::Drain { endpoint: "a".into() });
+    site.order(ControlCommand::Drain { endpoint: "a".into() });
     sleep(MS(3_000));
     assert!(far.server.seen().is_empty(), "a call began after the drain");
     let endpoint = &site.endpoints()["a"];
     assert_eq!((endpoint.calls, endpoint.idle, endpoint.dialling), (0, 0, 0), "{endpoint:?}");
     assert_eq!(site.status().held, 3);
-    site.order(Ask::Resume { endpoint: Some("a".into()), partner: None });
+    site.order(ControlCommand::Resume { endpoint: Some("a".into()), partner: None });
     eventually("they go", || site.status().delivered == 3);
     assert_eq!(far.server.seen().len(), 3);
 }
@@ -158,7 +158,7 @@
     println!("{endpoint:?}");
     assert!(endpoint.ready > 0.8 && endpoint.handshake_ms > 90.0, "{endpoint:?}");
     assert!(endpoint.idle > 0 && endpoint.idle <= 64, "{endpoint:?}");
-    site.order(Ask::Drain { endpoint: "a".into() });
+    site.order(ControlCommand::Drain { endpoint: "a".into() });
     eventually("none stays open", || site.endpoints()["a"].idle == 0);
     sleep(MS(1_500));
     assert_eq!((site.endpoints()["a"].idle, site.endpoints()["a"].dialling), (0, 0));
--- a/tests/site/encrypted.rs
+++ b/tests/site/encrypted.rs
@@ -1,7 +1,7 @@
 //! Partners behind TLS: certificates that are wrong in every way, keys that change under load, handshakes that stand still.
 
 use super::world::*;
-use foldtrack_control::{Ask, Told};
+use foldtrack_control::{ControlCommand, ControlResponse};
 use foldtrack_standin::http::{Reply, Server, OK};
 use foldtrack_standin::tls::{Authority, Front, Issued};
 use std::fs::{self, Permissions};
@@ -78,8 +78,8 @@
 }
 
 fn causes(site: &Site) -> Vec<String> {
-    match site.ask(Ask::Failures { most: None }).unwrap() {
-        Told::Failures(all) => all.into_iter().map(|f| f.cause).collect(),
+    match site.ask(ControlCommand::Failures { most: None }).unwrap() {
+        ControlResponse::Failures(all) => all.into_iter().map(|f| f.cause).collect(),
         told => panic!("{told:?}"),
     }
 }
@@ -261,7 +261,8 @@
     let mut plan = Plan::of(&[("p", "a", pay.server.address)]);
     plan.partner = format!("speaks = \"http\"\npath = \"/\"\n[partner.p.proof]\nsecret-file = {token:?}\n");
     let plain = Site::start(&plan);
-    let far = Ask::Add { partner: "p".into(), endpoint: "far".into(), address: "192.0.2.7:80".into() };
+    let far =
+        ControlCommand::Add { partner: "p".into(), endpoint: "far".into(), address: "192.0.2.7:80".into() };
     assert!(plain.ask(far).unwrap_err().to_string().contains("in plain text"));
     plan.endpoints[0].2 = "192.0.2.7:80".parse().unwrap();
     let other = Site::prepared(&plan);
--- a/tests/site/kills.rs
+++ b/tests/site/kills.rs
@@ -2,7 +2,7 @@
 //! `docs/design/site.md`.
 
 use super::world::*;
-use foldtrack_control::{Ask, Client};
+use foldtrack_control::{Client, ControlCommand};
 use foldtrack_standin::books::{judge, Fate};
 use foldtrack_standin::http::{Server, OK};
 use foldtrack_standin::{Conduct, Partner};
@@ -40,7 +40,7 @@
                 sleep(Duration::from_millis(20));
                 // The line may break in the middle of it.
                 let ordered = Client::connect(&site.socket())
-                    .and_then(|mut c| c.ask(Ask::Drain { endpoint: "a".into() }));
+                    .and_then(|mut c| c.request(ControlCommand::Drain { endpoint: "a".into() }));
                 if ordered.is_ok() {
                     *told.lock().unwrap() = Some(Instant::now());
                 }
@@ -65,7 +65,7 @@
             assert_eq!(late, 0, "round {round}");
         }
         if state == "draining" {
-            site.order(Ask::Resume { endpoint: Some("a".into()), partner: None });
+            site.order(ControlCommand::Resume { endpoint: Some("a".into()), partner: None });
         }
     }
     println!("{acknowledged} drains were acknowledged before the kill");
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -9,7 +9,7 @@
 mod partners;
 mod world;
 
-use foldtrack_control::{Ask, Told, Trouble};
+use foldtrack_control::{ClientError, ControlCommand, ControlResponse};
 use foldtrack_standin::books::judge;
 use foldtrack_standin::http::{Reply, Server, OK};
 use foldtrack_standin::{Conduct, Partner};
@@ -33,16 +33,16 @@
     (server, site)
 }
 
-fn drain(name: &str) -> Ask {
-    Ask::Drain { endpoint: name.into() }
+fn drain(name: &str) -> ControlCommand {
+    ControlCommand::Drain { endpoint: name.into() }
 }
 
-fn add(name: &str, address: SocketAddr) -> Ask {
-    Ask::Add { partner: "p".into(), endpoint: name.into(), address: address.to_string() }
+fn add(name: &str, address: SocketAddr) -> ControlCommand {
+    ControlCommand::Add { partner: "p".into(), endpoint: name.into(), address: address.to_string() }
 }
 
-fn remove(name: &str) -> Ask {
-    Ask::Remove { endpoint: name.into() }
+fn remove(name: &str) -> ControlCommand {
+    ControlCommand::Remove { endpoint: name.into() }
 }
 
 #[test]
@@ -136,8 +136,8 @@
     };
     deliver("m1");
     let first = old.seen()[0].connection;
-    assert!(matches!(site.ask(add("a", new.address)), Err(Trouble::Refused(_))), "the name is taken");
-    assert!(matches!(site.ask(add("b", old.address)), Err(Trouble::Refused(_))), "the address is taken");
+    assert!(matches!(site.ask(add("a", new.address)), Err(ClientError::Refused(_))), "the name is taken");
+    assert!(matches!(site.ask(add("b", old.address)), Err(ClientError::Refused(_))), "the address is taken");
     site.order(remove("a"));
     site.order(add("b", old.address));
     deliver("m2");
@@ -177,7 +177,7 @@
 #[test]
 fn a_paused_partner_gets_nothing_and_loses_nothing_over_a_restart() {
     let (server, mut site) = one_endpoint(|_| OK);
-    site.order(Ask::Pause { partner: "p".into() });
+    site.order(ControlCommand::Pause { partner: "p".into() });
     for n in 0..5 {
         assert_eq!(site.post("update", "k", &format!("m{n}"), "x").0, 202);
     }
@@ -185,10 +185,14 @@
     site.start_again();
     sleep(MS(500));
     assert_eq!((server.ids().len(), site.status().held), (0, 5));
-    let Told::Queues(queues) = site.ask(Ask::Queues { partner: None, most: None }).unwrap() else { panic!() };
+    let ControlResponse::Queues(queues) =
+        site.ask(ControlCommand::Queues { partner: None, most: None }).unwrap()
+    else {
+        panic!()
+    };
     assert_eq!((queues[0].key.as_str(), queues[0].held), ("k", 5));
     assert_eq!(site.endpoints()["a"].state, "paused");
-    let done = site.order(Ask::Resume { endpoint: None, partner: Some("p".into()) });
+    let done = site.order(ControlCommand::Resume { endpoint: None, partner: Some("p".into()) });
     assert_eq!((done.changed, done.held), (true, 5));
     eventually("all go", || server.ids().len() == 5);
     assert_eq!(server.ids(), ["m0", "m1", "m2", "m3", "m4"]);
@@ -205,9 +209,9 @@
                 let mut client = site.client();
                 for (n, address) in ports.iter().enumerate() {
                     // Both add every endpoint; each drains its half.
-                    client.ask(add(&format!("e{n}"), *address)).unwrap();
+                    client.request(add(&format!("e{n}"), *address)).unwrap();
                     if n % 2 == half {
-                        client.ask(drain(&format!("e{n}"))).unwrap();
+                        client.request(drain(&format!("e{n}"))).unwrap();
                     }
                 }
             });
@@ -434,7 +438,7 @@
         let mut site = Site::start(&plan);
         assert_eq!(site.post("update", "k", "u1", "x").0, 202);
         eventually("it has been called", || server.ids().contains(&"u1".to_string()));
-        site.order(Ask::Pause { partner: "p".into() });
+        site.order(ControlCommand::Pause { partner: "p".into() });
         eventually("its time is up", || site.state_of("u1") != "held");
         let end = site.get("/v1/messages/u1").1;
         if late && end["state"] == "in_doubt" {
@@ -451,7 +455,7 @@
         }
         site.kill();
         site.start_again();
-        site.order(Ask::Resume { partner: Some("p".into()), endpoint: None });
+        site.order(ControlCommand::Resume { partner: Some("p".into()), endpoint: None });
         eventually("the house is empty", || site.status().held == 0);
         withdrawn.store(true, Ordering::SeqCst);
         assert_eq!(site.post("update", "k", "u1", "x").0, if late { 409 } else { 202 });
--- a/tests/site/world.rs
+++ b/tests/site/world.rs
@@ -1,6 +1,8 @@
 //! A forwarder with a site file of its own as a process, its partners on loopback, its clients and its operators.
 
-use foldtrack_control::{Ask, Client, Done, Endpoint, Message, Status, Told, Trouble};
+use foldtrack_control::{
+    Client, ClientError, ControlCommand, ControlResponse, Endpoint, Message, OrderResult, Status,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -184,34 +186,34 @@
         Client::connect(&self.socket()).unwrap()
     }
 
-    pub fn ask(&self, ask: Ask) -> Result<Told, Trouble> {
-        self.client().ask(ask)
+    pub fn ask(&self, ask: ControlCommand) -> Result<ControlResponse, ClientError> {
+        self.client().request(ask)
     }
 
-    pub fn order(&self, ask: Ask) -> Done {
+    pub fn order(&self, ask: ControlCommand) -> OrderResult {
         match self.ask(ask).unwrap() {
-            Told::Done(done) => done,
+            ControlResponse::Done(done) => done,
             told => panic!("{told:?}"),
         }
     }
 
     pub fn status(&self) -> Status {
-        match self.ask(Ask::Status).unwrap() {
-            Told::Status(status) => *status,
+        match self.ask(ControlCommand::Status).unwrap() {
+            ControlResponse::Status(status) => *status,
             told => panic!("{told:?}"),
         }
     }
 
     pub fn endpoints(&self) -> BTreeMap<String, Endpoint> {
-        match self.ask(Ask::Endpoints).unwrap() {
-            Told::Endpoints(all) => all.into_iter().map(|e| (e.name.clone(), e)).collect(),
+        match self.ask(ControlCommand::Endpoints).unwrap() {
+            ControlResponse::Endpoints(all) => all.into_iter().map(|e| (e.name.clone(), e)).collect(),
             told => panic!("{told:?}"),
         }
     }
 
     pub fn message(&self, id: &str) -> Option<Message> {
-        match self.ask(Ask::Message { message: id.into() }) {
-            Ok(Told::Message(message)) => Some(*message),
+        match self.ask(ControlCommand::Message { message: id.into() }) {
+            Ok(ControlResponse::Message(message)) => Some(*message),
             Ok(told) => panic!("{told:?}"),
             Err(_) => None,
         }
