--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,4 +1,4 @@
-//! The asking side, for commands and consoles: blocking, with a time limit on everything.
+//! Blocking client of the control protocol, for commands and consoles. Every read and write has a timeout.
 
 use crate::framing::LineDecoder;
 use crate::protocol::{ControlCommand, ControlResponse, Error, Reply, Request, VERSION};
@@ -9,19 +9,19 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Bytes that an answer has at most.
-const LONGEST_ANSWER: usize = 16 << 20;
-/// An answer comes within this span, or the process is in trouble.
-const WAIT: Duration = Duration::from_secs(10);
+/// Maximum length of a reply, in bytes.
+const MAX_REPLY_BYTES: usize = 16 << 20;
+/// Read and write timeout. A forwarder that does not answer within it is not working properly.
+const IO_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why there is no answer.
+/// Why a request failed.
 #[derive(Debug)]
 pub enum ClientError {
-    /// Nobody answers at the socket.
+    /// No forwarder listens on the socket.
     NotRunning(String),
-    /// The line broke, or what came can't be read.
+    /// The connection failed, or the reply could not be parsed.
     Connection(String),
-    /// Refused.
+    /// The forwarder refused the request.
     Refused(Error),
 }
 
@@ -39,74 +39,76 @@
 pub struct Client {
     stream: UnixStream,
     lines: LineDecoder,
-    read: VecDeque<String>,
+    /// Complete lines that have been received and not yet returned.
+    received: VecDeque<String>,
 }
 
 impl Client {
-    /// Connects to the socket of a state folder.
+    /// Connects to the control socket in a state folder.
     ///
     /// # Errors
-    /// Nobody listens there.
+    /// Fails if no forwarder listens on the socket or the connection cannot be set up.
     pub fn connect(socket: &Path) -> Result<Client, ClientError> {
-        let trouble = |e: io::Error| match e.kind() {
+        let classify = |e: io::Error| match e.kind() {
             io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused => {
                 let text = format!("{}: no forwarder runs on this state folder ({e})", socket.display());
                 ClientError::NotRunning(text)
             }
             _ => ClientError::Connection(format!("{}: {e}", socket.display())),
         };
-        let stream = UnixStream::connect(socket).map_err(trouble)?;
+        let stream = UnixStream::connect(socket).map_err(classify)?;
         stream
-            .set_read_timeout(Some(WAIT))
-            .and_then(|()| stream.set_write_timeout(Some(WAIT)))
-            .map_err(trouble)?;
-        Ok(Client { stream, lines: LineDecoder::new(LONGEST_ANSWER), read: VecDeque::new() })
+            .set_read_timeout(Some(IO_TIMEOUT))
+            .and_then(|()| stream.set_write_timeout(Some(IO_TIMEOUT)))
+            .map_err(classify)?;
+        Ok(Client { stream, lines: LineDecoder::new(MAX_REPLY_BYTES), received: VecDeque::new() })
     }
 
-    /// Asks, and waits for the answer.
+    /// Sends a command and waits for the response.
     ///
     /// # Errors
-    /// The line broke, or what was asked is refused.
+    /// Fails if the connection fails or times out, the reply cannot be parsed, or the forwarder refuses the command.
     pub fn request(&mut self, command: ControlCommand) -> Result<ControlResponse, ClientError> {
         let request = Request { v: VERSION, id: serde_json::Value::Null, command };
         let line = serde_json::to_string(&request).map_err(|e| ClientError::Connection(e.to_string()))?;
         self.stream
             .write_all(format!("{line}\n").as_bytes())
-            .map_err(|e| ClientError::Connection(format!("the line: {e}")))?;
+            .map_err(|e| ClientError::Connection(format!("cannot send the request: {e}")))?;
         self.receive()
     }
 
-    /// The next answer or push.
+    /// Waits for the next response or push.
     ///
     /// # Errors
-    /// As of [`Client::request`].
-    #[allow(clippy::should_implement_trait)] // it may fail, and then there is no use in asking on
+    /// As for [`Client::request`].
     pub fn receive(&mut self) -> Result<ControlResponse, ClientError> {
         let line = self.next_line()?;
         let reply: Reply = serde_json::from_str(&line).map_err(|e| {
-            ClientError::Connection(format!("an answer can't be read, perhaps of another version: {e}"))
+            ClientError::Connection(format!(
+                "cannot parse the reply, the forwarder may run another version: {e}"
+            ))
         })?;
         match reply.response {
             ControlResponse::Error(error) => Err(ClientError::Refused(error)),
-            told => Ok(told),
+            response => Ok(response),
         }
     }
 
     fn next_line(&mut self) -> Result<String, ClientError> {
         let mut bytes = [0; 64 * 1024];
         loop {
-            if let Some(line) = self.read.pop_front() {
+            if let Some(line) = self.received.pop_front() {
                 return Ok(line);
             }
             let count = match self.stream.read(&mut bytes) {
-                Ok(0) => return Err(ClientError::Connection("the forwarder has closed the line".into())),
+                Ok(0) => return Err(ClientError::Connection("the forwarder closed the connection".into())),
                 Ok(count) => count,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(e) => return Err(ClientError::Connection(format!("no answer: {e}"))),
+                Err(e) => return Err(ClientError::Connection(format!("no reply: {e}"))),
             };
             for line in self.lines.push(&bytes[..count]) {
-                self.read.push_back(
-                    line.map_err(|e| ClientError::Connection(format!("an answer can't be read: {e:?}")))?,
+                self.received.push_back(
+                    line.map_err(|e| ClientError::Connection(format!("cannot read the reply: {e:?}")))?,
                 );
             }
         }
--- a/crates/control/src/framing.rs
+++ b/crates/control/src/framing.rs
@@ -1,40 +1,42 @@
-//! Bytes cut into lines, within bounds. No I/O.
+//! Splits a byte stream into lines of bounded length, without I/O.
 
-/// Longest line that is read, in bytes: the longest request is a fraction of it.
+/// Maximum length of a request line, in bytes. The longest valid request is a fraction of it.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Why a line can't be read.
+/// Why a line cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineError {
-    /// Longer than the bound. Where the next one begins is not worth reading to: the connection ends.
+    /// The line exceeds the limit. The rest of it is not read to find the start of the next line; the connection should be
+    /// closed.
     TooLong,
-    /// Not UTF-8.
+    /// The line is not UTF-8.
     NotUtf8,
 }
 
-/// What has come and makes no whole line yet.
+/// Incremental line decoder; it buffers the bytes of an incomplete line.
 #[derive(Debug)]
 pub struct LineDecoder {
     bytes: Vec<u8>,
-    longest: usize,
-    broken: bool,
+    max_line_bytes: usize,
+    /// A line was too long; all further input is ignored.
+    failed: bool,
 }
 
 impl LineDecoder {
-    /// Lines of `longest` bytes at most.
-    pub fn new(longest: usize) -> Self {
-        LineDecoder { bytes: Vec::new(), longest, broken: false }
+    /// Creates a decoder for lines of at most `max_line_bytes` bytes.
+    pub fn new(max_line_bytes: usize) -> Self {
+        LineDecoder { bytes: Vec::new(), max_line_bytes, failed: false }
     }
 
-    /// Takes bytes in and gives the lines that they complete, without their ends. Nothing follows
-    /// [`LineError::TooLong`].
+    /// Appends received bytes and returns the lines that they complete, without line endings. No further lines are returned
+    /// after [`LineError::TooLong`].
     pub fn push(&mut self, mut bytes: &[u8]) -> Vec<Result<String, LineError>> {
         let mut lines = Vec::new();
-        while !bytes.is_empty() && !self.broken {
+        while !bytes.is_empty() && !self.failed {
             let end = bytes.iter().position(|b| *b == b'\n');
             let part = &bytes[..end.unwrap_or(bytes.len())];
-            if self.bytes.len() + part.len() > self.longest {
-                self.broken = true;
+            if self.bytes.len() + part.len() > self.max_line_bytes {
+                self.failed = true;
                 self.bytes = Vec::new();
                 lines.push(Err(LineError::TooLong));
                 break;
@@ -43,7 +45,7 @@
             let Some(end) = end else { break };
             bytes = &bytes[end + 1..];
             let line = String::from_utf8(std::mem::take(&mut self.bytes)).map_err(|_| LineError::NotUtf8);
-            // Empty lines are no requests: a person at a terminal sends some.
+            // Skips empty lines, which a person at a terminal may send.
             if line.as_ref().is_ok_and(|l| l.trim().is_empty()) {
                 continue;
             }
@@ -52,7 +54,7 @@
         lines
     }
 
-    /// Bytes that are held.
+    /// Number of buffered bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len()
     }
@@ -64,7 +66,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn long_lines_and_bad_bytes_are_told_and_hold_no_memory() {
+    fn long_lines_and_invalid_utf8_are_reported_and_not_buffered() {
         let mut lines = LineDecoder::new(10);
         assert_eq!(lines.push(b"half"), []);
         assert_eq!(
@@ -76,13 +78,13 @@
     }
 
     proptest! {
-        /// However the bytes are cut, the lines are the same.
+        /// The decoded lines do not depend on how the input is split into chunks.
         #[test]
-        fn cuts_do_not_matter(text in "[a-c\n]{0,60}", step in 1usize..9) {
+        fn lines_are_independent_of_chunk_boundaries(text in "[a-c\n]{0,60}", step in 1usize..9) {
             let mut lines = LineDecoder::new(100);
-            let cut: Vec<_> = text.as_bytes().chunks(step).flat_map(|c| lines.push(c)).collect();
+            let chunked: Vec<_> = text.as_bytes().chunks(step).flat_map(|c| lines.push(c)).collect();
             let whole: Vec<_> = LineDecoder::new(100).push(text.as_bytes());
-            prop_assert_eq!(cut, whole);
+            prop_assert_eq!(chunked, whole);
         }
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,9 @@
-//! The control line of a running forwarder: a Unix socket, one JSON object a line, each with a protocol version.
+//! The control protocol of a running forwarder: newline-delimited JSON over a Unix socket, with a protocol version in every
+//! message.
 //!
-//! [`protocol`] is what is asked and answered, [`lines`] cuts bytes into lines within bounds, [`client`] is the side of
-//! commands and consoles. The serving side belongs to the forwarder. `docs/control-protocol.md` is the page for people.
+//! [`protocol`] defines the messages, [`framing`] splits a byte stream into lines of bounded length, and [`client`] is a
+//! blocking client for commands and consoles. The server is part of the forwarder. The protocol is documented in
+//! `docs/control-protocol.md`.
 #![warn(missing_docs)]
 
 pub mod client;
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -1,81 +1,83 @@
-//! What is asked and answered. Spans are milliseconds, times Unix time in microseconds.
+//! Messages of the control protocol. Fields that end in `_ms` are durations in milliseconds; points in time are Unix time
+//! in microseconds.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Version of the protocol. A request names it; another one is refused with this one told.
+/// Version of the protocol. Every request names one; a request with any other version is refused with an error that
+/// names this one.
 pub const VERSION: u32 = 1;
-/// Lines of a list that one answer has at most.
+/// Maximum number of entries of a list in one reply.
 pub const MAX_LIST_ENTRIES: u32 = 1000;
 
-/// A request: one line.
+/// A request, sent as one line of JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Request {
-    /// [`VERSION`].
+    /// Protocol version, [`VERSION`].
     pub v: u32,
-    /// Comes back with the answer, whatever it is.
+    /// Correlation id, any JSON value; the reply carries the same one.
     #[serde(default, skip_serializing_if = "Value::is_null")]
     pub id: Value,
-    /// What is asked.
+    /// The command, flattened into the request.
     #[serde(flatten)]
     pub command: ControlCommand,
 }
 
-/// What can be asked, by the field `ask`.
+/// A command, selected by the JSON field `ask`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
 pub enum ControlCommand {
-    /// Figures of the whole.
+    /// Returns the state and the counters of the process.
     Status,
-    /// Every partner.
+    /// Returns all partners.
     Partners,
-    /// Every endpoint.
+    /// Returns all endpoints.
     Endpoints,
-    /// What is held, by partner and key, the longest first.
+    /// Returns the held messages, counted by partner and order key, the longest queue first.
     Queues {
-        /// Of one partner only.
+        /// Restricts the list to one partner.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         partner: Option<String>,
-        /// Lines at most; [`MAX_LIST_ENTRIES`] if not given.
+        /// Maximum number of entries; [`MAX_LIST_ENTRIES`] by default.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         most: Option<u32>,
     },
-    /// Attempts that failed lately, the latest first.
+    /// Returns the recent failed attempts, the latest first.
     Failures {
-        /// Lines at most.
+        /// Maximum number of entries.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         most: Option<u32>,
     },
-    /// One message's history.
+    /// Returns the state and the attempts of one message.
     Message {
-        /// Its `X-Request-Id`.
+        /// The message's `X-Request-Id`.
         message: String,
     },
-    /// From now on, status, partners and endpoints each time that they have changed.
+    /// Subscribes the connection to status, partners and endpoints, which are pushed whenever they have changed.
     Subscribe {
-        /// Not more often than this; 1000 if not given, 200 at the least.
+        /// Minimum time between two pushes; 1000 by default, at least 200.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         every_ms: Option<u32>,
-        /// Also what happens, each once and at once, as `event`.
+        /// Also pushes each event as soon as it occurs, as `event`.
         #[serde(default, skip_serializing_if = "std::ops::Not::not")]
         events: bool,
     },
-    /// An order: a new endpoint of a partner.
+    /// Order: adds an endpoint to a partner.
     Add {
-        /// The partner.
+        /// The partner's name.
         partner: String,
         /// The new endpoint's name.
         endpoint: String,
-        /// Where it listens: address and port.
+        /// The address and port that the endpoint listens on.
         address: String,
     },
-    /// An order: nothing new goes to an endpoint.
+    /// Order: drains an endpoint; no new calls are sent to it.
     Drain {
-        /// Its name.
+        /// The endpoint's name.
         endpoint: String,
     },
-    /// An order: a drained endpoint, or a paused partner, is called again. One of the two.
+    /// Order: resumes calls to a drained endpoint or a paused partner. Exactly one of the two must be given.
     Resume {
         /// The endpoint's name.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -84,233 +86,235 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         partner: Option<String>,
     },
-    /// An order: an endpoint is no more. Calls that are out to it may end.
+    /// Order: removes an endpoint. Calls in flight to it may finish.
     Remove {
-        /// Its name.
+        /// The endpoint's name.
         endpoint: String,
     },
-    /// An order: nothing new goes to a partner. Messages for it are taken on and wait, up to their deadlines.
+    /// Order: pauses a partner; no new calls are sent to it. Messages for it are still accepted and wait, up to their
+    /// deadlines.
     Pause {
-        /// Its name.
+        /// The partner's name.
         partner: String,
     },
-    /// Clients by address, the busiest first, with what is blocked and which floods there were.
+    /// Returns the clients by address, the busiest first, together with blocked networks and recorded floods.
     Clients {
-        /// Lines at most; [`MAX_LIST_ENTRIES`] if not given.
+        /// Maximum number of entries; [`MAX_LIST_ENTRIES`] by default.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         most: Option<u32>,
     },
-    /// An order: nobody of an address or network is let in for a while. It outlives the process.
+    /// Order: refuses connections from an address or network for a limited time. The block survives a restart.
     Block {
-        /// An address, or a network as `192.0.2.0/24`.
+        /// An address, or a network such as `192.0.2.0/24`.
         network: String,
-        /// For so long, 30 days at most.
+        /// Duration of the block, at most 30 days.
         for_ms: u64,
     },
-    /// An order: a block ends.
+    /// Order: lifts a block.
     Unblock {
-        /// As it was blocked.
+        /// The address or network, written as in the block.
         network: String,
     },
-    /// The other forwarders of the site, and how they stand.
+    /// Returns the other forwarders of the site and their membership status.
     Peers,
-    /// What was ordered anywhere on the site and holds, with who said it.
+    /// Returns the orders in force on the site, given at any forwarder, with their origin.
     State,
-    /// An order: the process ends, once what is out has ended or its time is up.
+    /// Order: stops the process once the calls in flight have finished or the shutdown time limit is reached.
     Stop,
 }
 
-/// An answer, or a push of a subscription: one line.
+/// A reply to a request, or a push of a subscription, sent as one line of JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reply {
-    /// [`VERSION`].
+    /// Protocol version, [`VERSION`].
     pub v: u32,
-    /// As in the request.
+    /// Correlation id of the request.
     #[serde(default, skip_serializing_if = "Value::is_null")]
     pub id: Value,
-    /// What is answered.
+    /// The response, flattened into the reply.
     #[serde(flatten)]
     pub response: ControlResponse,
 }
 
-/// What can be answered, by the name of the one field.
+/// A response. Its variant is the name of the one JSON field that holds its content.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ControlResponse {
-    /// Figures of the whole.
+    /// State and counters of the process.
     Status(Box<Status>),
-    /// Every partner.
+    /// All partners.
     Partners(Vec<Partner>),
-    /// Every endpoint.
+    /// All endpoints.
     Endpoints(Vec<Endpoint>),
-    /// What is held.
+    /// Held messages, counted by partner and order key.
     Queues(Vec<Queue>),
-    /// Attempts that failed.
+    /// Recent failed attempts.
     Failures(Vec<Failure>),
-    /// One message.
+    /// State and attempts of one message.
     Message(Box<Message>),
-    /// Clients.
+    /// Clients, blocks and descriptors.
     Clients(Box<Clients>),
-    /// The other forwarders.
+    /// The other forwarders of the site.
     Peers(Box<Peers>),
-    /// What was ordered and holds.
+    /// The orders in force on the site.
     State(Box<SiteState>),
-    /// An order has been carried out, and outlives the process and the power.
+    /// An order has been carried out and persisted: it survives a crash of the process and a power failure.
     Done(OrderResult),
-    /// A push: all that a subscription shows.
+    /// Push of a subscription: the complete new state.
     Changed {
-        /// Figures of the whole.
+        /// State and counters of the process.
         status: Box<Status>,
-        /// Every partner.
+        /// All partners.
         partners: Vec<Partner>,
-        /// Every endpoint.
+        /// All endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// A push, for subscribers that want events.
+    /// Push of an event, for subscribers that requested events.
     Event(Event),
-    /// Refused, or not understood. Nothing has changed.
+    /// The request was refused or could not be parsed. Nothing has changed.
     Error(Error),
 }
 
-/// Something that has happened.
+/// An event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Event {
-    /// When.
+    /// Time of the event.
     pub at: u64,
-    /// A word for programs: `flood_began`, `flood_ended`, `missed` (the subscriber was too slow for so many).
+    /// Machine-readable kind: `flood_began`, `flood_ended`, `missed` (the subscriber read too slowly and lost events).
     pub kind: String,
-    /// The client's address that it is about, where it is one.
+    /// Address of the client concerned; empty if the event concerns no single client.
     pub address: String,
-    /// A sentence for people.
+    /// Human-readable description.
     pub text: String,
 }
 
-/// Why something was refused.
+/// Why a request was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Error {
-    /// A word for programs: `version`, `unreadable`, `too_long`, `refused`, `not_kept`, `unknown_message`, `busy`.
+    /// Machine-readable code: `version`, `unreadable`, `too_long`, `refused`, `not_kept` (it could not be persisted),
+    /// `unknown_message`, `busy`.
     pub code: String,
-    /// A sentence for people.
+    /// Human-readable description.
     pub text: String,
 }
 
-/// What an order has come to.
+/// Result of an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResult {
-    /// False if things were so already.
+    /// Whether the order changed anything; false if its state was already in force.
     pub changed: bool,
-    /// Statements in the membership log so far.
+    /// Number of statements in the membership log.
     pub version: u64,
-    /// Calls that are still out to what the order names.
+    /// Calls still in flight to the endpoint or partner of the order.
     pub calls: u32,
-    /// Messages that are held for its partner.
+    /// Messages held for the partner of the order.
     pub held: u32,
-    /// Other forwarders of the site that have it on disk by now, and how many others there are; 0 of 0 where this one is
-    /// alone.
-    #[serde(default, skip_serializing_if = "is_none")]
+    /// Number of other forwarders of the site that have persisted the order by now. `others` is how many other forwarders
+    /// there are; both are 0 where this forwarder runs alone.
+    #[serde(default, skip_serializing_if = "is_zero_u32")]
     pub copies: u32,
-    /// See `copies`.
-    #[serde(default, skip_serializing_if = "is_none")]
+    /// Number of other forwarders of the site; see `copies`.
+    #[serde(default, skip_serializing_if = "is_zero_u32")]
     pub others: u32,
 }
 
-fn is_none(number: &u32) -> bool {
+fn is_zero_u32(number: &u32) -> bool {
     *number == 0
 }
 
-/// The forwarders of a site, as one of them sees them.
+/// The forwarders of a site, as seen by one of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Peers {
-    /// This one's name, and its start number.
+    /// Name of this forwarder.
     pub name: String,
-    /// See `name`.
+    /// Start number of this forwarder, which grows with every start.
     pub start: u64,
-    /// `caught_up`, `catching_up`, `alone` (it has waited long enough for others) or `displaced` (another process has
-    /// taken its name: it takes no part any more).
+    /// `caught_up`, `catching_up`, `alone` (it has stopped waiting for others) or `displaced` (another
+    /// process has taken its name, and this one no longer takes part).
     pub mode: String,
-    /// Forwarders that are there, this one included, of how many; and how many are a majority.
+    /// Number of reachable forwarders, this one included.
     pub there: u32,
-    /// See `there`.
+    /// Number of forwarders configured for the site, this one included.
     pub members: u32,
-    /// See `there`.
+    /// Number of forwarders that make a quorum.
     pub majority: u32,
-    /// The others.
+    /// The other forwarders.
     pub others: Vec<Peer>,
-    /// Datagrams and bytes since the start, out and in.
+    /// Datagrams sent since the process started.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes sent since the process started.
     pub sent_bytes: u64,
-    /// See `sent`.
+    /// Datagrams received since the process started.
     pub received: u64,
-    /// See `sent`.
+    /// Bytes received since the process started.
     pub received_bytes: u64,
-    /// Datagrams that were dropped, by why: `forged`, `replayed`, `stale`, `stranger`, `foreign`, `oversized`, `unreadable`,
+    /// Dropped datagrams by reason: `forged`, `replayed`, `stale`, `stranger`, `foreign`, `oversized`, `unreadable`,
     /// `crowded`.
     pub dropped: BTreeMap<String, u64>,
-    /// Ids that are remembered, and whether it knows all that it let in: only then its word on them counts.
+    /// Number of message ids that this forwarder remembers.
     pub ids: u32,
-    /// See `ids`.
+    /// Whether it remembers every id that it has accepted; only then do its answers about ids count.
     pub ids_known: bool,
-    /// What could not be kept on disk yet; empty if all is.
+    /// The error that keeps orders from being persisted; empty if all are on disk.
     pub unkept: String,
 }
 
-/// Another forwarder.
+/// Another forwarder of the site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Peer {
     /// Its name.
     pub name: String,
-    /// `up`, `suspect`, `down`, or `unknown` (not heard of since this process started).
+    /// Membership status: `up`, `suspect`, `down`, or `unknown` (no word of it since this process started).
     pub standing: String,
-    /// For how long.
+    /// How long it has had this status.
     pub for_ms: u64,
-    /// Its start number, 0 if it was never heard of.
+    /// Its start number; 0 if it has never been heard of.
     pub start: u64,
-    /// How long ago it was heard of; none if not since this process started.
+    /// Time since it was last heard of; none if not since this process started.
     pub heard_ms: Option<u64>,
-    /// How long ago its state was found to be the same as here; none if not yet.
+    /// Time since its state last matched the state of this forwarder; none if it has not yet.
     pub same_ms: Option<u64>,
 }
 
-/// What was ordered on a site and holds, as one forwarder has it.
+/// The orders in force on a site, as known to one forwarder.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SiteState {
-    /// Whose picture it is.
+    /// Name of the forwarder that reports this state.
     pub name: String,
-    /// A number that two forwarders share if they have the same.
+    /// Digest of the state; it is equal on two forwarders that have the same state.
     pub digest: String,
-    /// Statements that hold; those of a subject that are more than one contradict each other.
+    /// Statements that no other statement supersedes. Several statements about one subject contradict each other.
     pub statements: Vec<Statement>,
 }
 
-/// A statement.
+/// One order about one subject.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Statement {
-    /// `endpoint`, `partner` or `network`, and its name.
+    /// Kind of the subject: `endpoint`, `partner` or `network`.
     pub kind: String,
-    /// See `kind`.
+    /// Name of the subject.
     pub subject: String,
-    /// `close`, `open`, `add` or `remove`.
+    /// The action: `close`, `open`, `add` or `remove`.
     pub word: String,
-    /// Whether it is the one that counts here.
+    /// Whether this statement takes effect; of several that contradict each other, one does.
     pub holds: bool,
-    /// Its name: forwarder, start number and place.
+    /// Id of the statement: forwarder, start number and sequence number.
     pub id: String,
-    /// When, by the clock of the forwarder that it was said to, Unix time in microseconds.
+    /// When the order was given, by the clock of the forwarder that received it.
     pub at: u64,
-    /// What it has superseded.
+    /// Ids of the statements that this one supersedes.
     pub over: Vec<String>,
-    /// For `add`: whose it is, and where.
+    /// For `add`: the partner and the address of the endpoint.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
-/// Figures of the whole. Counts are since the process started.
+/// State and counters of the process. Counters start at 0 when the process starts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
@@ -320,59 +324,59 @@
     pub program: String,
     /// Process id.
     pub pid: u32,
-    /// Time of the picture.
+    /// Time of the snapshot.
     pub at: u64,
-    /// How long the process has been up.
+    /// Time since the process started.
     pub up_ms: u64,
-    /// `serving`, `draining` (told to end) or `closing`.
+    /// `serving`, `draining` (the process was told to stop) or `closing`.
     pub stage: String,
-    /// Messages taken on.
+    /// Messages accepted.
     pub taken: u64,
-    /// Messages turned away before they were taken on.
+    /// Messages refused at intake.
     pub refused: u64,
-    /// Ended as delivered.
+    /// Messages finished as delivered.
     pub delivered: u64,
-    /// Ended as given up.
+    /// Messages finished as given up.
     pub given_up: u64,
-    /// Ended as in doubt.
+    /// Messages finished as in doubt.
     pub in_doubt: u64,
-    /// Ended as handed back.
+    /// Messages finished as handed back.
     pub handed_back: u64,
-    /// Attempts that failed.
+    /// Failed attempts.
     pub failures: u64,
-    /// Messages held now, their bytes, and the bound of either.
+    /// Messages currently held.
     pub held: u32,
-    /// See `held`.
+    /// Limit of `held`.
     pub held_most: u32,
-    /// See `held`.
+    /// Bytes of the messages currently held.
     pub held_bytes: u64,
-    /// See `held`.
+    /// Limit of `held_bytes`.
     pub held_bytes_most: u64,
-    /// Calls out, and their bound.
+    /// Calls in flight.
     pub calls: u32,
-    /// See `calls`.
+    /// Limit of `calls`.
     pub calls_most: u32,
-    /// Age of the oldest message that is held.
+    /// Age of the oldest held message.
     pub oldest_ms: u64,
-    /// Bytes in the journal's file, and their bound.
+    /// Size of the journal on disk, in bytes.
     pub journal_bytes: u64,
-    /// See `journal_bytes`.
+    /// Limit of `journal_bytes`.
     pub journal_most: u64,
-    /// Ends kept, those of them that nobody has acknowledged, and their bound.
+    /// Stored outcomes.
     pub ends: u64,
-    /// See `ends`.
+    /// Stored outcomes that no client has acknowledged.
     pub ends_unfetched: u64,
-    /// See `ends`.
+    /// Limit of `ends`.
     pub ends_most: u64,
-    /// Bytes of the ends' files, and their bound.
+    /// Size of the outcome files, in bytes.
     pub ends_bytes: u64,
-    /// See `ends_bytes`.
+    /// Limit of `ends_bytes`.
     pub ends_bytes_most: u64,
-    /// Ends that could not be written yet: the disk is full, say.
+    /// Outcomes that could not be written yet, for example because the disk is full.
     pub ends_unwritten: u32,
-    /// Statements in the membership log.
+    /// Number of statements in the membership log.
     pub membership: u64,
-    /// Longest round of the loop since the last picture, in microseconds.
+    /// Longest iteration of the event loop since the previous snapshot, in microseconds.
     pub longest_round_us: u64,
 }
 
@@ -382,47 +386,48 @@
 pub struct Partner {
     /// Its name.
     pub name: String,
-    /// Its kind.
+    /// Its kind in the site file.
     pub kind: String,
-    /// An order has paused it.
+    /// Whether it is paused by an order.
     pub paused: bool,
-    /// `up`, `failing`, `out` (single trials), `warming` (slow start), `closed` (paused, or no endpoint may be called).
+    /// `up`, `failing`, `out` (only single probes are sent), `warming` (slow start) or `closed` (paused, or no endpoint
+    /// may be called).
     pub health: String,
-    /// The verdict on it and what that rests on, in a sentence for people.
+    /// Human-readable health verdict with its evidence.
     pub verdict: String,
-    /// Smoothed share of calls that fail, 0 to 1.
+    /// Smoothed share of failing calls, 0 to 1.
     pub failing: f64,
-    /// How much of the evidence that being `out` takes there is, 0 to 1 and a little more.
+    /// Share of the evidence needed to be reported as `out` that has been collected; it may slightly exceed 1.
     pub towards_out: f64,
-    /// How long `health` has stood; for `up` since the last failure. 0 if there was none.
+    /// Time since `health` last changed; for `up`, time since the last failure, 0 if there was none.
     pub stood_ms: u64,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: u32,
-    /// Those of them that may be called.
+    /// Number of endpoints that may be called.
     pub open: u32,
     /// Messages held for it.
     pub held: u32,
-    /// Age of the oldest of them.
+    /// Age of the oldest held message.
     pub oldest_ms: u64,
-    /// Calls out.
+    /// Calls in flight.
     pub calls: u32,
-    /// Calls that may be out at once, as learned.
+    /// Learned limit of concurrent calls.
     pub window: f64,
-    /// Time after which a repeatable message is sent again, 0 until it is trusted.
+    /// Time after which a repeatable message is sent again (tau); 0 until the estimate is reliable.
     pub tau_ms: f64,
-    /// Mean answer time.
+    /// Mean response time.
     pub mean_ms: f64,
-    /// Rest of a wait that it has told.
+    /// Remaining time of the retry-after that the partner requested.
     pub wait_ms: u64,
-    /// Calls a second that are sent at most, 0 without limit.
+    /// Current limit of calls per second; 0 without a limit.
     pub pace: f64,
-    /// The rate that the site file names, 0 for none.
+    /// Rate limit of the site file in messages per second; 0 if none is set.
     pub rate: f64,
-    /// Calls out at once by the site file, 0 for none.
+    /// Limit of concurrent calls of the site file; 0 if none is set.
     pub slots: u32,
-    /// Messages delivered to it since the start.
+    /// Messages delivered to it since the process started.
     pub delivered: u64,
-    /// Attempts that failed since the start.
+    /// Failed attempts since the process started.
     pub failures: u64,
 }
 
@@ -432,78 +437,78 @@
 pub struct Endpoint {
     /// Its name.
     pub name: String,
-    /// Its partner.
+    /// Name of its partner.
     pub partner: String,
-    /// Where it listens.
+    /// The address and port that it listens on.
     pub address: String,
-    /// `active`, `draining` (by an order), `paused` (its partner is).
+    /// `active`, `draining` (by an order) or `paused` (its partner is paused).
     pub state: String,
-    /// As of a partner; `drained` once it is draining or paused and no call is out.
+    /// As [`Partner::health`], and `drained` once it is draining or paused and no call is in flight.
     pub health: String,
-    /// As of a partner, for its way.
+    /// As [`Partner::verdict`], for the endpoint's route.
     pub verdict: String,
-    /// As of a partner, for its way.
+    /// As [`Partner::failing`], for the endpoint's route.
     pub failing: f64,
-    /// As of a partner, for its way.
+    /// As [`Partner::towards_out`], for the endpoint's route.
     pub towards_out: f64,
-    /// As of a partner, for its way.
+    /// As [`Partner::stood_ms`], for the endpoint's route.
     pub stood_ms: u64,
-    /// Calls out to it.
+    /// Calls in flight to it.
     pub calls: u32,
-    /// Calls that may be out at once on its way, which it may share with others of its partner.
+    /// Learned limit of concurrent calls of its route, which it may share with other endpoints of its partner.
     pub window: f64,
-    /// Resend point of its way, 0 until it is trusted.
+    /// Resend point (tau) of its route; 0 until the estimate is reliable.
     pub tau_ms: f64,
-    /// Rest of a wait that was told on its way.
+    /// Remaining time of the retry-after that was requested on its route.
     pub wait_ms: u64,
-    /// Others are taken first for so long: it has failed lately.
+    /// How much longer other endpoints are preferred because this one failed recently.
     pub avoided_ms: u64,
-    /// Connections that stand idle, and that are being opened ahead of demand.
+    /// Idle connections.
     pub idle: u32,
-    /// See `idle`.
+    /// Connections being opened ahead of demand.
     pub dialling: u32,
-    /// Share of the calls that waited for no handshake, 0 to 1.
+    /// Share of calls that did not have to wait for a handshake, 0 to 1.
     pub ready: f64,
-    /// How long a handshake takes.
+    /// Duration of a handshake.
     pub handshake_ms: f64,
-    /// How long a connection may stand idle and be used again, as learned.
+    /// Learned limit of the time that a connection may be idle and still be reused.
     pub idle_most_ms: u64,
-    /// Since the order that closed it, if that came in this process; 0 otherwise.
+    /// Time since the order that closed it, if this process received that order; 0 otherwise.
     pub closed_ms: u64,
 }
 
-/// Who hands messages in.
+/// The clients that submit messages, and the resources of the listener.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Clients {
-    /// By address, the busiest first.
+    /// Clients by address, the busiest first.
     pub clients: Vec<ClientStats>,
-    /// What is blocked, and for how many milliseconds yet.
+    /// Blocked networks, each with the remaining time in milliseconds.
     pub blocks: Vec<(String, u64)>,
-    /// Floods since the start, a line each, the latest first.
+    /// Floods since the process started, one line of text each, the latest first.
     pub floods: Vec<String>,
-    /// Descriptors: who holds how many, and may hold at the moment.
+    /// Current use of file descriptors by each party.
     pub descriptors: Vec<DescriptorUsage>,
-    /// Connections that were let go of and are not closed yet.
+    /// Connections that the forwarder has given up and that are not closed yet.
     pub lingering: u32,
-    /// The listener's sockets in the kernel by their state; none where the system does not tell.
+    /// The listener's sockets in the kernel, by state; none where the system does not report them.
     pub kernel: Option<KernelSockets>,
 }
 
-/// Descriptors of a party.
+/// Use of file descriptors by one party.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DescriptorUsage {
-    /// `clients`, `calls`, `control`.
+    /// `clients`, `calls` or `control`.
     pub party: String,
-    /// What it holds.
+    /// Number of descriptors in use.
     pub held: u32,
-    /// What it may hold as long as the others hold what they do.
+    /// Number of descriptors that it may use, given the current use of the others.
     pub most: u32,
 }
 
-/// TCP sockets of the listener's port by state (RFC 9293). Those in TIME-WAIT take no descriptor, but a port and memory of the
-/// kernel.
+/// TCP sockets of the listener's port by state (RFC 9293). Sockets in TIME-WAIT use no descriptor, but a port and kernel
+/// memory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KernelSockets {
@@ -511,100 +516,102 @@
     pub half_open: u32,
     /// ESTABLISHED.
     pub established: u32,
-    /// The peer has closed its side, and this one has not: CLOSE-WAIT, LAST-ACK.
+    /// Closed by the peer and not yet on this side: CLOSE-WAIT, LAST-ACK.
     pub half_closed: u32,
-    /// Closed here, and not yet by the peer: FIN-WAIT-1 and -2, CLOSING.
+    /// Closed on this side and not yet by the peer: FIN-WAIT-1, FIN-WAIT-2, CLOSING.
     pub closing: u32,
     /// TIME-WAIT.
     pub time_wait: u32,
 }
 
-/// An address that hands messages in. Counts are since it was first seen, or since it was forgotten.
+/// A client address that submits messages. Counters start at 0 when the address is first seen, and again after it has been
+/// forgotten.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClientStats {
     /// The address.
     pub address: String,
-    /// `by name`, `earned` (by messages taken on lately), `no`.
+    /// Whether the client is known: `by name` (in the site file), `earned` (by recently accepted messages) or `no`.
     pub known: String,
-    /// Connections now.
+    /// Open connections.
     pub connections: u32,
-    /// Requests open now.
+    /// Requests in progress.
     pub requests: u32,
-    /// Requests.
+    /// Requests received.
     pub asked: u64,
-    /// Messages taken on.
+    /// Messages accepted.
     pub taken: u64,
-    /// Requests refused because its share was used up.
+    /// Requests refused because the client's share was used up.
     pub refused: u64,
-    /// Connections turned away.
+    /// Connections refused.
     pub turned_away: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// What part that is of all requests, 0 to 1.
+    /// Share of all requests, 0 to 1.
     pub part: f64,
-    /// It is held to flood.
+    /// Whether the client is considered to be flooding.
     pub floods: bool,
 }
 
-/// What is held of a key of a partner.
+/// The messages held for one order key of a partner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Queue {
-    /// The partner.
+    /// Name of the partner.
     pub partner: String,
-    /// The key; empty for messages without.
+    /// The order key; empty for messages without one.
     pub key: String,
-    /// Messages.
+    /// Number of held messages.
     pub held: u32,
-    /// Age of the oldest.
+    /// Age of the oldest held message.
     pub oldest_ms: u64,
 }
 
-/// An attempt that failed.
+/// A failed attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Failure {
-    /// When its outcome came.
+    /// Time of the outcome.
     pub at: u64,
-    /// The message.
+    /// Id of the message.
     pub message: String,
-    /// Its class.
+    /// Class of the message.
     pub class: String,
-    /// The partner.
+    /// Name of the partner.
     pub partner: String,
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Which attempt of the message, from 1.
+    /// Number of the attempt of the message, from 1.
     pub attempt: u32,
     /// See [`Attempt::outcome`].
     pub outcome: String,
-    /// It ran, or nobody can tell.
+    /// Whether the attempt ran at the partner or may have run.
     pub may_have_run: bool,
-    /// Why there was no connection, in words; empty if there was one.
+    /// Why no connection was made, as text; empty if there was one.
     pub cause: String,
-    /// What was done about it: `waits`, `sent again`, or how the message ended.
+    /// What followed: `waits`, `sent again`, or the outcome of the message.
     pub then: String,
 }
 
-/// An attempt.
+/// An attempt to deliver a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Attempt {
-    /// When it began.
+    /// Start time.
     pub at: u64,
-    /// When its outcome came; 0 if it is out, or was when a process ended.
+    /// Time of the outcome; 0 if the attempt is in flight, or was in flight when a process ended.
     pub until: u64,
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// `out`, `ok`, `error`, `full`, `timed out`, `not connected`, `reset`, `cancelled`, `spoilt`, `not sent`; of an
-    /// earlier process `lost` (no outcome), `did not run` or `may have run`.
+    /// `out` (in flight), `ok`, `error`, `full` (rejected), `timed out`, `not connected`, `reset`, `cancelled`, `spoilt`
+    /// (unreadable response), `not sent`; for attempts of an earlier process `lost` (no outcome), `did not run` or
+    /// `may have run`.
     pub outcome: String,
-    /// It ran, or nobody can tell.
+    /// Whether the attempt ran at the partner or may have run.
     pub may_have_run: bool,
 }
 
-/// One message.
+/// The state and the attempts of one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Message {
@@ -612,38 +619,38 @@
     pub id: String,
     /// `held`, `delivered`, `given_up`, `in_doubt` or `handed_back`.
     pub state: String,
-    /// Its class.
+    /// Name of its class.
     pub class: String,
-    /// Its partner.
+    /// Name of its partner.
     pub partner: String,
-    /// The key of its order.
+    /// Its order key.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub key: String,
-    /// When it was taken on.
+    /// When it was accepted.
     pub taken: u64,
-    /// When it will be given up, if it is held.
-    #[serde(skip_serializing_if = "is_zero")]
+    /// When it will be given up, if it is still held.
+    #[serde(skip_serializing_if = "is_zero_u64")]
     pub expires: u64,
-    /// When it ended, if it has.
-    #[serde(skip_serializing_if = "is_zero")]
+    /// When it finished, if it has.
+    #[serde(skip_serializing_if = "is_zero_u64")]
     pub ended: u64,
-    /// For `handed_back`: when to come again.
-    #[serde(skip_serializing_if = "is_zero")]
+    /// For `handed_back`: how long the client should wait before it submits the message again.
+    #[serde(skip_serializing_if = "is_zero_u64")]
     pub retry_in_ms: u64,
-    /// For `handed_back`, where an attempt may have run: handed in again later than this it is refused with 409, since its
-    /// partner may have forgotten it by then.
-    #[serde(skip_serializing_if = "is_zero")]
+    /// For `handed_back`, where an attempt may have run: a resubmission after this time is refused with 409, since the partner
+    /// may have forgotten the message by then.
+    #[serde(skip_serializing_if = "is_zero_u64")]
     pub harmless_until: u64,
-    /// Its attempts.
+    /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
 }
 
-fn is_zero(number: &u64) -> bool {
+fn is_zero_u64(number: &u64) -> bool {
     *number == 0
 }
 
 impl Reply {
-    /// A refusal.
+    /// Creates a reply that refuses a request.
     pub fn error(id: Value, code: &str, text: impl Into<String>) -> Reply {
         Reply {
             v: VERSION,
@@ -652,29 +659,39 @@
         }
     }
 
-    /// The line, with its end.
+    /// Encodes the reply as a line of JSON, including the newline.
     pub fn to_line(&self) -> String {
-        // Only maps with keys that are no texts can't be written, and there is none.
+        // Serialization fails only for maps with non-string keys, and no type here has one.
         let text = serde_json::to_string(self).unwrap_or_default();
         format!("{text}\n")
     }
 }
 
-/// Reads a request.
+/// Parses a request.
 ///
 /// # Errors
-/// The refusal to answer with.
+/// Returns the reply that refuses the request.
 pub fn parse_request(line: &str) -> Result<Request, Box<Reply>> {
     let refuse = |id, code: &str, text: String| Box::new(Reply::error(id, code, text));
     let value: Value = serde_json::from_str(line)
-        .map_err(|e| refuse(Value::Null, "unreadable", format!("no JSON object in a line: {e}")))?;
+        .map_err(|e| refuse(Value::Null, "unreadable", format!("the line is not a JSON object: {e}")))?;
     let id = value.get("id").cloned().unwrap_or_default();
     match value.get("v").and_then(Value::as_u64) {
         Some(v) if v == u64::from(VERSION) => {}
         Some(v) => {
-            return Err(refuse(id, "version", format!("version {v} is not spoken here, {VERSION} is")))
+            return Err(refuse(
+                id,
+                "version",
+                format!("protocol version {v} is not supported; this forwarder uses {VERSION}"),
+            ))
+        }
+        None => {
+            return Err(refuse(
+                id,
+                "version",
+                format!("the request does not name its protocol version: \"v\":{VERSION}"),
+            ))
         }
-        None => return Err(refuse(id, "version", format!("a request names its version: \"v\":{VERSION}"))),
     }
     serde_json::from_value(value).map_err(|e| refuse(id, "unreadable", e.to_string()))
 }
@@ -685,7 +702,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn requests_are_read_or_refused_with_their_id() {
+    fn requests_are_parsed_or_refused_with_their_id() {
         let request = parse_request(r#"{"v":1,"id":7,"ask":"drain","endpoint":"a"}"#).unwrap();
         assert_eq!((request.command, request.id), (ControlCommand::Drain { endpoint: "a".into() }, 7.into()));
         assert_eq!(
@@ -694,7 +711,7 @@
         );
         let code = |line: &str| match parse_request(line).unwrap_err().response {
             ControlResponse::Error(error) => error.code,
-            told => panic!("{told:?}"),
+            response => panic!("{response:?}"),
         };
         assert_eq!(code(r#"{"v":2,"ask":"status"}"#), "version");
         assert_eq!(code(r#"{"ask":"status"}"#), "version");
@@ -706,7 +723,7 @@
     }
 
     #[test]
-    fn a_reply_names_what_it_tells_and_is_read_again() {
+    fn a_reply_is_keyed_by_its_response_and_parses_back() {
         let reply =
             Reply { v: VERSION, id: 3.into(), response: ControlResponse::Queues(vec![Queue::default()]) };
         let line = reply.to_line();
@@ -717,7 +734,7 @@
 
     proptest! {
         #[test]
-        fn no_line_brings_the_reader_down(line in ".{0,80}") {
+        fn arbitrary_lines_do_not_panic_the_parser(line in ".{0,80}") {
             let _ = parse_request(&line);
         }
     }
