--- a/crates/site/src/finding.rs
+++ b/crates/site/src/finding.rs
@@ -1,24 +1,24 @@
-//! What is wrong in a site file, and where.
+//! Validation errors of a site file and their positions.
 
 use std::fmt;
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// One mistake. Shown as `file:line:column: field: problem`.
+/// A validation error. Displayed as `file:line:column: field: problem`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The file as it was named.
+    /// The path of the file, as given by the caller.
     pub file: PathBuf,
-    /// Line and column in characters, both from 1; none if it is about the whole file.
+    /// Line and column in characters, both from 1; none if the finding concerns the whole file.
     pub position: Option<(usize, usize)>,
-    /// The field's full name, such as `partner.NAME.rate`; empty if none is meant.
+    /// The field's full name, such as `partner.NAME.rate`; empty if the finding concerns no field.
     pub field: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and what is expected.
     pub problem: String,
 }
 
 impl Finding {
-    /// A finding about a file as a whole.
+    /// Creates a finding that concerns a file as a whole.
     pub fn for_file(file: &Path, problem: String) -> Finding {
         Finding { file: file.to_path_buf(), position: None, field: String::new(), problem }
     }
@@ -37,11 +37,11 @@
     }
 }
 
-/// The findings of one text.
+/// Collects the findings of one file.
 pub(crate) struct Findings<'t> {
     file: &'t Path,
     text: &'t str,
-    /// With the byte that each is about, for their order.
+    /// Findings with their byte offsets, by which they are sorted.
     all: Vec<(usize, Finding)>,
 }
 
@@ -53,7 +53,7 @@
     pub fn add(&mut self, span: &Range<usize>, field: &str, problem: impl Into<String>) {
         let finding = Finding {
             file: self.file.to_path_buf(),
-            position: Some(place(self.text, span.start)),
+            position: Some(line_and_column(self.text, span.start)),
             field: field.to_string(),
             problem: problem.into(),
         };
@@ -65,18 +65,18 @@
     }
 
     pub fn into_sorted(mut self) -> Vec<Finding> {
-        self.all.sort_by_key(|(at, _)| *at);
+        self.all.sort_by_key(|(offset, _)| *offset);
         self.all.into_iter().map(|(_, finding)| finding).collect()
     }
 }
 
-/// Line and column of a byte.
-fn place(text: &str, byte: usize) -> (usize, usize) {
-    let mut byte = byte.min(text.len());
-    while !text.is_char_boundary(byte) {
-        byte -= 1;
+/// Converts a byte offset to line and column, both from 1.
+fn line_and_column(text: &str, offset: usize) -> (usize, usize) {
+    let mut offset = offset.min(text.len());
+    while !text.is_char_boundary(offset) {
+        offset -= 1;
     }
-    let before = &text[..byte];
-    let line_start = before.rfind('\n').map_or(0, |at| at + 1);
+    let before = &text[..offset];
+    let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
     (before.matches('\n').count() + 1, before[line_start..].chars().count() + 1)
 }
--- a/crates/site/src/model.rs
+++ b/crates/site/src/model.rs
@@ -1,4 +1,4 @@
-//! What a site is. All spans are microseconds, all sizes bytes, all rates messages a second.
+//! The settings of a site. All durations are in microseconds, all sizes in bytes, all rates in messages per second.
 
 use foldtrack_dialect::Dialect;
 use foldtrack_proof::AuthScheme;
@@ -7,175 +7,176 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a repeat of a message does.
+/// The effect of sending a message more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing that matters: it may be repeated at will.
+    /// Repeats are harmless: the message may be sent any number of times.
     Repeatable,
-    /// The partner drops repeats with the same idempotency key for the class's `remembered` span.
+    /// The partner drops repeats with the same idempotency key for the `remembered` time of the class.
     Keyed,
-    /// It must never take effect twice.
+    /// The message must never take effect twice.
     Once,
 }
 
-/// What outlives what was answered.
+/// The failure that an acknowledged message survives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// The process, however it ends.
+    /// A crash of the process.
     Process,
-    /// The machine: an answer is given once its record is on stable storage.
+    /// A crash of the machine: a message is acknowledged once its record is on stable storage.
     Machine,
 }
 
-/// A class of message.
+/// A class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// First part of the path that clients post to.
+    /// Name of the class; it is the first segment of the path that clients post to.
     pub name: String,
-    /// What a repeat does.
+    /// The effect of sending a message of this class more than once.
     pub effect: Effect,
-    /// Messages with the same key go one at a time, in the order in which they came.
+    /// Whether messages with the same order key are delivered one at a time, in the order in which they were accepted.
     pub ordered: bool,
-    /// For [`Effect::Keyed`]: how long partners drop repeats; 0 otherwise.
+    /// For [`Effect::Keyed`]: how long partners remember idempotency keys and drop repeats; 0 otherwise.
     pub remembered: u64,
-    /// Wanted within this span.
+    /// Target latency.
     pub aim: u64,
-    /// Given up after this span.
+    /// Time after which an undelivered message is given up.
     pub deadline: u64,
-    /// One that would wait for longer is refused at the door; 0 where only the deadline counts.
+    /// A message whose expected wait is longer is refused at intake; 0 where only the deadline counts.
     pub refuse_after: u64,
-    /// Worth of a delivery, beside those of other classes.
+    /// Worth of a delivery, relative to other classes.
     pub worth: f64,
-    /// Share of the worth that is left at the deadline, 0 to 1.
+    /// Share of the worth that remains at the deadline, 0 to 1.
     pub late_worth: f64,
 }
 
 /// A kind of partner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartnerKind {
-    /// As partners name it.
+    /// Name by which partners refer to it.
     pub name: String,
-    /// Endpoints are routes apart, each with a limit and outages of its own.
+    /// Whether each endpoint is a route of its own, with its own limit and its own outages.
     pub routes_apart: bool,
 }
 
-/// An endpoint of a partner, as the site file has it.
+/// An endpoint of a partner, as given in the site file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Unlike any other of the site.
+    /// Name, unique within the site.
     pub name: String,
-    /// Where it listens.
+    /// The address and port that it listens on.
     pub address: SocketAddr,
 }
 
 /// A partner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Partner {
-    /// As clients name it in `X-Partner`.
+    /// Name, as clients give it in `X-Partner`.
     pub name: String,
-    /// Place of its kind in [`Site::kinds`].
+    /// Index of its kind in [`Site::kinds`].
     pub kind: usize,
-    /// Messages a second that it takes; none if it names no limit.
+    /// Rate limit in messages per second; none if the partner has no limit.
     pub rate: Option<f64>,
-    /// Calls out to it at once at most; none if only the site's limit holds.
+    /// Limit of concurrent calls; none if only the limit of the site applies.
     pub slots: Option<u32>,
     /// Its endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// How it is spoken to.
+    /// The request format and the interpretation of responses.
     pub dialect: Dialect,
-    /// How it is proven to it who calls; none if it asks for nothing.
+    /// How the forwarder authenticates to it; none if it requires no authentication.
     pub proof: Option<Authentication>,
-    /// Its connections are encrypted; none for plain ones.
+    /// TLS settings; none for plain connections.
     pub tls: Option<Tls>,
 }
 
-/// TLS to a partner. What it is made from stands in files of its own.
+/// TLS settings for a partner. Certificates and keys are in separate files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tls {
-    /// Name, pins and versions.
+    /// Server name, pins and protocol versions.
     pub settings: TlsSettings,
-    /// Whom to trust; none for those whom the system trusts.
+    /// File of the trusted root certificates; none for the roots of the system.
     pub roots: Option<PathBuf>,
-    /// The certificate that is shown, and its key.
+    /// Files of the client certificate chain and its key; none without a client certificate.
     pub client: Option<(PathBuf, PathBuf)>,
 }
 
-/// Proof to a partner of who calls. The secret itself is in no site file.
+/// Authentication of the forwarder to a partner. The site file never contains the secret itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Authentication {
-    /// How.
+    /// The authentication scheme.
     pub scheme: AuthScheme,
-    /// The file of its secret.
+    /// The file that contains the secret.
     pub secret_file: PathBuf,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of memory for messages and what is remembered of them.
+    /// Bytes of memory for messages and the records about them.
     pub memory: u64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub descriptors: usize,
-    /// Bytes in the state folder.
+    /// Bytes of disk space for the state folder.
     pub disk: u64,
-    /// Messages held at once.
+    /// Maximum number of messages held at the same time.
     pub messages: u32,
-    /// Calls out at once.
+    /// Maximum number of concurrent calls.
     pub calls: u32,
-    /// Attempts for one message.
+    /// Maximum number of attempts for one message.
     pub attempts: u32,
-    /// Longest wait that a refused client is told.
+    /// Maximum retry-after given to a refused client.
     pub longest_wait: u64,
 }
 
-/// Who is let in. What is `None` follows from the places that there are for connections.
+/// Admission control of clients. The default of an option that is `None` is derived from the number of client connections
+/// available.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admission {
-    /// Networks whose clients are known, whatever they have handed in.
+    /// Networks whose clients are always known, regardless of what they have submitted.
     pub known: Vec<IpNet>,
-    /// Share of the places that is kept for known clients, 0 to 1.
+    /// Share of the client connections reserved for known clients, 0 to 1.
     pub reserve: f64,
-    /// Connections of an address that is not known.
+    /// Connection limit of an unknown address.
     pub per_address: Option<u32>,
-    /// Connections of an address that is known.
+    /// Connection limit of a known address.
     pub per_known: Option<u32>,
-    /// Connections of all addresses of a prefix together that are not known.
+    /// Connection limit of all unknown addresses of a prefix together.
     pub per_prefix: Option<u32>,
-    /// Bits of a prefix of IPv4, 0 to 32.
+    /// Length of an IPv4 prefix in bits, 0 to 32.
     pub v4_prefix: u8,
-    /// Bits of a prefix of IPv6, 0 to 128.
+    /// Length of an IPv6 prefix in bits, 0 to 128.
     pub v6_prefix: u8,
-    /// New connections a second of an address that is not known.
+    /// Rate limit of new connections per second from an unknown address.
     pub new_per_second: f64,
-    /// New connections that such an address may open at once.
+    /// Burst size of that rate limit, in connections.
     pub burst: f64,
-    /// New connections a second of all such addresses together.
+    /// Rate limit of new connections per second from all unknown addresses together.
     pub strangers_per_second: f64,
-    /// Requests of one address that are open at once.
+    /// Limit of concurrent requests of one address.
     pub requests: Option<u32>,
 }
 
-/// How long the ends of messages are kept.
+/// How long the outcomes of messages are stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutcomeRetention {
-    /// So many at most.
+    /// Maximum number of stored outcomes.
     pub count: u64,
-    /// Bytes on disk at most.
+    /// Maximum size on disk, in bytes.
     pub size: u64,
-    /// Those that the client has acknowledged are kept for so long.
+    /// How long outcomes are stored after the client has acknowledged them.
     pub age: u64,
 }
 
-/// How calls to partners are made.
+/// Connection settings for calls to partners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Calls {
-    /// Partners close a connection that has been idle for so long.
+    /// Idle time after which partners close a connection.
     pub connection_idle: u64,
-    /// A connection not made within this span has failed.
+    /// Time limit for opening a connection.
     pub connect_timeout: u64,
-    /// A connection is not used for longer.
+    /// Maximum age of a connection; an older one is not reused.
     pub connection_age: u64,
-    /// Connections are opened before calls ask for them, where a handshake takes time.
+    /// Whether connections are opened ahead of demand where the handshake takes time.
     pub open_ahead: bool,
 }
 
@@ -184,86 +185,88 @@
 pub struct Member {
     /// Its name.
     pub name: String,
-    /// Where its datagrams go.
+    /// The address and port that its datagrams are sent to.
     pub address: SocketAddr,
 }
 
-/// The forwarders of the site, which tell each other what they know.
+/// Settings for the exchange of state between the forwarders of a site.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// This one's name.
+    /// Name of this forwarder.
     pub name: String,
-    /// Where it takes datagrams.
+    /// The address and port on which it receives datagrams.
     pub listen: SocketAddr,
-    /// The file of the secret that all share.
+    /// The file of the secret that all forwarders share.
     pub secret: PathBuf,
-    /// What has been superseded for so long is forgotten.
+    /// How long superseded facts are kept.
     pub horizon: u64,
-    /// A forwarder that has come up answers `/healthz` after this span even if it has not caught up.
+    /// Time after its start at which a forwarder reports ready on `/healthz` even if it has not caught up.
     pub ready_within: u64,
-    /// Bytes a second that catching up may take.
+    /// Bandwidth limit for catching up, in bytes per second.
     pub catch_up: u64,
-    /// Others are told of waits that partners tell.
+    /// Whether retry-after requests of partners are shared with the other forwarders.
     pub share_waits: bool,
-    /// The others, in the order of their names.
+    /// The other forwarders, sorted by name.
     pub members: Vec<Member>,
 }
 
-/// An installation of its own.
+/// The settings of a standalone installation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// For people.
+    /// Display name.
     pub name: String,
-    /// Where clients connect.
+    /// The address and port that clients connect to.
     pub listen: SocketAddr,
     /// The state folder.
     pub state: PathBuf,
-    /// What an answer promises.
+    /// The failure that an acknowledged message survives.
     pub durability: Durability,
-    /// Bounds.
+    /// Resource limits.
     pub limits: Limits,
-    /// Bounds of the kept ends.
+    /// Retention limits of stored outcomes.
     pub ends: OutcomeRetention,
-    /// Who is let in.
+    /// Admission control of clients.
     pub admission: Admission,
-    /// How calls are made.
+    /// Connection settings for calls to partners.
     pub calls: Calls,
-    /// The other forwarders; none where it is alone.
+    /// Settings for the other forwarders of the site; none where this one runs alone.
     pub peers: Option<PeerSettings>,
-    /// Classes, in the order of their names.
+    /// Classes, sorted by name.
     pub classes: Vec<Class>,
-    /// Kinds of partner; the first is that of partners which name none.
+    /// Kinds of partner; the first is the default for partners that name no kind.
     pub kinds: Vec<PartnerKind>,
-    /// Partners, in the order of their names.
+    /// Partners, sorted by name.
     pub partners: Vec<Partner>,
 }
 
 impl Partner {
-    /// Its number as a destination: the CRC-32 of its name, so that a journal means the same partner whatever else
-    /// is lost. Two partners of a site never share one.
+    /// Its destination number: the CRC-32 of its name, so that a journal still identifies the partner when all other state is
+    /// lost. Validation ensures that no two partners of a site share a number.
     pub fn number(&self) -> u32 {
         crc32fast::hash(self.name.as_bytes())
     }
 }
 
 impl Site {
-    /// The control line's socket.
+    /// Path of the control socket.
     pub fn control_socket(&self) -> PathBuf {
         self.state.join(CONTROL_SOCKET)
     }
 
-    /// Bytes of the disk limit that are left for messages, once ends and membership have their part.
+    /// Bytes of the disk limit that remain for the message journal, after the outcomes, the membership log and the peer
+    /// store have their shares.
     pub fn journal_capacity(&self) -> u64 {
         let peers = if self.peers.is_some() { PEER_STORE_BYTES } else { 0 };
         self.limits.disk.saturating_sub(self.ends.size + MEMBERSHIP_LOG_BYTES + peers)
     }
 }
 
-/// Name of the control line's socket in the state folder.
+/// File name of the control socket in the state folder.
 pub const CONTROL_SOCKET: &str = "control.sock";
-/// Bytes that the membership log may take, a compaction of it included.
+/// Disk space reserved for the membership log, in bytes, including its compaction.
 pub const MEMBERSHIP_LOG_BYTES: u64 = 2 << 20;
-/// Bytes that the store of what forwarders tell each other may take.
+/// Disk space reserved for the store of facts shared between forwarders, in bytes.
 pub const PEER_STORE_BYTES: u64 = 24 << 20;
-/// Endpoints of a site at most: so many fit the membership log's room twice, as a compaction needs it.
+/// Maximum number of partners and endpoints of a site. So many fit twice into [`MEMBERSHIP_LOG_BYTES`], which compaction
+/// requires.
 pub const MAX_ENDPOINTS: usize = 2000;
--- a/crates/site/src/units.rs
+++ b/crates/site/src/units.rs
@@ -1,44 +1,44 @@
-//! Spans, sizes and rates as an operator writes them.
+//! Parsers for durations, sizes and rates in the notation of the site file.
 
 use parse_size::{ByteSuffix, Config};
 
-/// A span such as `3s`, `250ms` or `1h 30m`, in microseconds.
+/// Parses a duration such as `3s`, `250ms` or `1h 30m` into microseconds.
 ///
 /// # Errors
-/// What would be right.
+/// Returns a message that describes the expected notation.
 pub fn parse_duration(text: &str) -> Result<u64, String> {
-    let right = || format!("{text:?} is no span; one is a number with a unit: \"250ms\", \"3s\", \"1h 30m\"");
-    let span = humantime::parse_duration(text).map_err(|_| right())?;
-    u64::try_from(span.as_micros()).map_err(|_| right())
+    let error = || format!("{text:?} is not a duration; expected numbers with units, such as \"250ms\", \"3s\" or \"1h 30m\"");
+    let duration = humantime::parse_duration(text).map_err(|_| error())?;
+    u64::try_from(duration.as_micros()).map_err(|_| error())
 }
 
-/// A size such as `64KiB` or `256MiB`, in bytes. The unit is needed: a bare number could mean any.
+/// Parses a size such as `64KiB` or `256MiB` into bytes. The unit is required, because a bare number is ambiguous.
 ///
 /// # Errors
-/// What would be right.
+/// Returns a message that describes the expected notation.
 pub fn parse_size(text: &str) -> Result<u64, String> {
-    let right =
-        || format!("{text:?} is no size; one is a number with a unit: \"64KiB\", \"256MiB\", \"2GB\"");
-    let sized = Config::new().with_byte_suffix(ByteSuffix::Require);
-    sized.parse_size(text).map_err(|_| right())
+    let error =
+        || format!("{text:?} is not a size; expected a number with a unit, such as \"64KiB\", \"256MiB\" or \"2GB\"");
+    let config = Config::new().with_byte_suffix(ByteSuffix::Require);
+    config.parse_size(text).map_err(|_| error())
 }
 
-/// A rate such as `250 msgs/s` or `30 msgs/min`, in messages a second, above 0 and at most a million.
+/// Parses a rate such as `250 msgs/s` or `30 msgs/min` into messages per second. It must be above 0 and at most a million.
 ///
 /// # Errors
-/// What would be right.
+/// Returns a message that describes the expected notation.
 pub fn parse_rate(text: &str) -> Result<f64, String> {
-    let right = || format!("{text:?} is no rate; one is \"250 msgs/s\", \"30 msgs/min\" or \"500 msgs/h\"");
-    let (number, unit) = text.split_once("msgs/").ok_or_else(right)?;
+    let error = || format!("{text:?} is not a rate; expected a rate such as \"250 msgs/s\", \"30 msgs/min\" or \"500 msgs/h\"");
+    let (number, unit) = text.split_once("msgs/").ok_or_else(error)?;
     let seconds = match unit.trim() {
         "s" => 1.0,
         "min" => 60.0,
         "h" => 3600.0,
-        _ => return Err(right()),
+        _ => return Err(error()),
     };
-    let rate = number.trim().parse::<f64>().map_err(|_| right())? / seconds;
+    let rate = number.trim().parse::<f64>().map_err(|_| error())? / seconds;
     if !(rate.is_finite() && rate > 0.0 && rate <= 1e6) {
-        return Err(format!("{text:?}: a rate is above 0 and at most 1000000 msgs/s"));
+        return Err(format!("{text:?}: a rate must be above 0 and at most 1000000 msgs/s"));
     }
     Ok(rate)
 }
@@ -49,7 +49,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn spans_sizes_and_rates_need_their_units_and_mean_what_they_say() {
+    fn durations_sizes_and_rates_require_units() {
         assert_eq!(parse_duration("3s"), Ok(3_000_000));
         assert_eq!(parse_duration("1h 30m"), Ok(5_400_000_000));
         assert_eq!(parse_duration("250ms"), Ok(250_000));
@@ -70,7 +70,7 @@
 
     proptest! {
         #[test]
-        fn no_text_brings_a_parser_down(text in ".{0,40}") {
+        fn arbitrary_text_does_not_panic_a_parser(text in ".{0,40}") {
             let _ = (parse_duration(&text), parse_size(&text), parse_rate(&text));
         }
     }
