--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -1,6 +1,6 @@
-//! The rules of a site file.
+//! Validation rules of the site file.
 
-use crate::fields::{by, each, number, text, whole, within, yes_or_no, Fields};
+use crate::fields::{boolean, integer, list_of, number, parsed, text, within, Fields};
 use crate::finding::{Finding, Findings};
 use crate::model::*;
 use crate::partner_protocol;
@@ -12,102 +12,106 @@
 use std::path::{Path, PathBuf};
 use toml::de::DeTable;
 
+/// Bytes.
 const KIB: u64 = 1 << 10;
+/// Bytes.
 const MIB: u64 = 1 << 20;
+/// Microseconds.
 pub(crate) const SECOND: u64 = 1_000_000;
+/// Microseconds.
 pub(crate) const DAY: u64 = 86_400 * SECOND;
-/// Longest name of a class, kind, partner or endpoint.
-const LONGEST_NAME: usize = 64;
-/// First parts of paths that the listener keeps for itself.
-const RESERVED: [&str; 2] = ["healthz", "v1"];
-/// Bytes that the path of a Unix socket has at most (`sun_path` of unix(7), less the closing zero).
+/// Maximum length of the name of a class, kind, partner, endpoint or forwarder, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// First path segments that the listener uses itself, which classes cannot use as names.
+const RESERVED_PATH_SEGMENTS: [&str; 2] = ["healthz", "v1"];
+/// Maximum length of the path of a Unix socket, in bytes (`sun_path` in unix(7), without the terminating zero).
 pub const MAX_SOCKET_PATH_BYTES: usize = 107;
-/// Descriptors for all but clients and calls.
-const OTHER_DESCRIPTORS: u64 = 64;
-/// What the journal of messages needs at least.
-const LEAST_JOURNAL: u64 = 256 * KIB;
+/// File descriptors reserved for everything except clients and calls.
+const RESERVED_DESCRIPTORS: u64 = 64;
+/// Minimum disk space for the message journal, in bytes.
+const MIN_JOURNAL_BYTES: u64 = 256 * KIB;
 
-/// Checks a text as a site file; `file` is how findings name it.
+/// Parses and validates the text of a site file; findings name it as `file`.
 ///
 /// # Errors
-/// Every finding, in the order of their places.
+/// Returns all findings, ordered by their position.
 pub fn parse(file: &Path, source: &str) -> Result<Site, Vec<Finding>> {
-    let mut found = Findings::new(file, source);
+    let mut findings = Findings::new(file, source);
     let (table, errors) = DeTable::parse_recoverable(source);
     for error in &errors {
-        found.add(&error.span().unwrap_or(0..0), "", error.message());
+        findings.add(&error.span().unwrap_or(0..0), "", error.message());
     }
-    let mut top = Fields::top(&table);
-    let site = site(&mut top, &mut found);
-    top.done(&mut found);
-    if found.is_empty() {
+    let mut root = Fields::root(&table);
+    let site = site(&mut root, &mut findings);
+    root.finish(&mut findings);
+    if findings.is_empty() {
         return Ok(site);
     }
-    Err(found.into_sorted())
+    Err(findings.into_sorted())
 }
 
-fn site(top: &mut Fields<'_, '_>, found: &mut Findings<'_>) -> Site {
-    let mut head = top.table("site", found);
-    let name = head.or("name", "foldtrack".to_string(), found, |v| text(v).map(str::to_string));
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let listen = head.need("listen", nowhere, "\"127.0.0.1:8080\"", found, by(parse_address));
-    let state_place = head.place("state");
-    let state = head.need("state", PathBuf::new(), "\"/var/lib/foldtrack\"", found, by(folder));
-    let state_name = head.name("state");
-    let durability = head.or("durability", Durability::Machine, found, by(durability));
-    head.done(found);
+fn site(root: &mut Fields<'_, '_>, findings: &mut Findings<'_>) -> Site {
+    let mut head = root.table("site", findings);
+    let name = head.optional("name", "foldtrack".to_string(), findings, |v| text(v).map(str::to_string));
+    let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
+    let listen = head.required("listen", placeholder, "\"127.0.0.1:8080\"", findings, parsed(parse_address));
+    let state_span = head.span_of("state");
+    let state = head.required("state", PathBuf::new(), "\"/var/lib/foldtrack\"", findings, parsed(folder));
+    let state_name = head.field_name("state");
+    let durability = head.optional("durability", Durability::Machine, findings, parsed(durability));
+    head.finish(findings);
 
-    let table = top.table("limits", found);
-    let disk_place = table.place("disk");
-    let limits = limits(table, found);
-    let ends = ends(top.table("ends", found), found);
-    let admission = admission(top.table("admission", found), found);
-    let mut table = top.table("calls", found);
+    let table = root.table("limits", findings);
+    let disk_span = table.span_of("disk");
+    let limits = limits(table, findings);
+    let ends = ends(root.table("ends", findings), findings);
+    let admission = admission(root.table("admission", findings), findings);
+    let mut table = root.table("calls", findings);
     let calls = Calls {
-        connection_idle: table.or(
+        connection_idle: table.optional(
             "connection-idle",
             15 * SECOND,
-            found,
-            within(SECOND..=DAY, "\"1s\" to \"24h\"", by(parse_duration)),
+            findings,
+            within(SECOND..=DAY, "\"1s\" to \"24h\"", parsed(parse_duration)),
         ),
-        connect_timeout: table.or(
+        connect_timeout: table.optional(
             "connect-timeout",
             SECOND,
-            found,
-            within(10_000..=60 * SECOND, "\"10ms\" to \"60s\"", by(parse_duration)),
+            findings,
+            within(10_000..=60 * SECOND, "\"10ms\" to \"60s\"", parsed(parse_duration)),
         ),
-        connection_age: table.or(
+        connection_age: table.optional(
             "connection-age",
             600 * SECOND,
-            found,
-            within(SECOND..=DAY, "\"1s\" to \"24h\"", by(parse_duration)),
+            findings,
+            within(SECOND..=DAY, "\"1s\" to \"24h\"", parsed(parse_duration)),
         ),
-        open_ahead: table.or("open-ahead", true, found, yes_or_no),
+        open_ahead: table.optional("open-ahead", true, findings, boolean),
     };
-    table.done(found);
-    let peers = peers::peers(top.table("peers", found), found);
+    table.finish(findings);
+    let peers = peers::peers(root.table("peers", findings), findings);
 
     let mut classes = Vec::new();
-    for (name, place, fields) in top.tables("class", found) {
-        let (shown, first) = (fields.name(""), RESERVED.contains(&name.as_str()));
+    for (name, span, fields) in root.tables("class", findings) {
+        let (shown, reserved) = (fields.field_name(""), RESERVED_PATH_SEGMENTS.contains(&name.as_str()));
         let shown = shown.trim_end_matches('.');
-        check_name(&name, &place, shown, found);
-        if first {
-            found.add(&place, shown, "this name is the listener's own; choose another");
+        check_name(&name, &span, shown, findings);
+        if reserved {
+            findings.add(&span, shown, "this name is the listener's own path; choose another");
         }
-        classes.push(class(name, fields, found));
+        classes.push(class(name, fields, findings));
     }
     if classes.is_empty() {
         let problem =
-            "there is none; a site has at least one, [class.updates] say: `foldtrack init` shows how";
-        found.add(&(0..0), "class", problem);
+            "is missing: a site needs at least one class, for example [class.updates]; `foldtrack init` shows how";
+        findings.add(&(0..0), "class", problem);
     }
 
     let mut kinds = vec![PartnerKind { name: "partner".into(), routes_apart: false }];
-    for (name, place, mut fields) in top.tables("kind", found) {
-        check_name(&name, &place, fields.name("").trim_end_matches('.'), found);
-        let routes_apart = fields.or("routes-apart", false, found, yes_or_no);
-        fields.done(found);
+    for (name, span, mut fields) in root.tables("kind", findings) {
+        check_name(&name, &span, fields.field_name("").trim_end_matches('.'), findings);
+        let routes_apart = fields.optional("routes-apart", false, findings, boolean);
+        fields.finish(findings);
         match kinds.iter_mut().find(|k| k.name == name) {
             Some(kind) => kind.routes_apart = routes_apart,
             None => kinds.push(PartnerKind { name, routes_apart }),
@@ -115,25 +119,25 @@
     }
 
     let mut partners = Vec::new();
-    let (mut seen, mut numbers) = (Seen::default(), HashMap::new());
-    for (name, place, fields) in top.tables("partner", found) {
-        check_name(&name, &place, fields.name("").trim_end_matches('.'), found);
-        let partner = partner(name, fields, (&kinds, &classes), limits.calls, &mut seen, found);
+    let (mut unique, mut numbers) = (UniqueEndpoints::default(), HashMap::new());
+    for (name, span, fields) in root.tables("partner", findings) {
+        check_name(&name, &span, fields.field_name("").trim_end_matches('.'), findings);
+        let partner = partner(name, fields, (&kinds, &classes), limits.calls, &mut unique, findings);
         if let Some(other) = numbers.insert(partner.number(), partner.name.clone()) {
             let problem =
-                format!("can't stand beside {other}: their names have one check sum; change either");
-            found.add(&place, &format!("partner.{}", partner.name), problem);
+                format!("conflicts with {other}: their names have the same CRC-32; rename one of them");
+            findings.add(&span, &format!("partner.{}", partner.name), problem);
         }
         partners.push(partner);
     }
     if partners.is_empty() {
-        found.add(&(0..0), "partner", "there is none; a site has at least one, [partner.NAME]");
+        findings.add(&(0..0), "partner", "is missing: a site needs at least one, [partner.NAME]");
     }
 
     let count: usize = partners.iter().map(|p| p.endpoints.len() + 1).sum();
     if count > MAX_ENDPOINTS {
-        let problem = format!("{count} partners and endpoints; a site has {MAX_ENDPOINTS} at most");
-        found.add(&(0..0), "partner", problem);
+        let problem = format!("{count} partners and endpoints; a site has at most {MAX_ENDPOINTS}");
+        findings.add(&(0..0), "partner", problem);
     }
 
     let site = Site {
@@ -152,136 +156,159 @@
     };
     if site.control_socket().as_os_str().len() > MAX_SOCKET_PATH_BYTES {
         let problem = format!(
-            "is too long: the control line's socket in it may have a path of {MAX_SOCKET_PATH_BYTES} bytes at most"
+            "is too long: the path of the control socket in it may have at most {MAX_SOCKET_PATH_BYTES} bytes"
         );
-        found.add(&state_place, &state_name, problem);
+        findings.add(&state_span, &state_name, problem);
     }
-    if site.journal_capacity() < LEAST_JOURNAL {
+    if site.journal_capacity() < MIN_JOURNAL_BYTES {
         let problem = format!(
             "is too little: of limits.disk the ends take {} bytes and the membership log {MEMBERSHIP_LOG_BYTES}{}, and \
-             messages need {LEAST_JOURNAL}",
+             messages need at least {MIN_JOURNAL_BYTES}",
             site.ends.size,
-            if site.peers.is_some() { format!(", what forwarders tell each other {PEER_STORE_BYTES}") } else { String::new() }
+            if site.peers.is_some() { format!(", the store of facts from other forwarders {PEER_STORE_BYTES}") } else { String::new() }
         );
-        found.add(&disk_place, "limits.disk", problem);
+        findings.add(&disk_span, "limits.disk", problem);
     }
     site
 }
 
-fn limits(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Limits {
-    let memory = within(16 * MIB..=1 << 40, "\"16MiB\" to \"1TiB\"", by(parse_size));
-    let disk = within(4 * MIB..=1 << 44, "\"4MiB\" to \"16TiB\"", by(parse_size));
+fn limits(mut table: Fields<'_, '_>, findings: &mut Findings<'_>) -> Limits {
+    let memory = within(16 * MIB..=1 << 40, "\"16MiB\" to \"1TiB\"", parsed(parse_size));
+    let disk = within(4 * MIB..=1 << 44, "\"4MiB\" to \"16TiB\"", parsed(parse_size));
     let limits = Limits {
-        memory: table.or("memory", 256 * MIB, found, memory),
-        descriptors: table.or("descriptors", 1024, found, within(96..=1 << 20, "96 to 1048576", whole))
-            as usize,
-        disk: table.or("disk", 256 * MIB, found, disk),
-        messages: table.or("messages", 10_000, found, within(1..=10_000_000, "1 to 10000000", whole)) as u32,
-        calls: table.or("calls", 256, found, within(1..=100_000, "1 to 100000", whole)) as u32,
-        attempts: table.or("attempts", 8, found, within(1..=100, "1 to 100", whole)) as u32,
-        longest_wait: table.or(
+        memory: table.optional("memory", 256 * MIB, findings, memory),
+        descriptors: table.optional(
+            "descriptors",
+            1024,
+            findings,
+            within(96..=1 << 20, "96 to 1048576", integer),
+        ) as usize,
+        disk: table.optional("disk", 256 * MIB, findings, disk),
+        messages: table.optional(
+            "messages",
+            10_000,
+            findings,
+            within(1..=10_000_000, "1 to 10000000", integer),
+        ) as u32,
+        calls: table.optional("calls", 256, findings, within(1..=100_000, "1 to 100000", integer)) as u32,
+        attempts: table.optional("attempts", 8, findings, within(1..=100, "1 to 100", integer)) as u32,
+        longest_wait: table.optional(
             "longest-wait",
             10 * SECOND,
-            found,
-            within(0..=DAY, "\"0s\" to \"24h\"", by(parse_duration)),
+            findings,
+            within(0..=DAY, "\"0s\" to \"24h\"", parsed(parse_duration)),
         ),
     };
-    // A call takes a descriptor, and a client one for what it hands in meanwhile.
-    let room = (limits.descriptors as u64).saturating_sub(OTHER_DESCRIPTORS) / 2;
-    if u64::from(limits.calls) > room {
+    // Each call needs a descriptor, and so does a client that submits a message meanwhile.
+    let call_descriptors = (limits.descriptors as u64).saturating_sub(RESERVED_DESCRIPTORS) / 2;
+    if u64::from(limits.calls) > call_descriptors {
         let problem = format!(
-            "{} calls at once don't fit {} descriptors, of which {room} are for calls: lower `calls` or raise \
+            "{} concurrent calls do not fit into {} descriptors, of which {call_descriptors} are for calls: lower `calls` or raise \
              `descriptors`",
             limits.calls, limits.descriptors
         );
-        found.add(&table.place("calls"), &table.name("calls"), problem);
+        findings.add(&table.span_of("calls"), &table.field_name("calls"), problem);
     }
-    table.done(found);
+    table.finish(findings);
     limits
 }
 
-fn admission(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Admission {
+fn admission(mut table: Fields<'_, '_>, findings: &mut Findings<'_>) -> Admission {
     let count = || {
-        let read = within(1..=1_000_000, "1 to 1000000", whole);
-        move |value: &toml::de::DeValue<'_>| read(value).map(|n| Some(n as u32))
+        let convert = within(1..=1_000_000, "1 to 1000000", integer);
+        move |value: &toml::de::DeValue<'_>| convert(value).map(|n| Some(n as u32))
     };
     let rate = || within(0.1..=1e6, "0.1 to 1000000", number);
-    let bits = |most: u64, shown: &'static str| within(0..=most, shown, whole);
+    let bits = |max: u64, shown: &'static str| within(0..=max, shown, integer);
     let admission = Admission {
-        known: table.or("known", Vec::new(), found, each(parse_network)),
-        reserve: table.or("reserve", 0.5, found, within(0.0..=1.0, "0 to 1, a share of the places", number)),
-        per_address: table.or("per-address", None, found, count()),
-        per_known: table.or("per-known", None, found, count()),
-        per_prefix: table.or("per-prefix", None, found, count()),
-        v4_prefix: table.or("v4-prefix", 24, found, bits(32, "0 to 32")) as u8,
-        v6_prefix: table.or("v6-prefix", 64, found, bits(128, "0 to 128")) as u8,
-        new_per_second: table.or("new-per-second", 200.0, found, rate()),
-        burst: table.or("burst", 200.0, found, rate()),
-        strangers_per_second: table.or("strangers-per-second", 500.0, found, rate()),
-        requests: table.or("requests", None, found, count()),
+        known: table.optional("known", Vec::new(), findings, list_of(parse_network)),
+        reserve: table.optional(
+            "reserve",
+            0.5,
+            findings,
+            within(0.0..=1.0, "0 to 1, a share of the connections", number),
+        ),
+        per_address: table.optional("per-address", None, findings, count()),
+        per_known: table.optional("per-known", None, findings, count()),
+        per_prefix: table.optional("per-prefix", None, findings, count()),
+        v4_prefix: table.optional("v4-prefix", 24, findings, bits(32, "0 to 32")) as u8,
+        v6_prefix: table.optional("v6-prefix", 64, findings, bits(128, "0 to 128")) as u8,
+        new_per_second: table.optional("new-per-second", 200.0, findings, rate()),
+        burst: table.optional("burst", 200.0, findings, rate()),
+        strangers_per_second: table.optional("strangers-per-second", 500.0, findings, rate()),
+        requests: table.optional("requests", None, findings, count()),
     };
-    table.done(found);
+    table.finish(findings);
     admission
 }
 
-/// An address, or a network as an address and the bits of its prefix.
+/// Parses an IP address, or a network in CIDR notation.
 ///
 /// # Errors
-/// What would be right.
+/// Returns a message that describes the expected notation.
 pub fn parse_network(text: &str) -> Result<IpNet, String> {
     let single = || text.parse::<IpAddr>().map(|address| IpNet::from(address.to_canonical()));
-    let read = text.parse::<IpNet>().map(|net| net.trunc()).or_else(|_| single());
-    read.map_err(|_| {
+    let network = text.parse::<IpNet>().map(|net| net.trunc()).or_else(|_| single());
+    network.map_err(|_| {
         format!(
-            "{text:?} is no address or network; one is \"192.0.2.7\", \"192.0.2.0/24\" or \"2001:db8::/32\""
+            "{text:?} is no address or network; examples are \"192.0.2.7\", \"192.0.2.0/24\" and \"2001:db8::/32\""
         )
     })
 }
 
-fn ends(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> OutcomeRetention {
-    let size_range = within(64 * KIB..=1 << 32, "\"64KiB\" to \"4GiB\"", by(parse_size));
+fn ends(mut table: Fields<'_, '_>, findings: &mut Findings<'_>) -> OutcomeRetention {
+    let size_range = within(64 * KIB..=1 << 32, "\"64KiB\" to \"4GiB\"", parsed(parse_size));
     let ends = OutcomeRetention {
-        count: table.or("count", 100_000, found, within(10..=100_000_000, "10 to 100000000", whole)),
-        size: table.or("size", 32 * MIB, found, size_range),
-        age: table.or(
+        count: table.optional(
+            "count",
+            100_000,
+            findings,
+            within(10..=100_000_000, "10 to 100000000", integer),
+        ),
+        size: table.optional("size", 32 * MIB, findings, size_range),
+        age: table.optional(
             "age",
             7 * DAY,
-            found,
-            within(60 * SECOND..=3660 * DAY, "\"1m\" to \"10years\"", by(parse_duration)),
+            findings,
+            within(60 * SECOND..=3660 * DAY, "\"1m\" to \"10years\"", parsed(parse_duration)),
         ),
     };
-    table.done(found);
+    table.finish(findings);
     ends
 }
 
-fn class(name: String, mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Class {
-    let effect = table.need("effect", Effect::Repeatable, "\"once\"", found, by(effect));
-    let ordered = table.or("ordered", false, found, yes_or_no);
-    let lasting = || within(1_000..=7 * DAY, "\"1ms\" to \"7days\"", by(parse_duration));
-    let remembered = table.read("remembered", found, lasting());
+fn class(name: String, mut table: Fields<'_, '_>, findings: &mut Findings<'_>) -> Class {
+    let effect = table.required("effect", Effect::Repeatable, "\"once\"", findings, parsed(effect));
+    let ordered = table.optional("ordered", false, findings, boolean);
+    let class_duration = || within(1_000..=7 * DAY, "\"1ms\" to \"7days\"", parsed(parse_duration));
+    let remembered = table.parse("remembered", findings, class_duration());
     let remembered = match (remembered, effect) {
         (Some(None), Effect::Keyed) => {
             let problem =
-                "is missing; a keyed class tells how long partners drop repeats: remembered = \"10s\"";
-            found.add(&table.span, &table.name("remembered"), problem);
+                "is missing; a keyed class states how long partners drop repeats, for example: remembered = \"10s\"";
+            findings.add(&table.span, &table.field_name("remembered"), problem);
             0
         }
         (Some(Some(_)), Effect::Repeatable | Effect::Once) => {
-            let problem = "means something only with effect = \"keyed\": remove one or change the other";
-            found.add(&table.place("remembered"), &table.name("remembered"), problem);
+            let problem = "is valid only with effect = \"keyed\": remove one or change the other";
+            findings.add(&table.span_of("remembered"), &table.field_name("remembered"), problem);
             0
         }
-        (read, _) => read.flatten().unwrap_or(0),
+        (parsed, _) => parsed.flatten().unwrap_or(0),
     };
-    let deadline = table.need("deadline", 24 * SECOND, "\"24s\"", found, lasting());
-    let aim = table.or("aim", deadline, found, lasting());
+    let deadline = table.required("deadline", 24 * SECOND, "\"24s\"", findings, class_duration());
+    let aim = table.optional("aim", deadline, findings, class_duration());
     if aim > deadline {
-        found.add(&table.place("aim"), &table.name("aim"), "is later than the deadline, by when all is over");
+        findings.add(
+            &table.span_of("aim"),
+            &table.field_name("aim"),
+            "is later than the deadline, after which messages are given up",
+        );
     }
-    let refuse_after = table.or("refuse-after", 0, found, lasting());
+    let refuse_after = table.optional("refuse-after", 0, findings, class_duration());
     if refuse_after > deadline {
-        let problem = "is later than the deadline, by when all is over";
-        found.add(&table.place("refuse-after"), &table.name("refuse-after"), problem);
+        let problem = "is later than the deadline, after which messages are given up";
+        findings.add(&table.span_of("refuse-after"), &table.field_name("refuse-after"), problem);
     }
     let class = Class {
         refuse_after,
@@ -290,16 +317,16 @@
         remembered,
         aim,
         deadline,
-        worth: table.or("worth", 1.0, found, within(0.001..=1000.0, "0.001 to 1000", number)),
-        late_worth: table.or(
+        worth: table.optional("worth", 1.0, findings, within(0.001..=1000.0, "0.001 to 1000", number)),
+        late_worth: table.optional(
             "late-worth",
             0.5,
-            found,
+            findings,
             within(0.0..=1.0, "0 to 1, a share of the worth", number),
         ),
         name,
     };
-    table.done(found);
+    table.finish(findings);
     class
 }
 
@@ -307,7 +334,7 @@
     match text {
         "process" => Ok(Durability::Process),
         "machine" => Ok(Durability::Machine),
-        _ => Err(format!("{text:?} is no durability; one is \"process\" or \"machine\"")),
+        _ => Err(format!("{text:?} is not a durability; expected \"process\" or \"machine\"")),
     }
 }
 
@@ -316,97 +343,103 @@
         "repeatable" => Ok(Effect::Repeatable),
         "keyed" => Ok(Effect::Keyed),
         "once" => Ok(Effect::Once),
-        _ => Err(format!("{text:?} is no effect; one is \"repeatable\", \"keyed\" or \"once\"")),
+        _ => Err(format!("{text:?} is not an effect; expected \"repeatable\", \"keyed\" or \"once\"")),
     }
 }
 
-/// What must not stand twice in a site.
+/// Names and addresses that must be unique within a site, collected from the partners read so far.
 #[derive(Default)]
-struct Seen {
-    /// Endpoints' names, each with its partner.
-    endpoints: HashMap<String, String>,
+struct UniqueEndpoints {
+    /// Endpoint names, each with the name of its partner.
+    names: HashMap<String, String>,
+    /// Addresses, each with the name of its endpoint.
     addresses: BTreeMap<SocketAddr, String>,
 }
 
 fn partner(
     name: String, mut table: Fields<'_, '_>, (kinds, classes): (&[PartnerKind], &[Class]), calls: u32,
-    seen: &mut Seen, found: &mut Findings<'_>,
+    unique: &mut UniqueEndpoints, findings: &mut Findings<'_>,
 ) -> Partner {
-    let known = |text: &str| {
+    let kind_index = |text: &str| {
         kinds.iter().position(|k| k.name == text).ok_or_else(|| {
             let names: Vec<&str> = kinds.iter().map(|k| k.name.as_str()).collect();
             format!(
-                "{text:?} is no kind of this file; there are: {} ([kind.{text}] adds it)",
+                "{text:?} is not a kind in this file; defined are: {} ([kind.{text}] adds it)",
                 names.join(", ")
             )
         })
     };
-    let kind = table.or("kind", 0, found, by(known));
-    let rate = table.or("rate", None, found, by(|t| parse_rate(t).map(Some)));
-    let slots = within(1..=100_000, "1 to 100000", whole);
-    let slots = table.or("slots", None, found, |v| slots(v).map(|n| Some(n as u32)));
+    let kind = table.optional("kind", 0, findings, parsed(kind_index));
+    let rate = table.optional("rate", None, findings, parsed(|t| parse_rate(t).map(Some)));
+    let slots = within(1..=100_000, "1 to 100000", integer);
+    let slots = table.optional("slots", None, findings, |v| slots(v).map(|n| Some(n as u32)));
     if slots.is_some_and(|slots| slots > calls) {
-        let problem = format!("are more than the {calls} calls that limits.calls allows in all");
-        found.add(&table.place("slots"), &table.name("slots"), problem);
+        let problem = format!("are more than the {calls} concurrent calls that limits.calls allows in total");
+        findings.add(&table.span_of("slots"), &table.field_name("slots"), problem);
     }
-    let (dialect, proof) = partner_protocol::dialect(&mut table, classes, found);
-    let tls = partner_protocol::tls(&mut table, &dialect, proof.is_some(), found);
+    let (dialect, proof) = partner_protocol::dialect(&mut table, classes, findings);
+    let tls = partner_protocol::tls(&mut table, &dialect, proof.is_some(), findings);
     let mut endpoints = Vec::new();
-    for (endpoint, place, mut fields) in table.tables("endpoint", found) {
-        let shown = fields.name("").trim_end_matches('.').to_string();
-        check_name(&endpoint, &place, &shown, found);
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let address = fields.need("address", nowhere, "\"127.0.0.1:9001\"", found, by(parse_address));
-        if let Some(other) = seen.endpoints.insert(endpoint.clone(), name.clone()) {
-            let problem = format!("is the name of an endpoint of {other} too; orders need a name for each");
-            found.add(&place, &shown, problem);
+    for (endpoint, span, mut fields) in table.tables("endpoint", findings) {
+        let shown = fields.field_name("").trim_end_matches('.').to_string();
+        check_name(&endpoint, &span, &shown, findings);
+        let placeholder = SocketAddr::from(([0, 0, 0, 0], 0));
+        let address =
+            fields.required("address", placeholder, "\"127.0.0.1:9001\"", findings, parsed(parse_address));
+        if let Some(other) = unique.names.insert(endpoint.clone(), name.clone()) {
+            let problem = format!("is the name of an endpoint of {other} too; orders require unique names");
+            findings.add(&span, &shown, problem);
         }
-        if address != nowhere {
-            if let Some(other) = seen.addresses.insert(address, endpoint.clone()) {
+        if address != placeholder {
+            if let Some(other) = unique.addresses.insert(address, endpoint.clone()) {
                 let problem = format!("{address} is the address of {other} too");
-                found.add(&fields.place("address"), &fields.name("address"), problem);
+                findings.add(&fields.span_of("address"), &fields.field_name("address"), problem);
             }
         }
-        fields.done(found);
+        fields.finish(findings);
         endpoints.push(Endpoint { name: endpoint, address });
     }
-    table.done(found);
+    table.finish(findings);
     Partner { name, kind, rate, slots, endpoints, dialect, proof, tls }
 }
 
-/// Whether a text can name a class, partner or endpoint: it goes into paths, headers and commands as it is.
+/// Validates the name of a class, partner, endpoint or forwarder. Names are used in paths, headers and commands without
+/// escaping.
 ///
 /// # Errors
-/// What would be right.
+/// Returns a message that describes a valid name.
 pub fn validate_name(text: &str) -> Result<(), String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let sound = text.len() <= LONGEST_NAME && text.starts_with(|c: char| c.is_ascii_alphanumeric());
-    if sound && text.chars().all(plain) {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    let well_formed = text.len() <= MAX_NAME_BYTES && text.starts_with(|c: char| c.is_ascii_alphanumeric());
+    if well_formed && text.chars().all(allowed) {
         return Ok(());
     }
     Err(format!(
-        "no name: one has 1 to {LONGEST_NAME} letters, digits, - _ or . and begins with a letter or digit"
+        "no name: a name has 1 to {MAX_NAME_BYTES} letters, digits, - _ or . and begins with a letter or digit"
     ))
 }
 
-pub(crate) fn check_name(text: &str, place: &std::ops::Range<usize>, shown: &str, found: &mut Findings<'_>) {
+/// Reports a name that is not valid.
+pub(crate) fn check_name(
+    text: &str, span: &std::ops::Range<usize>, shown: &str, findings: &mut Findings<'_>,
+) {
     if let Err(problem) = validate_name(text) {
-        found.add(place, shown, format!("is {problem}"));
+        findings.add(span, shown, format!("is {problem}"));
     }
 }
 
-/// An address and port. Names are not looked up: a partner must not hang on a name server.
+/// Parses an IP address with a port. Host names are not resolved, so that no partner depends on a name server.
 ///
 /// # Errors
-/// What would be right.
+/// Returns a message that describes the expected notation.
 pub fn parse_address(text: &str) -> Result<SocketAddr, String> {
-    let read = text.parse::<SocketAddr>().ok().filter(|a| a.port() != 0);
-    read.ok_or_else(|| {
-        format!("{text:?} is no address; one is \"192.0.2.7:8443\" or \"[2001:db8::7]:8443\", names are not looked up")
+    let address = text.parse::<SocketAddr>().ok().filter(|a| a.port() != 0);
+    address.ok_or_else(|| {
+        format!("{text:?} is not an address; examples are \"192.0.2.7:8443\" and \"[2001:db8::7]:8443\"; names are not looked up")
     })
 }
 
-/// A path of a file.
+/// Parses the path of a file.
 pub(crate) fn path(text: &str) -> Result<PathBuf, String> {
     match text.trim() {
         "" => Err("is empty; name a file".into()),
@@ -414,9 +447,10 @@
     }
 }
 
+/// Parses the path of a folder.
 fn folder(text: &str) -> Result<PathBuf, String> {
     match text.trim() {
-        "" => Err("is empty; name a folder, \"/var/lib/foldtrack\" say".into()),
+        "" => Err("is empty; name a folder, for example \"/var/lib/foldtrack\"".into()),
         _ => Ok(PathBuf::from(text)),
     }
 }
--- a/crates/site/src/fields.rs
+++ b/crates/site/src/fields.rs
@@ -1,28 +1,32 @@
-//! A table of the file, read field by field: each field once, by name, with what is wrong told and passed over, so
-//! that one reading finds every mistake.
+//! Typed access to a TOML table. Each field is read by name; an invalid field is reported as a finding and replaced by a
+//! default, so that one pass over the file finds every error.
 
 use crate::finding::Findings;
 use std::ops::{Range, RangeBounds};
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// A name must be this alike (Jaro-Winkler, 0 to 1) to be offered in place of an unknown one.
-const ALIKE: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity, 0 to 1, at which a known name is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.7;
 
+/// A table of the site file and the keys that have been read from it.
 pub(crate) struct Fields<'a, 'i> {
-    /// Full name of the table, empty at the top.
+    /// Full name of the table; empty for the root.
     path: String,
-    /// Where the table begins.
+    /// Position of the table in the file.
     pub span: Range<usize>,
     table: Option<&'a DeTable<'i>>,
-    asked: Vec<&'static str>,
-    /// What stands here is no table: that is told, and what it lacks need not be.
-    wrong: bool,
+    /// Keys that have been read; all others are reported by [`Fields::finish`].
+    known_keys: Vec<&'static str>,
+    /// The value is not a table. This has been reported, so missing fields are not reported as well.
+    is_invalid: bool,
 }
 
+/// A TOML value with its position.
 pub(crate) type Value<'a, 'i> = &'a Spanned<DeValue<'i>>;
 
-pub(crate) fn kind_of(value: &DeValue<'_>) -> &'static str {
+/// Name of a value's type, as used in findings.
+pub(crate) fn type_name(value: &DeValue<'_>) -> &'static str {
     match value {
         DeValue::String(_) => "a text",
         DeValue::Integer(_) => "a whole number",
@@ -35,228 +39,238 @@
 }
 
 impl<'a, 'i> Fields<'a, 'i> {
-    pub fn top(table: &'a Spanned<DeTable<'i>>) -> Self {
+    /// The root table of a file.
+    pub fn root(table: &'a Spanned<DeTable<'i>>) -> Self {
         Fields {
             path: String::new(),
             span: table.span(),
             table: Some(table.get_ref()),
-            asked: Vec::new(),
-            wrong: false,
+            known_keys: Vec::new(),
+            is_invalid: false,
         }
     }
 
-    /// The full name of a field of this table.
-    pub fn name(&self, key: &str) -> String {
+    /// Full name of a field of this table.
+    pub fn field_name(&self, key: &str) -> String {
         if self.path.is_empty() {
             return key.to_string();
         }
         format!("{}.{key}", self.path)
     }
 
+    /// Returns a value and records its key as known.
     fn get(&mut self, key: &'static str) -> Option<Value<'a, 'i>> {
-        self.asked.push(key);
+        self.known_keys.push(key);
         let table = self.table?;
         table.iter().find(|(k, _)| k.get_ref() == key).map(|(_, value)| value)
     }
 
-    /// Where a field stands, or its table where it is missing.
-    pub fn place(&self, key: &str) -> Range<usize> {
-        let found = self.table.and_then(|t| t.iter().find(|(k, _)| k.get_ref() == key));
-        found.map_or(self.span.clone(), |(_, v)| v.span())
+    /// Position of a field, or of the table if the field is missing.
+    pub fn span_of(&self, key: &str) -> Range<usize> {
+        let entry = self.table.and_then(|t| t.iter().find(|(k, _)| k.get_ref() == key));
+        entry.map_or(self.span.clone(), |(_, v)| v.span())
     }
 
-    /// A table of this one; an empty one if it is missing.
-    pub fn table(&mut self, key: &'static str, found: &mut Findings<'_>) -> Fields<'a, 'i> {
-        let (path, value) = (self.name(key), self.get(key));
-        Self::of(path, value, self.span.clone(), found)
+    /// Returns a subtable; an empty one if it is missing.
+    pub fn table(&mut self, key: &'static str, findings: &mut Findings<'_>) -> Fields<'a, 'i> {
+        let (path, value) = (self.field_name(key), self.get(key));
+        Self::from_value(path, value, self.span.clone(), findings)
     }
 
-    fn of(
-        path: String, value: Option<Value<'a, 'i>>, outer: Range<usize>, found: &mut Findings<'_>,
+    /// Wraps a value that must be a table and reports it otherwise.
+    fn from_value(
+        path: String, value: Option<Value<'a, 'i>>, outer: Range<usize>, findings: &mut Findings<'_>,
     ) -> Fields<'a, 'i> {
         let span = value.map_or(outer, |v| v.span());
         let table = value.and_then(|v| match v.get_ref() {
             DeValue::Table(table) => Some(table),
             other => {
-                found.add(&span, &path, format!("is {}, where a table is needed: [{path}]", kind_of(other)));
+                findings.add(
+                    &span,
+                    &path,
+                    format!("is {}, where a table is needed: [{path}]", type_name(other)),
+                );
                 None
             }
         });
-        let wrong = value.is_some() && table.is_none();
-        Fields { path, span, table, asked: Vec::new(), wrong }
+        let is_invalid = value.is_some() && table.is_none();
+        Fields { path, span, table, known_keys: Vec::new(), is_invalid }
     }
 
-    /// The tables below one of this table, `[class.NAME]` say, each with its name and the name's place.
+    /// Returns the named tables below a key, such as `[class.NAME]`, each with its name and the position of the name.
     pub fn tables(
-        &mut self, key: &'static str, found: &mut Findings<'_>,
+        &mut self, key: &'static str, findings: &mut Findings<'_>,
     ) -> Vec<(String, Range<usize>, Fields<'a, 'i>)> {
-        let all = self.table(key, found);
+        let all = self.table(key, findings);
         let entries = all.table.into_iter().flat_map(|t| t.iter());
         let tables = entries.map(|(name, value)| {
             let text = name.get_ref().to_string();
-            let fields = Self::of(all.name(&text), Some(value), all.span.clone(), found);
+            let fields = Self::from_value(all.field_name(&text), Some(value), all.span.clone(), findings);
             (text, name.span(), fields)
         });
         tables.collect()
     }
 
-    /// Whether it stands in the file.
-    pub fn is_there(&self) -> bool {
-        self.table.is_some() || self.wrong
+    /// Whether the table is present in the file.
+    pub fn is_present(&self) -> bool {
+        self.table.is_some() || self.is_invalid
     }
 
-    /// Every field of a table whose names are the site's own, in the order of the file: name, place and text. What is no
-    /// text is told.
-    pub fn texts(&mut self, found: &mut Findings<'_>) -> Vec<(String, Range<usize>, String)> {
-        let mut texts = Vec::new();
+    /// Returns all fields of a table with user-defined names, in file order: name, position and string. Values that are not
+    /// strings are reported.
+    pub fn string_entries(&mut self, findings: &mut Findings<'_>) -> Vec<(String, Range<usize>, String)> {
+        let mut entries = Vec::new();
         for (key, value) in self.table.into_iter().flat_map(|t| t.iter()) {
             let name = key.get_ref().to_string();
             match text(value.get_ref()) {
-                Ok(text) => texts.push((name, value.span(), text.to_string())),
-                Err(problem) => found.add(&value.span(), &self.name(&name), problem),
+                Ok(text) => entries.push((name, value.span(), text.to_string())),
+                Err(problem) => findings.add(&value.span(), &self.field_name(&name), problem),
             }
         }
-        texts.sort_by_key(|(_, place, _)| place.start);
-        texts
+        entries.sort_by_key(|(_, span, _)| span.start);
+        entries
     }
 
-    /// The texts that a field has in the tables below one of this table.
-    pub fn texts_below(&self, tables: &str, field: &str) -> Vec<&'a str> {
-        let below = |table: &'a DeTable<'i>, key: &str| {
+    /// Returns the string values of a field in all named tables below a key.
+    pub fn nested_strings(&self, tables: &str, field: &str) -> Vec<&'a str> {
+        let lookup = |table: &'a DeTable<'i>, key: &str| {
             table.iter().find(|(k, _)| k.get_ref() == key).map(|(_, value)| value.get_ref())
         };
-        let all = self.table.and_then(|t| below(t, tables)).and_then(|v| v.as_table());
+        let all = self.table.and_then(|t| lookup(t, tables)).and_then(|v| v.as_table());
         let each = all.into_iter().flat_map(|t| t.iter()).filter_map(|(_, v)| v.get_ref().as_table());
-        each.filter_map(|t| below(t, field)?.as_str()).collect()
+        each.filter_map(|t| lookup(t, field)?.as_str()).collect()
     }
 
-    /// A field by its own conversion; `None` if it is missing or wrong, and then it is told.
-    pub fn read<T>(
-        &mut self, key: &'static str, found: &mut Findings<'_>,
+    /// Reads and converts a field. Returns `Some(None)` if it is missing, and `None` if it is invalid, which is reported.
+    pub fn parse<T>(
+        &mut self, key: &'static str, findings: &mut Findings<'_>,
         convert: impl Fn(&DeValue<'_>) -> Result<T, String>,
     ) -> Option<Option<T>> {
-        let name = self.name(key);
+        let name = self.field_name(key);
         let Some(value) = self.get(key) else { return Some(None) };
         match convert(value.get_ref()) {
-            Ok(read) => Some(Some(read)),
+            Ok(converted) => Some(Some(converted)),
             Err(problem) => {
-                found.add(&value.span(), &name, problem);
+                findings.add(&value.span(), &name, problem);
                 None
             }
         }
     }
 
-    /// A field that must be there; where it is missing or wrong, that is told and `instead` goes on.
-    pub fn need<T>(
-        &mut self, key: &'static str, instead: T, example: &str, found: &mut Findings<'_>,
+    /// Reads a required field. If it is missing or invalid, this is reported and `fallback` is returned.
+    pub fn required<T>(
+        &mut self, key: &'static str, fallback: T, example: &str, findings: &mut Findings<'_>,
         convert: impl Fn(&DeValue<'_>) -> Result<T, String>,
     ) -> T {
-        match self.read(key, found, convert) {
+        match self.parse(key, findings, convert) {
             Some(Some(value)) => value,
             Some(None) => {
-                if !self.wrong {
-                    found.add(
+                if !self.is_invalid {
+                    findings.add(
                         &self.span,
-                        &self.name(key),
+                        &self.field_name(key),
                         format!("is missing; for example: {key} = {example}"),
                     );
                 }
-                instead
+                fallback
             }
-            None => instead,
+            None => fallback,
         }
     }
 
-    /// A field that may be missing.
-    pub fn or<T>(
-        &mut self, key: &'static str, default: T, found: &mut Findings<'_>,
+    /// Reads an optional field. If it is missing or invalid, `default` is returned; only an invalid field is reported.
+    pub fn optional<T>(
+        &mut self, key: &'static str, default: T, findings: &mut Findings<'_>,
         convert: impl Fn(&DeValue<'_>) -> Result<T, String>,
     ) -> T {
-        self.read(key, found, convert).flatten().unwrap_or(default)
+        self.parse(key, findings, convert).flatten().unwrap_or(default)
     }
 
-    /// Tells every key that nobody has asked for, with the nearest that could be meant.
-    pub fn done(self, found: &mut Findings<'_>) {
+    /// Reports every key of the table that was not read, with the most similar known key.
+    pub fn finish(self, findings: &mut Findings<'_>) {
         for (key, _) in self.table.into_iter().flat_map(|t| t.iter()) {
             let text = key.get_ref().as_ref();
-            if self.asked.contains(&text) {
+            if self.known_keys.contains(&text) {
                 continue;
             }
-            let alike = |known: &&str| strsim::jaro_winkler(text, known);
-            let nearest = self.asked.iter().copied().max_by(|a, b| alike(a).total_cmp(&alike(b)));
-            let hint = match nearest.filter(|known| alike(known) >= ALIKE) {
-                Some(known) => format!("is not known; {known:?} is the nearest that is"),
-                None => format!("is not known; here stand: {}", self.asked.join(", ")),
+            let similarity = |known: &&str| strsim::jaro_winkler(text, known);
+            let nearest =
+                self.known_keys.iter().copied().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
+            let hint = match nearest.filter(|known| similarity(known) >= MIN_SIMILARITY) {
+                Some(known) => format!("is not a known key; {known:?} is the nearest"),
+                None => format!("is not a known key; expected one of: {}", self.known_keys.join(", ")),
             };
-            found.add(&key.span(), &self.name(text), hint);
+            findings.add(&key.span(), &self.field_name(text), hint);
         }
     }
 }
 
-/// A text.
+/// Converts a string.
 pub(crate) fn text<'v>(value: &'v DeValue<'_>) -> Result<&'v str, String> {
-    value.as_str().ok_or_else(|| format!("is {}, where a text in quotes is needed", kind_of(value)))
+    value.as_str().ok_or_else(|| format!("is {}, where a text in quotes is needed", type_name(value)))
 }
 
-/// A text that another conversion reads on.
-pub(crate) fn by<T>(
+/// Converts a string with a parser.
+pub(crate) fn parsed<T>(
     convert: impl Fn(&str) -> Result<T, String>,
 ) -> impl Fn(&DeValue<'_>) -> Result<T, String> {
     move |value| convert(text(value)?)
 }
 
-/// A list of texts, each read by a conversion.
-pub(crate) fn each<T>(
+/// Converts a list of strings, each with a parser.
+pub(crate) fn list_of<T>(
     convert: impl Fn(&str) -> Result<T, String>,
 ) -> impl Fn(&DeValue<'_>) -> Result<Vec<T>, String> {
     move |value| match value {
-        DeValue::Array(all) => all.iter().map(|one| convert(text(one.get_ref())?)).collect(),
-        other => Err(format!("is {}, where a list of texts is needed: [\"..\", \"..\"]", kind_of(other))),
+        DeValue::Array(items) => items.iter().map(|item| convert(text(item.get_ref())?)).collect(),
+        other => Err(format!("is {}, where a list of texts is needed: [\"..\", \"..\"]", type_name(other))),
     }
 }
 
-/// One that must lie in a range; `shown` tells the range to a person.
+/// Restricts a conversion to a range; `shown` is the range as displayed in findings.
 pub(crate) fn within<T: PartialOrd>(
     range: impl RangeBounds<T>, shown: &'static str, convert: impl Fn(&DeValue<'_>) -> Result<T, String>,
 ) -> impl Fn(&DeValue<'_>) -> Result<T, String> {
     move |value| {
-        let read = convert(value)?;
-        if range.contains(&read) {
-            return Ok(read);
+        let converted = convert(value)?;
+        if range.contains(&converted) {
+            return Ok(converted);
         }
         Err(format!("is out of its range: {shown}"))
     }
 }
 
-/// A whole number from 0 on.
-pub(crate) fn whole(value: &DeValue<'_>) -> Result<u64, String> {
+/// Converts a non-negative integer.
+pub(crate) fn integer(value: &DeValue<'_>) -> Result<u64, String> {
     let number = match value {
         DeValue::Integer(i) => {
             i64::from_str_radix(i.as_str(), i.radix()).ok().and_then(|n| u64::try_from(n).ok())
         }
         _ => None,
     };
-    number.ok_or_else(|| format!("is {}, where a whole number from 0 on is needed", shown(value)))
+    number.ok_or_else(|| format!("is {}, where a whole number from 0 on is needed", describe(value)))
 }
 
-/// A number, whole or not.
+/// Converts a finite number, integer or not.
 pub(crate) fn number(value: &DeValue<'_>) -> Result<f64, String> {
     let number = match value {
         DeValue::Float(f) => f.as_str().parse::<f64>().ok().filter(|n| n.is_finite()),
-        DeValue::Integer(_) => Some(whole(value)? as f64),
+        DeValue::Integer(_) => Some(integer(value)? as f64),
         _ => None,
     };
-    number.ok_or_else(|| format!("is {}, where a number is needed", shown(value)))
+    number.ok_or_else(|| format!("is {}, where a number is needed", describe(value)))
 }
 
-fn shown(value: &DeValue<'_>) -> String {
+/// A value as displayed in findings: numbers literally, other values by their type.
+fn describe(value: &DeValue<'_>) -> String {
     match value {
         DeValue::Integer(i) => i.as_str().to_string(),
         DeValue::Float(f) => f.as_str().to_string(),
-        other => kind_of(other).to_string(),
+        other => type_name(other).to_string(),
     }
 }
 
-pub(crate) fn yes_or_no(value: &DeValue<'_>) -> Result<bool, String> {
-    value.as_bool().ok_or_else(|| format!("is {}, where true or false is needed", kind_of(value)))
+/// Converts a boolean.
+pub(crate) fn boolean(value: &DeValue<'_>) -> Result<bool, String> {
+    value.as_bool().ok_or_else(|| format!("is {}, where true or false is needed", type_name(value)))
 }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -35,13 +35,18 @@
     let file_finding = |problem: String| vec![Finding::for_file(path, problem)];
     let metadata = std::fs::metadata(path).map_err(|e| file_finding(e.to_string()))?;
     if !metadata.is_file() {
-        return Err(file_finding("not a file; a site file is a TOML file, `foldtrack init` creates one".into()));
+        return Err(file_finding(
+            "not a file; a site file is a TOML file, `foldtrack init` creates one".into(),
+        ));
     }
     let mut bytes = Vec::new();
     let file = File::open(path).map_err(|e| file_finding(e.to_string()))?;
     file.take(MAX_SITE_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|e| file_finding(e.to_string()))?;
     if bytes.len() as u64 > MAX_SITE_FILE_BYTES {
-        return Err(file_finding(format!("{} bytes; a site file has at most {MAX_SITE_FILE_BYTES}", metadata.len())));
+        return Err(file_finding(format!(
+            "{} bytes; a site file has at most {MAX_SITE_FILE_BYTES}",
+            metadata.len()
+        )));
     }
     let text = String::from_utf8(bytes).map_err(|e| {
         let offset = e.utf8_error().valid_up_to();
--- a/crates/site/src/units.rs
+++ b/crates/site/src/units.rs
@@ -7,7 +7,9 @@
 /// # Errors
 /// Returns a message that describes the expected notation.
 pub fn parse_duration(text: &str) -> Result<u64, String> {
-    let error = || format!("{text:?} is not a duration; expected numbers with units, such as \"250ms\", \"3s\" or \"1h 30m\"");
+    let error = || {
+        format!("{text:?} is not a duration; expected numbers with units, such as \"250ms\", \"3s\" or \"1h 30m\"")
+    };
     let duration = humantime::parse_duration(text).map_err(|_| error())?;
     u64::try_from(duration.as_micros()).map_err(|_| error())
 }
@@ -17,8 +19,11 @@
 /// # Errors
 /// Returns a message that describes the expected notation.
 pub fn parse_size(text: &str) -> Result<u64, String> {
-    let error =
-        || format!("{text:?} is not a size; expected a number with a unit, such as \"64KiB\", \"256MiB\" or \"2GB\"");
+    let error = || {
+        format!(
+            "{text:?} is not a size; expected a number with a unit, such as \"64KiB\", \"256MiB\" or \"2GB\""
+        )
+    };
     let config = Config::new().with_byte_suffix(ByteSuffix::Require);
     config.parse_size(text).map_err(|_| error())
 }
@@ -28,7 +33,9 @@
 /// # Errors
 /// Returns a message that describes the expected notation.
 pub fn parse_rate(text: &str) -> Result<f64, String> {
-    let error = || format!("{text:?} is not a rate; expected a rate such as \"250 msgs/s\", \"30 msgs/min\" or \"500 msgs/h\"");
+    let error = || {
+        format!("{text:?} is not a rate; expected a rate such as \"250 msgs/s\", \"30 msgs/min\" or \"500 msgs/h\"")
+    };
     let (number, unit) = text.split_once("msgs/").ok_or_else(error)?;
     let seconds = match unit.trim() {
         "s" => 1.0,
--- a/crates/site/tests/files.rs
+++ b/crates/site/tests/files.rs
@@ -1,4 +1,4 @@
-//! Site files as operators write them: right, wrong in twenty places, and no files at all.
+//! Parsing and validation of site files: valid files, files with many errors, and paths that are not readable files.
 
 use foldtrack_site::template::TEMPLATE;
 use foldtrack_site::{load, parse, Effect};
@@ -11,21 +11,26 @@
 }
 
 #[test]
-fn the_template_passes_and_means_what_it_says() {
+fn the_template_is_valid_and_has_the_documented_settings() {
     let site = parse(Path::new("site.toml"), TEMPLATE).unwrap();
     assert_eq!(site.classes.len(), 2);
-    let fee = &site.classes[0];
-    assert_eq!((fee.name.as_str(), fee.effect, fee.deadline), ("payment", Effect::Once, 24_000_000));
-    let update = &site.classes[1];
-    assert!(update.ordered && update.remembered == 10_000_000 && update.aim == 3_000_000);
-    let school = site.partners.iter().find(|p| p.name == "records-north").unwrap();
-    assert_eq!((school.rate, school.slots, school.endpoints.len()), (Some(25.0), Some(16), 2));
-    assert_eq!(site.kinds[school.kind].name, "records-office");
+    let payment = &site.classes[0];
+    assert_eq!(
+        (payment.name.as_str(), payment.effect, payment.deadline),
+        ("payment", Effect::Once, 24_000_000)
+    );
+    let record_change = &site.classes[1];
+    assert!(
+        record_change.ordered && record_change.remembered == 10_000_000 && record_change.aim == 3_000_000
+    );
+    let records = site.partners.iter().find(|p| p.name == "records-north").unwrap();
+    assert_eq!((records.rate, records.slots, records.endpoints.len()), (Some(25.0), Some(16), 2));
+    assert_eq!(site.kinds[records.kind].name, "records-office");
     assert_eq!(site.limits.memory, 256 << 20);
 }
 
 #[test]
-fn who_is_let_in_is_read_and_mistakes_in_it_are_told() {
+fn admission_settings_are_parsed_and_errors_reported() {
     let with = |lines: &str| TEMPLATE.replace("known = []  ", &format!("{lines}\n#"));
     let site = parse(
         Path::new("site.toml"),
@@ -34,7 +39,7 @@
     .unwrap();
     let known: Vec<String> = site.admission.known.iter().map(ToString::to_string).collect();
     assert_eq!((known.join(" ").as_str(), site.admission.per_address), ("10.1.0.0/16 192.0.2.1/32", Some(7)));
-    for (line, told) in [
+    for (line, expected) in [
         ("known = \"10.0.0.0/8\"", "a list of texts is needed"),
         ("known = [\"10.0.0.0/33\"]", "no address or network"),
         ("known = [7]", "a text in quotes"),
@@ -43,13 +48,14 @@
         ("requests = 0", "1 to 1000000"),
     ] {
         let found = findings(&with(line));
-        assert!(found.len() == 1 && found[0].contains(told), "{line}: {found:?}");
+        assert!(found.len() == 1 && found[0].contains(expected), "{line}: {found:?}");
     }
 }
 
-/// How a partner is spoken to: read as it is written, and what messages would lack is told before any is taken on.
+/// Dialect and authentication settings are parsed, and a dialect that does not work with messages of some class is reported
+/// before any message is accepted.
 #[test]
-fn how_partners_are_spoken_to_is_read_and_gaps_are_told() {
+fn partner_dialects_are_parsed_and_unsupported_classes_reported() {
     let with = |lines: &str, proof: &str| {
         let text = TEMPLATE.replace("[partner.pay]\n", &format!("[partner.pay]\n{lines}\n"));
         format!("{text}\n{proof}\n")
@@ -58,16 +64,16 @@
     let proof = "[partner.pay.proof]\nkind = \"basic\"\nuser = \"hradec\"\nsecret-file = \"/s\"";
     let more = "[partner.pay.headers]\nX-A = \"a-{class}\"\n[partner.pay.answers]\n409 = \"delivered\"";
     let site = parse(Path::new("site.toml"), &with(http, &format!("{proof}\n{more}"))).unwrap();
-    let of = |name: &str| site.partners.iter().find(|p| p.name == name).unwrap();
-    let (pay, school) = (of("pay"), of("records-north"));
-    assert_eq!(school.dialect, foldtrack_dialect::Dialect::foldtrack(), "as it always was");
+    let partner = |name: &str| site.partners.iter().find(|p| p.name == name).unwrap();
+    let (pay, records) = (partner("pay"), partner("records-north"));
+    assert_eq!(records.dialect, foldtrack_dialect::Dialect::foldtrack(), "the default dialect");
     assert_eq!(pay.dialect.answers.meaning(409), foldtrack_dialect::Meaning::Delivered);
     assert_eq!(pay.dialect.headers.len(), 1);
     assert_eq!(
         pay.proof.as_ref().unwrap().scheme,
         foldtrack_proof::AuthScheme::Basic { user: "hradec".into() }
     );
-    for (lines, proof, told) in [
+    for (lines, proof, expected) in [
         ("speaks = \"soap\"", "", "no way to speak"),
         ("speaks = \"http\"", "", "path: is missing"),
         ("speaks = \"http\"\npath = \"/{key}\"", "", "names {key}, which messages of payment don't have"),
@@ -87,13 +93,13 @@
         (http, "[partner.pay.answers]\n404 = \"gone\"", "is no meaning"),
     ] {
         let found = findings(&with(lines, proof));
-        assert!(found.len() == 1 && found[0].contains(told), "{lines} {proof}: {found:?}");
+        assert!(found.len() == 1 && found[0].contains(expected), "{lines} {proof}: {found:?}");
     }
 }
 
-/// The files that the operators' page works out are sound.
+/// The example files in the operators' documentation are valid.
 #[test]
-fn the_worked_files_of_the_page_pass_the_check() {
+fn the_documented_example_files_are_valid() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operators/partners.md");
     let page = std::fs::read_to_string(page).unwrap();
     let worked = page.split("## Worked files").nth(1).unwrap().split("## Connections").next().unwrap();
@@ -109,9 +115,9 @@
     assert!(site.partners.iter().all(|p| p.tls.is_some()));
 }
 
-/// Neither bound of a file is near a fleet's size: 1,024 forwarders of a site, and as many endpoints.
+/// The limits of a site file are well above the size of a fleet: 1,024 forwarders and as many endpoints are valid.
 #[test]
-fn a_thousand_forwarders_and_endpoints_pass_the_check() {
+fn a_thousand_forwarders_and_endpoints_are_valid() {
     let mut text = format!(
         "{TEMPLATE}\n[peers]\nname = \"f0\"\nlisten = \"127.0.0.1:7400\"\nsecret-file = \"/etc/foldtrack/peers.secret\"\n"
     );
@@ -127,9 +133,9 @@
     assert_eq!(many.endpoints.len(), 1023);
 }
 
-/// One reading tells them all, each at its own line, with what would be right.
+/// One pass reports all errors, each with its position and the expected value.
 #[test]
-fn twenty_mistakes_and_more_give_a_finding_each_in_their_order() {
+fn every_error_gives_one_finding_with_its_position() {
     let text = r#"[site]
 nmae = "x"
 listen = "localhost"
@@ -189,16 +195,16 @@
         ("31:11: partner.p.endpoint.a.address:", "names are not looked up"),
     ];
     for (place, hint) in expected {
-        let one = |line: &&String| line.starts_with(&format!("site.toml:{place}")) && line.contains(hint);
-        assert_eq!(found.iter().filter(one).count(), 1, "{place} {hint}\n{}", found.join("\n"));
+        let matches = |line: &&String| line.starts_with(&format!("site.toml:{place}")) && line.contains(hint);
+        assert_eq!(found.iter().filter(matches).count(), 1, "{place} {hint}\n{}", found.join("\n"));
     }
     assert_eq!(found.len(), expected.len(), "{}", found.join("\n"));
 }
 
 #[test]
-fn what_stands_twice_or_is_not_toml_is_found_beside_the_rest() {
-    let twice = "[partner.a.endpoint.x]\naddress = \"127.0.0.1:1\"\n[partner.b.endpoint.x]\naddress = \"127.0.0.1:1\"\n";
-    let found = findings(&format!("{TEMPLATE}{twice}"));
+fn duplicates_and_syntax_errors_are_reported_with_other_errors() {
+    let duplicates = "[partner.a.endpoint.x]\naddress = \"127.0.0.1:1\"\n[partner.b.endpoint.x]\naddress = \"127.0.0.1:1\"\n";
+    let found = findings(&format!("{TEMPLATE}{duplicates}"));
     assert_eq!(found.len(), 2, "{found:?}");
     assert!(
         found.iter().any(|f| f.contains("endpoint of a too"))
@@ -208,31 +214,31 @@
         TEMPLATE.replace("listen = \"127.0.0.1:8080\"", "listen = ").replace("attempts = 8", "attempts = 0");
     let found = findings(&broken);
     assert!(found.len() >= 2 && found.iter().any(|f| f.contains("limits.attempts")), "{found:?}");
-    assert!(findings("").len() >= 3, "an empty file lacks what a site needs");
+    assert!(findings("").len() >= 3, "an empty file lacks all required settings");
 }
 
 #[test]
-fn what_is_no_readable_file_is_one_line() {
+fn an_unreadable_file_gives_one_finding() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("site.toml");
-    let one = |path: &Path, hint: &str| {
+    let expect_one = |path: &Path, hint: &str| {
         let found = load(path).unwrap_err();
         assert!(found.len() == 1 && found[0].to_string().contains(hint), "{found:?}");
     };
-    one(&path, "No such file");
-    one(folder.path(), "not a file");
+    expect_one(&path, "No such file");
+    expect_one(folder.path(), "not a file");
     std::fs::write(&path, vec![b'#'; 5 << 20]).unwrap();
-    one(&path, "5242880 bytes");
+    expect_one(&path, "5242880 bytes");
     std::fs::write(&path, b"[site]\nname = \"\xff\"\n").unwrap();
-    one(&path, "not UTF-8 from byte 15");
+    expect_one(&path, "not UTF-8 from byte 15");
     let long = TEMPLATE.replace("foldtrack-state", &"x".repeat(100));
     assert!(findings(&long).iter().any(|f| f.contains("site.state: is too long")));
 }
 
 proptest! {
-    /// Whatever is cut out of a good file or put into it, the answer is a site or findings with places.
+    /// For any text removed from or inserted into a valid file, the result is a site or findings with positions.
     #[test]
-    fn no_text_brings_the_check_down(at in 0..TEMPLATE.len(), length in 0usize..80, put in ".{0,12}") {
+    fn arbitrary_edits_do_not_panic_the_parser(at in 0..TEMPLATE.len(), length in 0usize..80, put in ".{0,12}") {
         let (mut from, mut to) = (at, (at + length).min(TEMPLATE.len()));
         while !TEMPLATE.is_char_boundary(from) { from -= 1; }
         while !TEMPLATE.is_char_boundary(to) { to += 1; }
