--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,12 +1,12 @@
 //! Runs: a schedule through a forwarder or by the plain client, judged by the partners' own books.
 
-use crate::forwarder::{Forwarder, Listed};
+use crate::forwarder::{Forwarder, ListedPartner};
 use crate::plan::Plan;
-use crate::report::{Report, Spans};
-use crate::schedule::{schedule, Due};
+use crate::report::{LatencySummary, Report};
+use crate::schedule::{schedule, ScheduledMessage};
 use crate::{clients, plain};
 use foldtrack_control::{ControlCommand, ControlResponse, Status};
-use foldtrack_standin::books::{judge, Books, Fate};
+use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords};
 use foldtrack_standin::Partner;
 use std::collections::HashMap;
 use std::path::Path;
@@ -40,12 +40,12 @@
 ///
 /// # Errors
 /// What could not be started or asked, in a line.
-pub fn through(program: &Path, plan: &Plan) -> Result<Report, String> {
+pub fn run_forwarder(program: &Path, plan: &Plan) -> Result<Report, String> {
     let partners = partners(plan);
-    let listed: Vec<Listed> = partners
+    let listed: Vec<ListedPartner> = partners
         .iter()
         .enumerate()
-        .map(|(n, p)| Listed {
+        .map(|(n, p)| ListedPartner {
             name: format!("p{n}"),
             address: p.address(),
             rate: (plan.capacity > 0.0).then_some(plan.capacity),
@@ -54,7 +54,7 @@
     let forwarder = Forwarder::start(program, "load", &listed, &top(plan))?;
     let schedule = schedule(plan);
     let start = Instant::now();
-    let handed = clients::hand_in(plan, &schedule, forwarder.listen, start);
+    let handed = clients::submit(plan, &schedule, forwarder.listen, start);
     let mut control = forwarder.control()?;
     let by = Instant::now() + OVER;
     let status = loop {
@@ -68,7 +68,7 @@
         }
         sleep(Duration::from_millis(100));
     };
-    let books: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let books: Vec<CallRecords> = partners.iter().map(Partner::call_records).collect();
     let mut report = judged(plan, "forwarder", &schedule, &books, start);
     let Status { delivered, handed_back, given_up, in_doubt, held, .. } = status;
     (report.delivered, report.handed_back, report.given_up) = (delivered, handed_back, given_up);
@@ -78,34 +78,36 @@
     report.unanswered = handed.unanswered.len() as u64;
     let waits = handed.waits.len().max(1) as f64;
     report.told_wait_ms = handed.waits.iter().map(Duration::as_secs_f64).sum::<f64>() * 1e3 / waits;
-    report.answers = Spans::of(handed.taken.iter().map(|(_, took)| *took));
+    report.answers = LatencySummary::of(handed.taken.iter().map(|(_, took)| *took));
     Ok(report)
 }
 
 /// The same load by the plain client.
-pub fn plainly(plan: &Plan) -> Report {
+pub fn run_plain_client(plan: &Plan) -> Report {
     let partners = partners(plan);
     let schedule = schedule(plan);
     let start = Instant::now();
     let addresses: Vec<_> = partners.iter().map(Partner::address).collect();
     let served = plain::deliver(&schedule, plan, &addresses, start);
-    let books: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let books: Vec<CallRecords> = partners.iter().map(Partner::call_records).collect();
     let mut report = judged(plan, "plain", &schedule, &books, start);
     (report.taken, report.delivered) = (schedule.len() as u64, served);
     report
 }
 
 /// What the books say.
-fn judged(plan: &Plan, way: &str, schedule: &[Due], books: &[Books], start: Instant) -> Report {
-    let verdict = judge(books);
+fn judged(
+    plan: &Plan, way: &str, schedule: &[ScheduledMessage], books: &[CallRecords], start: Instant,
+) -> Report {
+    let verdict = check_rules(books);
     let mut effects: HashMap<&str, Duration> = HashMap::new();
     for call in books.iter().flat_map(|b| &b.calls) {
         // An answer that never goes out has its effect when the call comes.
-        if matches!(call.fate, Fate::Took | Fate::Swallowed) {
+        if matches!(call.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered) {
             effects.entry(&call.id).or_insert(call.until.saturating_duration_since(start));
         }
     }
-    let taken = |due: &Due| effects.get(due.id().as_str()).map(|at| at.saturating_sub(due.at));
+    let taken = |due: &ScheduledMessage| effects.get(due.id().as_str()).map(|at| at.saturating_sub(due.at));
     let deliveries: Vec<Duration> = schedule.iter().filter_map(taken).collect();
     let within = effects.values().filter(|at| **at < plan.span).count() as f64;
     let in_time = deliveries.iter().filter(|took| **took <= AIM).count() as f64;
@@ -120,7 +122,7 @@
         calls_each: verdict.calls as f64 / verdict.effects.max(1) as f64,
         twice: verdict.twice.len() as u64,
         out_of_order: verdict.out_of_order.len() as u64,
-        deliveries: Spans::of(deliveries),
+        deliveries: LatencySummary::of(deliveries),
         ..Report::default()
     }
 }
@@ -136,8 +138,8 @@
     for rate in rates {
         for failing in &plan.sweep.failing {
             let one = Plan { rate, failing: *failing, ..plan.clone() };
-            tell(through(program, &one)?)?;
-            tell(plainly(&one))?;
+            tell(run_forwarder(program, &one)?)?;
+            tell(run_plain_client(&one))?;
         }
     }
     Ok(())
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -1,6 +1,6 @@
 //! Services of the house: they hand messages in, come again when told to, and keep books of what was taken on.
 
-use foldtrack_load::exchange::{post, Exchange};
+use foldtrack_load::http_client::{post_request, HttpClient};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{scope, sleep};
@@ -31,7 +31,7 @@
 
 /// The books of all clients.
 #[derive(Clone, Debug, Default)]
-pub struct Books {
+pub struct CallRecords {
     /// Every 202.
     pub taken: Vec<Taken>,
     /// 409: it is over, or nobody can tell.
@@ -44,8 +44,8 @@
     pub refusals: u64,
 }
 
-impl Books {
-    fn join(mut self, other: Books) -> Books {
+impl CallRecords {
+    fn join(mut self, other: CallRecords) -> CallRecords {
         self.taken.extend(other.taken);
         self.conflicts.extend(other.conflicts);
         self.refused += other.refused;
@@ -76,19 +76,19 @@
 }
 
 /// Hands in a whole load.
-pub fn hand_in(load: &Load<'_>) -> Books {
+pub fn hand_in(load: &Load<'_>) -> CallRecords {
     let start = Instant::now();
     scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS).map(|n| scope.spawn(move || client(load, n, start))).collect();
-        clients.into_iter().filter_map(|c| c.join().ok()).fold(Books::default(), Books::join)
+        clients.into_iter().filter_map(|c| c.join().ok()).fold(CallRecords::default(), CallRecords::join)
     })
 }
 
-fn client(load: &Load<'_>, number: usize, start: Instant) -> Books {
+fn client(load: &Load<'_>, number: usize, start: Instant) -> CallRecords {
     let mut random = fastrand::Rng::with_seed(load.seed.wrapping_mul(31).wrapping_add(number as u64));
-    let mut books = Books::default();
+    let mut books = CallRecords::default();
     let home = number % load.to.len();
-    let mut kept: Vec<Exchange> = load.to.iter().map(|to| Exchange::new(*to, PATIENCE)).collect();
+    let mut kept: Vec<HttpClient> = load.to.iter().map(|to| HttpClient::new(*to, PATIENCE)).collect();
     let all: u32 = load.partners.iter().map(|(_, weight)| weight).sum();
     let gap = Duration::from_secs_f64(CLIENTS as f64 / load.rate);
     let mut turns = vec![0u64; load.partners.len()];
@@ -125,10 +125,10 @@
         // Only what is keyed has a key: a payment that comes twice must take effect twice at the partner, to be seen.
         let key = if class == "update" { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
         let headers = format!("X-Partner: {partner}\r\n{key}");
-        let request = post(&path, &headers, &id, &body);
+        let request = post_request(&path, &headers, &id, &body);
         let (from, mut at) = (Instant::now(), home);
         loop {
-            let mut answer = kept[at].ask(&request, true);
+            let mut answer = kept[at].send(&request, true);
             if load.elsewhere && class != "update" && random.f64() < load.lost_answers {
                 answer = None;
             }
