--- a/benches/site.rs
+++ b/benches/site.rs
@@ -4,7 +4,7 @@
 //! Figures are ratios of one run: both kinds run at once. `FOLDTRACK_BASE=PATH` adds a third kind, the
 //! platform's start of another build of the program.
 
-use foldtrack_control::{Ask, Client, Status, Told};
+use foldtrack_control::{Client, ControlCommand, ControlResponse, Status};
 use foldtrack_standin::http::{Reply, Server, OK};
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
@@ -78,7 +78,7 @@
     }
     let list = json!({"version": 1, "full": true, "servers": servers});
     let text = list.to_string();
-    let agent = Server::start_forgetful(move |request| match request.path.contains("since=") {
+    let agent = Server::start_unrecorded(move |request| match request.path.contains("since=") {
         _ if request.method == "POST" => Reply::Status(204, ""),
         true => Reply::Silence,
         false => Reply::Body(text.clone().into_bytes()),
@@ -129,8 +129,8 @@
     }
 
     fn status(&self) -> Status {
-        match Client::connect(&self.socket()).unwrap().ask(Ask::Status).unwrap() {
-            Told::Status(status) => *status,
+        match Client::connect(&self.socket()).unwrap().request(ControlCommand::Status).unwrap() {
+            ControlResponse::Status(status) => *status,
             told => panic!("{told:?}"),
         }
     }
@@ -197,7 +197,7 @@
 }
 
 fn answering() -> Vec<Vec<SocketAddr>> {
-    (0..PARTNERS).map(|_| vec![Server::start_forgetful(|_| OK).address]).collect()
+    (0..PARTNERS).map(|_| vec![Server::start_unrecorded(|_| OK).address]).collect()
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -253,7 +253,7 @@
 /// Messages that nobody answers are held, while ten readers ask for everything.
 fn pause() {
     let held = number("HELD", 10_000);
-    let silent = Server::start_forgetful(|_| Reply::Silence);
+    let silent = Server::start_unrecorded(|_| Reply::Silence);
     let mut partners = answering();
     partners.push(vec![silent.address]);
     let running = site(&partners, "");
@@ -273,14 +273,14 @@
                     let mut client = Client::connect(&running.socket()).unwrap();
                     while !stop.load(Ordering::SeqCst) {
                         for ask in [
-                            Ask::Status,
-                            Ask::Partners,
-                            Ask::Endpoints,
-                            Ask::Queues { partner: None, most: None },
-                            Ask::Failures { most: None },
-                            Ask::Message { message: "held-7".into() },
+                            ControlCommand::Status,
+                            ControlCommand::Partners,
+                            ControlCommand::Endpoints,
+                            ControlCommand::Queues { partner: None, most: None },
+                            ControlCommand::Failures { most: None },
+                            ControlCommand::Message { message: "held-7".into() },
                         ] {
-                            if let Ok(Told::Status(status)) = client.ask(ask) {
+                            if let Ok(ControlResponse::Status(status)) = client.request(ask) {
                                 longest.fetch_max(status.longest_round_us, Ordering::SeqCst);
                             }
                             asked.fetch_add(1, Ordering::SeqCst);
@@ -308,7 +308,7 @@
 
 fn restore() {
     let held = number("HELD", 10_000);
-    let silent = Server::start_forgetful(|_| Reply::Silence);
+    let silent = Server::start_unrecorded(|_| Reply::Silence);
     let mut running = site(&[vec![silent.address]], "");
     let file = running.folder.path().join("site.toml");
     let again = |running: &mut Running| {
@@ -334,11 +334,11 @@
     let count = number("DRAINS", 200);
     let last = Arc::new(Mutex::new(None::<Instant>));
     let seen = last.clone();
-    let drained = Server::start_forgetful(move |request| {
+    let drained = Server::start_unrecorded(move |request| {
         *seen.lock().unwrap() = Some(request.at);
         Reply::Later(Duration::from_millis(2), 200)
     });
-    let other = Server::start_forgetful(|_| Reply::Later(Duration::from_millis(2), 200));
+    let other = Server::start_unrecorded(|_| Reply::Later(Duration::from_millis(2), 200));
     let running = site(&[vec![drained.address, other.address]], "");
     let stop = AtomicBool::new(false);
     let (mut latest, mut acknowledged, mut after_ack) = (Vec::new(), Vec::new(), 0);
@@ -363,14 +363,14 @@
                 sleep(Duration::from_micros(200));
             }
             let ordered = Instant::now();
-            client.ask(Ask::Drain { endpoint: "p0-0".into() }).unwrap();
+            client.request(ControlCommand::Drain { endpoint: "p0-0".into() }).unwrap();
             let acked = Instant::now();
             acknowledged.push((acked - ordered).as_secs_f64() * 1e3);
             sleep(Duration::from_millis(100));
             let at = last.lock().unwrap().filter(|at| *at > ordered);
             after_ack += u64::from(at.is_some_and(|at| at > acked));
             latest.push(at.map_or(0.0, |at| (at - ordered).as_secs_f64() * 1e3));
-            client.ask(Ask::Resume { endpoint: Some("p0-0".into()), partner: None }).unwrap();
+            client.request(ControlCommand::Resume { endpoint: Some("p0-0".into()), partner: None }).unwrap();
         }
         stop.store(true, Ordering::SeqCst);
     });
