--- a/benches/peers.rs
+++ b/benches/peers.rs
@@ -5,7 +5,7 @@
 //!     cargo bench --bench peers [-- cost | waits]
 
 use foldtrack_control::Ask;
-use foldtrack_load::exchange::{post, Exchange};
+use foldtrack_load::http_client::{post_request, HttpClient};
 use foldtrack_rig::fleet::{Fleet, FolderAs, Listed, Plan};
 use foldtrack_rig::run::{play, Play, Progress};
 use foldtrack_rig::story::Story;
@@ -59,15 +59,16 @@
     let mut caught_up = 0;
     let mut spans: Vec<u64> = scope(|scope| {
         let client = |n: usize| {
-            let mut exchange = Exchange::new(to, Duration::from_secs(5));
+            let mut exchange = HttpClient::new(to, Duration::from_secs(5));
             let mut spans = Vec::new();
             for m in 0.. {
                 if start.elapsed() > SPAN {
                     break;
                 }
-                let request = post(&format!("/{class}/"), "X-Partner: p\r\n", &format!("m{n}-{m}"), "body");
+                let request =
+                    post_request(&format!("/{class}/"), "X-Partner: p\r\n", &format!("m{n}-{m}"), "body");
                 let sent = Instant::now();
-                if exchange.ask(&request, true).is_some_and(|a| a.status == 202) {
+                if exchange.send(&request, true).is_some_and(|a| a.status == 202) {
                     spans.push(sent.elapsed().as_micros() as u64);
                 }
             }
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -1,6 +1,6 @@
 //! Services of the house: they hand messages in, come again when told to, and keep books of what was taken on.
 
-use foldtrack_load::exchange::{post, Exchange};
+use foldtrack_load::http_client::{post_request, HttpClient};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{scope, sleep};
@@ -88,7 +88,7 @@
     let mut random = fastrand::Rng::with_seed(load.seed.wrapping_mul(31).wrapping_add(number as u64));
     let mut books = Books::default();
     let home = number % load.to.len();
-    let mut kept: Vec<Exchange> = load.to.iter().map(|to| Exchange::new(*to, PATIENCE)).collect();
+    let mut kept: Vec<HttpClient> = load.to.iter().map(|to| HttpClient::new(*to, PATIENCE)).collect();
     let all: u32 = load.partners.iter().map(|(_, weight)| weight).sum();
     let gap = Duration::from_secs_f64(CLIENTS as f64 / load.rate);
     let mut turns = vec![0u64; load.partners.len()];
@@ -125,10 +125,10 @@
         // Only what is keyed has a key: a payment that comes twice must take effect twice at the partner, to be seen.
         let key = if class == "update" { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
         let headers = format!("X-Partner: {partner}\r\n{key}");
-        let request = post(&path, &headers, &id, &body);
+        let request = post_request(&path, &headers, &id, &body);
         let (from, mut at) = (Instant::now(), home);
         loop {
-            let mut answer = kept[at].ask(&request, true);
+            let mut answer = kept[at].send(&request, true);
             if load.elsewhere && class != "update" && random.f64() < load.lost_answers {
                 answer = None;
             }
--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -5,8 +5,8 @@
 use crate::lock::lock_ignoring_poison;
 use clap::Args;
 use foldtrack_control::{Ask, Client, Partner as Shown, Status, Told};
-use foldtrack_load::exchange::{post, Exchange};
-use foldtrack_load::forwarder::{Forwarder, Listed};
+use foldtrack_load::forwarder::{Forwarder, ListedPartner};
+use foldtrack_load::http_client::{post_request, HttpClient};
 use foldtrack_rig::run::Play;
 use foldtrack_rig::story::{Story, What};
 use foldtrack_standin::books::{judge, Books, Fate};
@@ -106,9 +106,9 @@
         .enumerate()
         .map(|(n, (name, ..))| (*name, Partner::start(demo.seed + n as u64, conduct(name))))
         .collect();
-    let listed: Vec<Listed> = partners
+    let listed: Vec<ListedPartner> = partners
         .iter()
-        .map(|(name, p)| Listed {
+        .map(|(name, p)| ListedPartner {
             name: name.to_string(),
             address: p.address(),
             rate: (*name == "limited").then_some(60.0),
@@ -161,7 +161,7 @@
 /// order, and each goes to one partner.
 fn hand_in(worker: u64, demo: &Demo, listen: SocketAddr, start: Instant, sent: &Sent) {
     let mut random = fastrand::Rng::with_seed(demo.seed.wrapping_add(1000 + worker));
-    let mut kept = Exchange::new(listen, PATIENCE);
+    let mut kept = HttpClient::new(listen, PATIENCE);
     let mut turns: BTreeMap<String, u64> = BTreeMap::new();
     for n in (worker..demo.messages).step_by(CLIENTS) {
         let due = start + Duration::from_secs_f64(n as f64 / demo.rate as f64);
@@ -183,8 +183,9 @@
             (format!("/{class}"), format!("class={class};"))
         };
         let id = format!("demo-{n}");
-        let request = post(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
-        match kept.ask(&request, true).map(|answer| answer.status) {
+        let request =
+            post_request(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
+        match kept.send(&request, true).map(|answer| answer.status) {
             Some(202) => drop(lock_ignoring_poison(&sent.taken).insert(id, class)),
             Some(503) => drop(sent.refused.fetch_add(1, Ordering::SeqCst)),
             _ => drop(sent.failed.fetch_add(1, Ordering::SeqCst)),
