--- a/crates/load/src/clients.rs
+++ b/crates/load/src/clients.rs
@@ -1,4 +1,4 @@
-//! The services of the house: they hand in what is due, and hear at once whether it was taken on.
+//! The clients of the forwarder: they submit the scheduled messages and record whether each was accepted.
 
 use crate::http_client::{post_request, HttpClient};
 use crate::plan::Plan;
@@ -9,28 +9,28 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-/// A client that has no answer by then has gone on; clients of the protocol wait 400 ms, a load that is to measure
-/// waits longer, so that late answers are seen.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time-out of a submission. Clients of the protocol wait 400 ms; the load generator waits longer, so that late answers
+/// are measured.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What became of handing in.
+/// The results of the submissions.
 #[derive(Clone, Debug, Default)]
 pub struct SubmissionResults {
-    /// Taken on: the message's number, and how long after it was due the answer came.
-    pub taken: Vec<(u64, Duration)>,
-    /// Refused for good.
+    /// Accepted messages: the number, and the time from when the message was due to the answer.
+    pub accepted: Vec<(u64, Duration)>,
+    /// Numbers of the messages whose last submission was refused.
     pub refused: Vec<u64>,
-    /// Refusals, those included that were handed in again, and the waits that they told.
+    /// Number of refusals, including those of messages that were submitted again.
     pub refusals: u64,
-    /// The waits that they told.
+    /// The waits that the refusals requested.
     pub waits: Vec<Duration>,
-    /// Neither.
+    /// Numbers of the messages that got no answer, or one that is neither an acceptance nor a refusal.
     pub unanswered: Vec<u64>,
 }
 
 impl SubmissionResults {
-    fn join(mut self, other: SubmissionResults) -> SubmissionResults {
-        self.taken.extend(other.taken);
+    fn merge(mut self, other: SubmissionResults) -> SubmissionResults {
+        self.accepted.extend(other.accepted);
         self.refused.extend(other.refused);
         self.waits.extend(other.waits);
         self.unanswered.extend(other.unanswered);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Hands in a whole schedule, and comes back once each message has its answer.
+/// Submits a whole schedule, and returns when every submission has ended.
 pub fn submit(
     plan: &Plan, schedule: &[ScheduledMessage], to: SocketAddr, start: Instant,
 ) -> SubmissionResults {
@@ -49,26 +49,28 @@
     }
     scope(|scope| {
         let clients: Vec<_> =
-            shares.iter().map(|share| scope.spawn(move || client(plan, share, to, start))).collect();
-        // A client that panicked has handed in nothing that counts: its messages show up as missing.
+            shares.iter().map(|share| scope.spawn(move || run_client(plan, share, to, start))).collect();
+        // The results of a client that panicked are lost: its messages show up as missing.
         clients
             .into_iter()
             .filter_map(|c| c.join().ok())
-            .fold(SubmissionResults::default(), SubmissionResults::join)
+            .fold(SubmissionResults::default(), SubmissionResults::merge)
     })
 }
 
-fn client(plan: &Plan, share: &[&ScheduledMessage], to: SocketAddr, start: Instant) -> SubmissionResults {
-    let mut http = HttpClient::new(to, PATIENCE);
-    let mut seen = SubmissionResults::default();
-    // Ordered keys: a refused message is handed in again before later ones of its key go, so it waits in line.
+/// Submits one client's share of the schedule.
+fn run_client(plan: &Plan, share: &[&ScheduledMessage], to: SocketAddr, start: Instant) -> SubmissionResults {
+    let mut http = HttpClient::new(to, SUBMIT_TIMEOUT);
+    let mut results = SubmissionResults::default();
+    // Entries: due time, message number, index in `share`, number of the submission. A refused ordered message is submitted
+    // again before later messages with its key.
     let mut queue: BinaryHeap<Reverse<(Duration, u64, usize, u32)>> =
         share.iter().enumerate().map(|(n, due)| Reverse((due.at, due.number, n, 1))).collect();
-    let mut held_back: HashMap<String, Duration> = HashMap::new();
+    let mut key_delays: HashMap<String, Duration> = HashMap::new();
     while let Some(Reverse((at, number, n, tries))) = queue.pop() {
         let due = share[n];
         if let Some(until) =
-            held_back.get(&due.key()).filter(|until| due.turn.is_some() && at < **until && tries == 1)
+            key_delays.get(&due.key()).filter(|until| due.position.is_some() && at < **until && tries == 1)
         {
             queue.push(Reverse((*until, number, n, tries)));
             continue;
@@ -79,24 +81,24 @@
         let request = post_request(&path, &headers, &due.id(), &due.body(plan.body));
         match http.send(&request, true) {
             Some(answer) if answer.status == 202 => {
-                seen.taken.push((number, start.elapsed().saturating_sub(due.at)));
+                results.accepted.push((number, start.elapsed().saturating_sub(due.at)));
             }
             Some(answer) if matches!(answer.status, 503 | 429) => {
-                seen.refusals += 1;
-                seen.waits.extend(answer.retry_after);
+                results.refusals += 1;
+                results.waits.extend(answer.retry_after);
                 if tries >= plan.hand_ins {
-                    seen.refused.push(number);
+                    results.refused.push(number);
                     continue;
                 }
-                let again = start.elapsed() + answer.retry_after.unwrap_or(Duration::from_millis(500));
-                if due.turn.is_some() {
-                    // One moment later for those behind it: it goes first.
-                    held_back.insert(due.key(), again + Duration::from_nanos(1));
+                let resubmit_at = start.elapsed() + answer.retry_after.unwrap_or(Duration::from_millis(500));
+                if due.position.is_some() {
+                    // Later messages with this key wait one nanosecond longer, so that this one goes first.
+                    key_delays.insert(due.key(), resubmit_at + Duration::from_nanos(1));
                 }
-                queue.push(Reverse((again, number, n, tries + 1)));
+                queue.push(Reverse((resubmit_at, number, n, tries + 1)));
             }
-            _ => seen.unanswered.push(number),
+            _ => results.unanswered.push(number),
         }
     }
-    seen
+    results
 }
--- a/crates/load/src/forwarder.rs
+++ b/crates/load/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! The forwarder under test, as a process on a fresh site.
+//! The forwarder under test: a child process with a new site in a temporary directory.
 
 use foldtrack_control::Client;
 use std::fmt::Write;
@@ -10,27 +10,27 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// How long the start may take.
-const READY: Duration = Duration::from_secs(20);
+/// Maximum time until the forwarder accepts connections.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A partner as the site file is to have it.
+/// A partner for the site file.
 #[derive(Clone, Debug)]
 pub struct ListedPartner {
-    /// Its name.
+    /// The partner's name.
     pub name: String,
-    /// Where it listens.
+    /// The address of its only endpoint.
     pub address: SocketAddr,
-    /// Calls a second that it names as its limit.
+    /// Its limit in calls per second; none if the site file states none.
     pub rate: Option<f64>,
 }
 
-/// A forwarder that ends with this value, and its folder with it.
+/// A running forwarder. Dropping it kills the process and removes its directory.
 #[derive(Debug)]
 pub struct Forwarder {
     child: Child,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    folder: TempDir,
+    directory: TempDir,
 }
 
 impl Drop for Forwarder {
@@ -40,22 +40,26 @@
     }
 }
 
-fn told(what: &str, error: &dyn std::fmt::Display) -> String {
-    format!("{what}: {error}")
+/// An error text that starts with the failed operation.
+fn describe(operation: &str, error: &dyn std::fmt::Display) -> String {
+    format!("{operation}: {error}")
 }
 
 impl Forwarder {
-    /// Starts a program as a forwarder for these partners. `top` is the text of the site file for classes and limits.
+    /// Starts a program as a forwarder for these partners and waits until it accepts connections. `settings` is the part of
+    /// the site file from the rest of `[site]` to the partners: classes and limits.
     ///
     /// # Errors
-    /// What could not be done, in a line.
+    /// The operation that failed and why, in one line.
     pub fn start(
-        program: &Path, name: &str, partners: &[ListedPartner], top: &str,
+        program: &Path, name: &str, partners: &[ListedPartner], settings: &str,
     ) -> Result<Forwarder, String> {
-        let folder = tempfile::tempdir().map_err(|e| told("a folder", &e))?;
-        let listen = free_address().map_err(|e| told("a port", &e))?;
-        let state = folder.path().join("state");
-        let mut text = format!("[site]\nname = {name:?}\nlisten = \"{listen}\"\nstate = {state:?}\n{top}\n");
+        let directory =
+            tempfile::tempdir().map_err(|e| describe("cannot create a temporary directory", &e))?;
+        let listen = free_address().map_err(|e| describe("cannot find a free port", &e))?;
+        let state = directory.path().join("state");
+        let mut text =
+            format!("[site]\nname = {name:?}\nlisten = \"{listen}\"\nstate = {state:?}\n{settings}\n");
         for partner in partners {
             let ListedPartner { name, address, rate } = partner;
             let rate = rate.map_or(String::new(), |r| format!("rate = \"{r} msgs/s\"\n"));
@@ -64,32 +68,33 @@
                 "\n[partner.{name}]\n{rate}[partner.{name}.endpoint.{name}-1]\naddress = \"{address}\"\n"
             );
         }
-        let file = folder.path().join("site.toml");
-        std::fs::write(&file, text).map_err(|e| told("the site file", &e))?;
+        let file = directory.path().join("site.toml");
+        std::fs::write(&file, text).map_err(|e| describe("cannot write the site file", &e))?;
         let mut command = Command::new(program);
         command.args(["serve", "--site"]).arg(&file).stdin(Stdio::null());
-        let child = command.spawn().map_err(|e| told("the forwarder", &e))?;
-        let forwarder = Forwarder { child, listen, folder };
-        let by = Instant::now() + READY;
+        let child = command.spawn().map_err(|e| describe("cannot start the forwarder", &e))?;
+        let forwarder = Forwarder { child, listen, directory };
+        let ready_by = Instant::now() + START_TIMEOUT;
         while TcpStream::connect(listen).is_err() {
-            if Instant::now() > by {
-                return Err(format!("the forwarder is not ready within {READY:?}"));
+            if Instant::now() > ready_by {
+                return Err(format!("the forwarder did not accept connections within {START_TIMEOUT:?}"));
             }
             sleep(Duration::from_millis(20));
         }
         Ok(forwarder)
     }
 
-    /// A connection to its control line.
+    /// Connects to the control socket.
     ///
     /// # Errors
-    /// Why there is none, in a line.
+    /// Why the connection failed, in one line.
     pub fn control(&self) -> Result<Client, String> {
-        let socket = self.folder.path().join("state/control.sock");
+        let socket = self.directory.path().join("state/control.sock");
         Client::connect(&socket).map_err(|e| e.to_string())
     }
 }
 
+/// An address on the loopback interface with a free port.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,10 @@
-//! Load and experiments: messages at a stated rate, whatever becomes of earlier ones, through a forwarder or by a plain
-//! client, to stand-in partners with stated failures, capacity and answer times.
+//! Load generator for experiments. It submits messages at a given rate, regardless of the progress of earlier ones (open
+//! loop), through a forwarder or by a plain client, to stand-in partners with configured failures, capacity and answer
+//! times.
 //!
-//! `plan` is what is asked for, `schedule` when which message is due (both without I/O), `forwarder` the process under
-//! test, `exchange` a client's kept connection, `clients` and `plain` the two ways to the partners, `report` the result.
+//! `plan` holds the parameters of a run and `schedule` computes when each message is due, both without I/O. `forwarder`
+//! starts the process under test, `http_client` is the connection of a client, `clients` and `plain` are the two routes to
+//! the partners, `run` performs runs and `report` holds their results.
 
 pub mod clients;
 pub mod forwarder;
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,67 +1,69 @@
-//! What a run is to be: read from TOML, checked, each mistake told with its field.
+//! The parameters of a run: read from TOML and checked; every error names its field.
 
 use foldtrack_standin::{Conduct, Kind};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::time::Duration;
 
-/// Messages of one run at most: each is kept until its end, and partners' books keep every call.
-const MOST_MESSAGES: f64 = 2e6;
-/// Bytes of a body at most (PROTOCOL).
-const LONGEST_BODY: usize = 64 * 1024;
+/// Maximum number of messages in a run: all messages, and all calls in the partners' call records, are kept in memory.
+const MAX_MESSAGES: f64 = 2e6;
+/// Maximum size of a body in bytes, from the protocol.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A run.
+/// The parameters of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Plan {
-    /// Sets arrivals, classes, keys and failures.
+    /// Random seed of arrivals, classes, keys and failures.
     pub seed: u64,
-    /// Messages a second, in all.
+    /// Messages per second, in total.
     pub rate: f64,
-    /// For how long they come.
+    /// Time during which messages arrive.
     #[serde(with = "humantime_serde")]
     pub span: Duration,
-    /// Connections that the clients keep; a message that is due while all are busy waits, and its time counts.
+    /// Number of client connections. A message that is due while its connection is busy waits, and the wait is part of
+    /// its latency.
     pub connections: usize,
-    /// How often a refused message is handed in: 1 is once, more come after the wait that was told.
+    /// Maximum number of submissions of a message; after a refusal the client waits as requested. 1 for no repetition.
     pub hand_ins: u32,
-    /// Bytes of a body, 64 KiB at most.
+    /// Size of a body in bytes, at most 64 KiB.
     pub body: usize,
-    /// Keys of ordered messages for each partner.
+    /// Number of order keys for each partner.
     pub keys: u64,
-    /// Share of payments, which must not take effect twice; the rest is keyed and in order. 0 to 1.
+    /// Share of payments, 0 to 1. Payments must not take effect twice; the other messages carry an idempotency key and are
+    /// ordered.
     pub payments: f64,
-    /// Partners, 1 to 50, which get equal parts.
+    /// Number of partners, 1 to 50, with equal shares of the messages.
     pub partners: usize,
-    /// An answer takes at least this.
+    /// Minimum answer time.
     #[serde(with = "humantime_serde")]
     pub answers_from: Duration,
-    /// An answer takes at most this.
+    /// Maximum answer time.
     #[serde(with = "humantime_serde")]
     pub answers_to: Duration,
-    /// Calls a second that a partner takes, above which it turns away with a wait; 0 for no limit.
+    /// Calls per second that a partner accepts; it rejects further ones and requests a wait. 0 for no limit.
     pub capacity: f64,
-    /// Calls that a partner works on at once, while further ones queue; 0 for all.
+    /// Number of calls that a partner processes at once, while further ones queue; 0 for no limit.
     pub at_once: usize,
     /// Share of calls that fail, 0 to 1.
     pub failing: f64,
-    /// How they fail, each as often.
+    /// The kinds of failure, all equally frequent.
     pub kinds: Vec<Failure>,
-    /// Messages that the forwarder holds at most.
+    /// Maximum number of messages that the forwarder holds.
     pub messages: u32,
-    /// Calls that it has out at most.
+    /// Maximum number of calls that the forwarder has in flight.
     pub calls: u32,
-    /// The values that a sweep goes through.
+    /// The values of a sweep.
     pub sweep: Sweep,
 }
 
-/// What a sweep varies.
+/// The values that a sweep combines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Sweep {
     /// Shares of calls that fail.
     pub failing: Vec<f64>,
-    /// Rates; the plan's own where there are none.
+    /// Rates in messages per second; if empty, the rate of the plan.
     pub rates: Vec<f64>,
 }
 
@@ -69,15 +71,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// The connection ends before the call took effect.
+    /// The connection is closed before the call takes effect.
     ResetBefore,
-    /// The connection ends after the call took effect.
+    /// The connection is closed after the call took effect.
     ResetAfter,
-    /// Answered 500, without an effect.
+    /// The partner answers 500; the call has no effect.
     Error,
-    /// It takes effect and is answered a second late.
+    /// The call takes effect and the answer is one second late.
     Late,
-    /// Turned away as full, without a wait.
+    /// The partner rejects the call as full and requests no wait.
     Full,
 }
 
@@ -116,19 +118,19 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// A line that names the file and what is wrong in it.
+    /// One line with the file and the error.
     pub fn read(path: &Path) -> Result<Plan, String> {
-        let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|e| told(&e))?;
-        let plan: Plan = toml::from_str(&text).map_err(|e| told(&e))?;
-        plan.check().map_err(|e| told(&e))?;
+        let error = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+        let text = std::fs::read_to_string(path).map_err(|e| error(&e))?;
+        let plan: Plan = toml::from_str(&text).map_err(|e| error(&e))?;
+        plan.check().map_err(|e| error(&e))?;
         Ok(plan)
     }
 
-    /// Checks the ranges.
+    /// Checks that all values are within their ranges.
     ///
     /// # Errors
-    /// A line that names the first field that is out of its range.
+    /// One line with the first field that is out of range.
     pub fn check(&self) -> Result<(), String> {
         let share = |name: &str, value: f64| match (0.0..=1.0).contains(&value) {
             true => Ok(()),
@@ -136,40 +138,40 @@
         };
         let rates = self.sweep.rates.iter().chain([&self.rate]);
         for rate in rates {
-            if !(*rate > 0.0 && rate * self.span.as_secs_f64() <= MOST_MESSAGES) {
+            if !(*rate > 0.0 && rate * self.span.as_secs_f64() <= MAX_MESSAGES) {
                 return Err(format!(
-                    "rate: {rate} a second over `span` is not 1 to {MOST_MESSAGES} messages"
+                    "rate: {rate} per second over `span` is not between 1 and {MAX_MESSAGES} messages"
                 ));
             }
         }
         share("failing", self.failing)?;
         share("payments", self.payments)?;
         self.sweep.failing.iter().try_for_each(|s| share("sweep.failing", *s))?;
-        let whole =
+        let integer =
             |name: &str, value: usize, range: std::ops::RangeInclusive<usize>| match range.contains(&value) {
                 true => Ok(()),
                 false => Err(format!("{name}: {value} is not between {} and {}", range.start(), range.end())),
             };
-        whole("connections", self.connections, 1..=2_000)?;
-        whole("hand-ins", self.hand_ins as usize, 1..=100)?;
-        whole("body", self.body, 64..=LONGEST_BODY)?;
-        whole("partners", self.partners, 1..=50)?;
-        whole("messages", self.messages as usize, 10..=1_000_000)?;
-        whole("calls", self.calls as usize, 1..=10_000)?;
-        whole("keys", usize::try_from(self.keys).unwrap_or(usize::MAX), 1..=1_000_000)?;
+        integer("connections", self.connections, 1..=2_000)?;
+        integer("hand-ins", self.hand_ins as usize, 1..=100)?;
+        integer("body", self.body, 64..=MAX_BODY_BYTES)?;
+        integer("partners", self.partners, 1..=50)?;
+        integer("messages", self.messages as usize, 10..=1_000_000)?;
+        integer("calls", self.calls as usize, 1..=10_000)?;
+        integer("keys", usize::try_from(self.keys).unwrap_or(usize::MAX), 1..=1_000_000)?;
         if self.answers_from > self.answers_to {
-            return Err("answers-from: longer than `answers-to`".into());
+            return Err("answers-from: is longer than `answers-to`".into());
         }
         if !(self.capacity >= 0.0 && self.capacity.is_finite()) {
-            return Err(format!("capacity: {} is no rate", self.capacity));
+            return Err(format!("capacity: {} is not a valid rate", self.capacity));
         }
         if self.failing > 0.0 && self.kinds.is_empty() {
-            return Err("kinds: none, but calls are to fail".into());
+            return Err("kinds: at least one is required if `failing` is above 0".into());
         }
         Ok(())
     }
 
-    /// How the partners are to behave.
+    /// The behavior of the stand-in partners.
     pub fn conduct(&self) -> Conduct {
         let kind = |f: &Failure| match f {
             Failure::ResetBefore => Kind::ResetBefore,
@@ -194,7 +196,7 @@
     use super::*;
 
     #[test]
-    fn a_plan_is_checked_and_a_mistake_is_told_with_its_field() {
+    fn plans_are_checked_and_errors_name_the_field() {
         let read =
             |text: &str| toml::from_str::<Plan>(text).map_err(|e| e.to_string()).and_then(|p| p.check());
         assert_eq!(read("rate = 50.0\nspan = \"2s\"\nkinds = [\"late\", \"reset-after\"]"), Ok(()));
@@ -210,8 +212,8 @@
             ("kinds = [\"odd\"]", "kinds"),
             ("rate = nan", "rate"),
         ] {
-            let told = read(text).unwrap_err();
-            assert!(told.contains(field), "{text}: {told}");
+            let error = read(text).unwrap_err();
+            assert!(error.contains(field), "{text}: {error}");
         }
     }
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,33 +1,33 @@
-//! What a run came to: figures for programs, and a line of a table for people.
+//! The results of a run: serializable for programs, and as a table row for people.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Longest span that a histogram tells apart, in microseconds: two minutes.
-const LONGEST: u64 = 120_000_000;
+/// Longest time that the histogram records, in microseconds: two minutes.
+const MAX_RECORDED_US: u64 = 120_000_000;
 
-/// Spans, in milliseconds.
+/// Summary of a distribution of times, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencySummary {
-    /// How many.
+    /// Number of values.
     pub count: u64,
-    /// Half are shorter.
+    /// The median.
     pub p50_ms: f64,
-    /// Ninety-nine in a hundred are shorter.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub longest_ms: f64,
 }
 
 impl LatencySummary {
-    /// Of these, to three digits; longer than two minutes counts as that.
-    pub fn of(spans: impl IntoIterator<Item = Duration>) -> LatencySummary {
-        // Bounds and digits are constants that the library takes.
-        let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST, 3) else {
+    /// Summarizes times, with three significant digits. Times above two minutes count as two minutes.
+    pub fn of(times: impl IntoIterator<Item = Duration>) -> LatencySummary {
+        // The bounds and the number of digits are valid constants.
+        let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_US, 3) else {
             return LatencySummary::default();
         };
-        spans.into_iter().for_each(|span| histogram.saturating_record((span.as_micros() as u64).max(1)));
+        times.into_iter().for_each(|time| histogram.saturating_record((time.as_micros() as u64).max(1)));
         let ms = |us: u64| (us as f64 / 10.0).round() / 100.0;
         if histogram.is_empty() {
             return LatencySummary::default();
@@ -41,56 +41,56 @@
     }
 }
 
-/// A run.
+/// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// `forwarder`, or `plain`.
+    /// The route of the messages: `forwarder` or `plain`.
     pub way: String,
-    /// Messages a second that were due.
+    /// Scheduled messages per second.
     pub rate: f64,
-    /// Share of calls that the partners failed.
+    /// Configured share of calls that fail at the partners.
     pub failing: f64,
-    /// Messages that were due.
+    /// Number of scheduled messages.
     pub messages: u64,
-    /// Answered 202.
+    /// Messages that the forwarder accepted (status 202).
     pub taken: u64,
-    /// Refused, for good.
+    /// Messages whose last submission was refused.
     pub refused: u64,
-    /// Refusals in all: a message may be handed in several times.
+    /// Number of refusals; a message may be submitted several times.
     pub refusals: u64,
-    /// Mean wait that refusals told, in milliseconds.
+    /// Mean wait that refusals requested, in milliseconds.
     pub told_wait_ms: f64,
-    /// No answer.
+    /// Messages without a valid answer.
     pub unanswered: u64,
-    /// Ends of those taken on.
+    /// Accepted messages that were delivered.
     pub delivered: u64,
-    /// See `delivered`.
+    /// Accepted messages that were handed back.
     pub handed_back: u64,
-    /// See `delivered`.
+    /// Accepted messages that were given up.
     pub given_up: u64,
-    /// See `delivered`.
+    /// Accepted messages that ended in doubt.
     pub in_doubt: u64,
-    /// Taken on and without an end when the run was over.
+    /// Accepted messages without an outcome at the end of the run.
     pub open: u64,
-    /// Messages that took effect, by the partners' books.
+    /// Messages that took effect, by the partners' call records.
     pub applied: u64,
-    /// Those of them within the span, a second.
+    /// Messages per second that took effect within the plan's span.
     pub applied_a_second: f64,
     /// Share of all messages that took effect within 3 s of being due.
     pub in_time: f64,
-    /// Calls over messages that took effect.
+    /// Calls per message that took effect.
     pub calls_each: f64,
-    /// Messages that took effect twice, and those out of order in their key.
+    /// Messages that took effect twice.
     pub twice: u64,
-    /// See `twice`.
+    /// Messages that took effect out of order within their key.
     pub out_of_order: u64,
-    /// From when a message was due to its 202.
+    /// Time from when a message was due to its acceptance.
     pub answers: LatencySummary,
-    /// From when a message was due to its effect.
+    /// Time from when a message was due to its effect.
     pub deliveries: LatencySummary,
 }
 
-/// The head of the table whose rows [`Report::row`] gives.
+/// The column headings for [`Report::row`].
 pub const TABLE_HEADER: [&str; 14] = [
     "way",
     "rate/s",
@@ -109,16 +109,16 @@
 ];
 
 impl Report {
-    /// A row of the table.
+    /// The report as a table row, in the columns of [`TABLE_HEADER`].
     pub fn row(&self) -> Vec<String> {
-        let part = |n: u64, of: u64| format!("{:.1}%", 100.0 * n as f64 / of.max(1) as f64);
+        let percentage = |n: u64, of: u64| format!("{:.1}%", 100.0 * n as f64 / of.max(1) as f64);
         vec![
             self.way.clone(),
             format!("{:.0}", self.rate),
             format!("{:.1}%", self.failing * 100.0),
-            part(self.taken, self.messages),
-            part(self.refused, self.messages),
-            part(self.handed_back, self.taken),
+            percentage(self.taken, self.messages),
+            percentage(self.refused, self.messages),
+            percentage(self.handed_back, self.taken),
             format!("{:.1}", self.applied_a_second),
             format!("{:.1}%", self.in_time * 100.0),
             format!("{:.2}", self.calls_each),
@@ -136,17 +136,17 @@
     use super::*;
 
     #[test]
-    fn spans_are_told_to_three_digits_and_none_is_no_figure() {
-        let spans = LatencySummary::of((1..=1000).map(Duration::from_millis));
-        assert_eq!(spans.count, 1000);
-        assert!((spans.p50_ms - 500.0).abs() < 2.0 && (spans.p99_ms - 990.0).abs() < 2.0, "{spans:?}");
+    fn summaries_have_three_digits_and_an_empty_one_is_zero() {
+        let summary = LatencySummary::of((1..=1000).map(Duration::from_millis));
+        assert_eq!(summary.count, 1000);
+        assert!((summary.p50_ms - 500.0).abs() < 2.0 && (summary.p99_ms - 990.0).abs() < 2.0, "{summary:?}");
         let longest = LatencySummary::of([Duration::from_secs(3600)]).longest_ms;
         assert!((longest - 120_000.0).abs() < 120.0, "{longest}");
         assert_eq!(LatencySummary::of([]), LatencySummary::default());
     }
 
     #[test]
-    fn a_report_outlives_its_json_and_a_row_fits_the_head() {
+    fn reports_survive_json_and_rows_match_the_header() {
         let report =
             Report { way: "plain".into(), messages: 10, taken: 5, handed_back: 1, ..Report::default() };
         let text = serde_json::to_string(&report).unwrap();
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs: a schedule through a forwarder or by the plain client, judged by the partners' own books.
+//! Performs runs: a schedule through a forwarder or by the plain client, evaluated by the partners' call records.
 
 use crate::forwarder::{Forwarder, ListedPartner};
 use crate::plan::Plan;
@@ -13,17 +13,18 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long messages may take to end after the last was due: their deadline, and a little.
-const OVER: Duration = Duration::from_secs(30);
-/// Wanted within (BRIEF).
+/// Maximum time for messages to get their outcomes after the last submission: their deadline of 24 s plus a margin.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Target latency of both classes, from the requirements; the site file below states the same.
 const AIM: Duration = Duration::from_secs(3);
 
-fn partners(plan: &Plan) -> Vec<Partner> {
+/// Starts the stand-in partners.
+fn start_partners(plan: &Plan) -> Vec<Partner> {
     (0..plan.partners).map(|n| Partner::start(plan.seed.wrapping_add(n as u64 + 7), plan.conduct())).collect()
 }
 
-/// The part of the site file below `[site]`: the two classes of the load, and the plan's limits.
-fn top(plan: &Plan) -> String {
+/// The settings of the site file: the two classes of the load and the plan's limits. It starts inside `[site]`.
+fn site_settings(plan: &Plan) -> String {
     format!(
         "durability = \"process\"\n[limits]\nmessages = {}\ncalls = {}\nmemory = \"1024MiB\"\ndescriptors = {}\n\
          [ends]\ncount = 4000000\nsize = \"1024MiB\"\n\
@@ -36,12 +37,12 @@
     .replacen("[limits]\n", "[admission]\nknown = [\"127.0.0.0/8\"]\n[limits]\ndisk = \"2048MiB\"\n", 1)
 }
 
-/// One run through a forwarder that is started for it.
+/// Performs a run through a forwarder, which is started for it.
 ///
 /// # Errors
-/// What could not be started or asked, in a line.
+/// Why the forwarder could not be started or queried, in one line.
 pub fn run_forwarder(program: &Path, plan: &Plan) -> Result<Report, String> {
-    let partners = partners(plan);
+    let partners = start_partners(plan);
     let listed: Vec<ListedPartner> = partners
         .iter()
         .enumerate()
@@ -51,60 +52,63 @@
             rate: (plan.capacity > 0.0).then_some(plan.capacity),
         })
         .collect();
-    let forwarder = Forwarder::start(program, "load", &listed, &top(plan))?;
+    let forwarder = Forwarder::start(program, "load", &listed, &site_settings(plan))?;
     let schedule = schedule(plan);
     let start = Instant::now();
-    let handed = clients::submit(plan, &schedule, forwarder.listen, start);
+    let submissions = clients::submit(plan, &schedule, forwarder.listen, start);
     let mut control = forwarder.control()?;
-    let by = Instant::now() + OVER;
+    let settled_by = Instant::now() + SETTLE_TIMEOUT;
     let status = loop {
         let Told::Status(status) = control.ask(Ask::Status).map_err(|e| e.to_string())? else {
-            return Err("the forwarder answers something else than it was asked".into());
+            return Err("unexpected answer to the status request".into());
         };
-        if status.held == 0 || Instant::now() > by {
+        if status.held == 0 || Instant::now() > settled_by {
             break *status;
         }
         sleep(Duration::from_millis(100));
     };
-    let books: Vec<Books> = partners.iter().map(Partner::books).collect();
-    let mut report = judged(plan, "forwarder", &schedule, &books, start);
+    let records: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let mut report = evaluate(plan, "forwarder", &schedule, &records, start);
     let Status { delivered, handed_back, given_up, in_doubt, held, .. } = status;
     (report.delivered, report.handed_back, report.given_up) = (delivered, handed_back, given_up);
     (report.in_doubt, report.open) = (in_doubt, u64::from(held));
-    report.taken = handed.taken.len() as u64;
-    (report.refused, report.refusals) = (handed.refused.len() as u64, handed.refusals);
-    report.unanswered = handed.unanswered.len() as u64;
-    let waits = handed.waits.len().max(1) as f64;
-    report.told_wait_ms = handed.waits.iter().map(Duration::as_secs_f64).sum::<f64>() * 1e3 / waits;
-    report.answers = LatencySummary::of(handed.taken.iter().map(|(_, took)| *took));
+    report.taken = submissions.accepted.len() as u64;
+    (report.refused, report.refusals) = (submissions.refused.len() as u64, submissions.refusals);
+    report.unanswered = submissions.unanswered.len() as u64;
+    let waits = submissions.waits.len().max(1) as f64;
+    report.told_wait_ms = submissions.waits.iter().map(Duration::as_secs_f64).sum::<f64>() * 1e3 / waits;
+    report.answers = LatencySummary::of(submissions.accepted.iter().map(|(_, took)| *took));
     Ok(report)
 }
 
-/// The same load by the plain client.
+/// Performs the same run with the plain client.
 pub fn run_plain_client(plan: &Plan) -> Report {
-    let partners = partners(plan);
+    let partners = start_partners(plan);
     let schedule = schedule(plan);
     let start = Instant::now();
     let addresses: Vec<_> = partners.iter().map(Partner::address).collect();
-    let served = plain::deliver(&schedule, plan, &addresses, start);
-    let books: Vec<Books> = partners.iter().map(Partner::books).collect();
-    let mut report = judged(plan, "plain", &schedule, &books, start);
-    (report.taken, report.delivered) = (schedule.len() as u64, served);
+    let delivered = plain::deliver(&schedule, plan, &addresses, start);
+    let records: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let mut report = evaluate(plan, "plain", &schedule, &records, start);
+    (report.taken, report.delivered) = (schedule.len() as u64, delivered);
     report
 }
 
-/// What the books say.
-fn judged(plan: &Plan, way: &str, schedule: &[ScheduledMessage], books: &[Books], start: Instant) -> Report {
-    let verdict = judge(books);
+/// Evaluates the partners' call records.
+fn evaluate(
+    plan: &Plan, way: &str, schedule: &[ScheduledMessage], records: &[Books], start: Instant,
+) -> Report {
+    let summary = judge(records);
     let mut effects: HashMap<&str, Duration> = HashMap::new();
-    for call in books.iter().flat_map(|b| &b.calls) {
-        // An answer that never goes out has its effect when the call comes.
+    for call in records.iter().flat_map(|b| &b.calls) {
+        // A call that is never answered takes effect when it arrives.
         if matches!(call.fate, Fate::Took | Fate::Swallowed) {
             effects.entry(&call.id).or_insert(call.until.saturating_duration_since(start));
         }
     }
-    let taken = |due: &ScheduledMessage| effects.get(due.id().as_str()).map(|at| at.saturating_sub(due.at));
-    let deliveries: Vec<Duration> = schedule.iter().filter_map(taken).collect();
+    let delivery_time =
+        |due: &ScheduledMessage| effects.get(due.id().as_str()).map(|at| at.saturating_sub(due.at));
+    let deliveries: Vec<Duration> = schedule.iter().filter_map(delivery_time).collect();
     let within = effects.values().filter(|at| **at < plan.span).count() as f64;
     let in_time = deliveries.iter().filter(|took| **took <= AIM).count() as f64;
     Report {
@@ -112,30 +116,30 @@
         rate: plan.rate,
         failing: plan.failing,
         messages: schedule.len() as u64,
-        applied: verdict.effects,
+        applied: summary.effects,
         applied_a_second: within / plan.span.as_secs_f64(),
         in_time: in_time / schedule.len().max(1) as f64,
-        calls_each: verdict.calls as f64 / verdict.effects.max(1) as f64,
-        twice: verdict.twice.len() as u64,
-        out_of_order: verdict.out_of_order.len() as u64,
+        calls_each: summary.calls as f64 / summary.effects.max(1) as f64,
+        twice: summary.twice.len() as u64,
+        out_of_order: summary.out_of_order.len() as u64,
         deliveries: LatencySummary::of(deliveries),
         ..Report::default()
     }
 }
 
-/// Every value of a sweep, by the forwarder and by the plain client; each report is told as it comes.
+/// Runs every combination of a sweep, through the forwarder and by the plain client, and passes each report to `on_report`.
 ///
 /// # Errors
-/// As [`through`], or what `tell` could not do.
+/// As for [`run_forwarder`], or the error of `on_report`.
 pub fn sweep(
-    program: &Path, plan: &Plan, mut tell: impl FnMut(Report) -> Result<(), String>,
+    program: &Path, plan: &Plan, mut on_report: impl FnMut(Report) -> Result<(), String>,
 ) -> Result<(), String> {
     let rates = if plan.sweep.rates.is_empty() { vec![plan.rate] } else { plan.sweep.rates.clone() };
     for rate in rates {
         for failing in &plan.sweep.failing {
-            let one = Plan { rate, failing: *failing, ..plan.clone() };
-            tell(run_forwarder(program, &one)?)?;
-            tell(run_plain_client(&one))?;
+            let point = Plan { rate, failing: *failing, ..plan.clone() };
+            on_report(run_forwarder(program, &point)?)?;
+            on_report(run_plain_client(&point))?;
         }
     }
     Ok(())
