--- a/crates/emulator/src/baselines.rs
+++ b/crates/emulator/src/baselines.rs
@@ -13,7 +13,8 @@
 const CALL_TIMEOUT: Micros = 2 * SECOND;
 /// Pause of an order key after a call that may still be running.
 const UNCERTAIN_KEY_PAUSE: Micros = 100_000;
-/// A repeat is not sent within this time of the end of its deduplication window, because it has to arrive before that.
+/// A repeat is not sent within this time of the end of its deduplication window, because it has to arrive before that. A
+/// tenth of it is the margin before a message's deadline.
 const DEDUP_MARGIN: Micros = 500_000;
 /// Upper bound of the first backoff pause, before the first doubling.
 const INITIAL_BACKOFF: Micros = 200_000;
@@ -210,7 +211,7 @@
 }
 
 impl Policy for BaselinePolicy {
-    fn handle_event(&mut self, now: Micros, event: PolicyEvent, _deeds: &mut Vec<Command>) {
+    fn handle_event(&mut self, now: Micros, event: PolicyEvent, _commands: &mut Vec<Command>) {
         match event {
             PolicyEvent::List(endpoints) => self.apply_list(&endpoints),
             PolicyEvent::Message { id, class, partner, key, expires } => {
