--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,6 +1,6 @@
 //! The parameters of a run: read from TOML and checked; every error names its field.
 
-use foldtrack_standin::{Conduct, Kind};
+use foldtrack_standin::{FailureKind, PartnerBehavior};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::time::Duration;
@@ -172,21 +172,21 @@
     }
 
     /// The behavior of the stand-in partners.
-    pub fn conduct(&self) -> Conduct {
+    pub fn partner_behavior(&self) -> PartnerBehavior {
         let kind = |f: &Failure| match f {
-            Failure::ResetBefore => Kind::ResetBefore,
-            Failure::ResetAfter => Kind::ResetAfter,
-            Failure::Error => Kind::Error,
-            Failure::Late => Kind::Late,
-            Failure::Full => Kind::Full,
+            Failure::ResetBefore => FailureKind::ResetBefore,
+            Failure::ResetAfter => FailureKind::ResetAfter,
+            Failure::Error => FailureKind::Error,
+            Failure::Late => FailureKind::Late,
+            Failure::Full => FailureKind::Full,
         };
-        Conduct {
+        PartnerBehavior {
             answers: (self.answers_from, self.answers_to),
             rate: (self.capacity > 0.0).then_some(self.capacity),
             failing: self.failing,
             kinds: self.kinds.iter().map(kind).collect(),
             at_once: self.at_once,
-            ..Conduct::default()
+            ..PartnerBehavior::default()
         }
     }
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -5,8 +5,8 @@
 use crate::report::{LatencySummary, Report};
 use crate::schedule::{schedule, ScheduledMessage};
 use crate::{clients, plain};
-use foldtrack_control::{Ask, Status, Told};
-use foldtrack_standin::books::{judge, Books, Fate};
+use foldtrack_control::{ControlCommand, ControlResponse, Status};
+use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords};
 use foldtrack_standin::Partner;
 use std::collections::HashMap;
 use std::path::Path;
@@ -20,7 +20,9 @@
 
 /// Starts the stand-in partners.
 fn start_partners(plan: &Plan) -> Vec<Partner> {
-    (0..plan.partners).map(|n| Partner::start(plan.seed.wrapping_add(n as u64 + 7), plan.conduct())).collect()
+    (0..plan.partners)
+        .map(|n| Partner::start(plan.seed.wrapping_add(n as u64 + 7), plan.partner_behavior()))
+        .collect()
 }
 
 /// The settings of the site file: the two classes of the load and the plan's limits. It starts inside `[site]`.
@@ -59,7 +61,9 @@
     let mut control = forwarder.control()?;
     let settled_by = Instant::now() + SETTLE_TIMEOUT;
     let status = loop {
-        let Told::Status(status) = control.ask(Ask::Status).map_err(|e| e.to_string())? else {
+        let ControlResponse::Status(status) =
+            control.request(ControlCommand::Status).map_err(|e| e.to_string())?
+        else {
             return Err("unexpected answer to the status request".into());
         };
         if status.held == 0 || Instant::now() > settled_by {
@@ -67,7 +71,7 @@
         }
         sleep(Duration::from_millis(100));
     };
-    let records: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let records: Vec<CallRecords> = partners.iter().map(Partner::call_records).collect();
     let mut report = evaluate(plan, "forwarder", &schedule, &records, start);
     let Status { delivered, handed_back, given_up, in_doubt, held, .. } = status;
     (report.delivered, report.handed_back, report.given_up) = (delivered, handed_back, given_up);
@@ -88,7 +92,7 @@
     let start = Instant::now();
     let addresses: Vec<_> = partners.iter().map(Partner::address).collect();
     let delivered = plain::deliver(&schedule, plan, &addresses, start);
-    let records: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let records: Vec<CallRecords> = partners.iter().map(Partner::call_records).collect();
     let mut report = evaluate(plan, "plain", &schedule, &records, start);
     (report.taken, report.delivered) = (schedule.len() as u64, delivered);
     report
@@ -96,13 +100,13 @@
 
 /// Evaluates the partners' call records.
 fn evaluate(
-    plan: &Plan, way: &str, schedule: &[ScheduledMessage], records: &[Books], start: Instant,
+    plan: &Plan, way: &str, schedule: &[ScheduledMessage], records: &[CallRecords], start: Instant,
 ) -> Report {
-    let summary = judge(records);
+    let summary = check_rules(records);
     let mut effects: HashMap<&str, Duration> = HashMap::new();
     for call in records.iter().flat_map(|b| &b.calls) {
         // A call that is never answered takes effect when it arrives.
-        if matches!(call.fate, Fate::Took | Fate::Swallowed) {
+        if matches!(call.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered) {
             effects.entry(&call.id).or_insert(call.until.saturating_duration_since(start));
         }
     }
--- a/src/emulator_policy.rs
+++ b/src/emulator_policy.rs
@@ -1,22 +1,22 @@
-//! The module as a policy of the emulator: the same decisions, in simulated time.
+//! The scheduler as a policy of the emulator: the same decisions, in simulated time.
 
 use crate::{
     Action, Class, DeliveryScheduler, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind,
     ListedRate, Outcome, Rules, Settings,
 };
 use foldtrack_emulator::policy::{
-    AttemptOutcome, Command, Effect as ClassEffect, Policy, PolicyEvent, PolicyFactory, Site,
+    AttemptOutcome, Command, Effect as EmulatedEffect, Policy, PolicyEvent, PolicyFactory, Site,
 };
 use foldtrack_emulator::{Micros, SECOND};
 
-/// A forwarder handles what has come in once in so long.
+/// Shortest time between two moments at which a forwarder processes events.
 const TICK: Micros = 5_000;
-/// What is told to drain gets nothing new after this time.
+/// Time after which a drained endpoint gets no new calls.
 const DRAIN_GRACE: Micros = 2 * SECOND;
-/// After an end that may still run a key rests for so long.
+/// Pause of an order key after an attempt that may still run.
 const ORDER_PAUSE: Micros = 100_000;
 
-/// Makes modules with the settings of a fleet's site.
+/// Creates a scheduler for each forwarder of an emulated fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SchedulerFactory;
 
@@ -26,8 +26,8 @@
     }
 
     fn create(&self, site: &Site) -> Box<dyn Policy> {
-        let brain = DeliveryScheduler::new(0, site.seed, settings(site));
-        Box::new(Module { brain, version: 0, actions: Vec::new() })
+        let scheduler = DeliveryScheduler::new(0, site.seed, settings(site));
+        Box::new(SchedulerPolicy { scheduler, version: 0, actions: Vec::new() })
     }
 }
 
@@ -38,12 +38,12 @@
         worth: c.worth,
         late_value: c.late,
         effect: match c.effect {
-            ClassEffect::Repeatable => Effect::Repeatable,
-            ClassEffect::Keyed(_) => Effect::Keyed,
-            ClassEffect::Once => Effect::Once,
+            EmulatedEffect::Repeatable => Effect::Repeatable,
+            EmulatedEffect::Keyed(_) => Effect::Keyed,
+            EmulatedEffect::Once => Effect::Once,
         },
         dedup_window: match c.effect {
-            ClassEffect::Keyed(window) => window,
+            EmulatedEffect::Keyed(window) => window,
             _ => 0,
         },
         in_order: c.in_order,
@@ -70,8 +70,9 @@
     }
 }
 
-struct Module {
-    brain: DeliveryScheduler,
+struct SchedulerPolicy {
+    scheduler: DeliveryScheduler,
+    /// Version of the endpoint list.
     version: u32,
     actions: Vec<Action>,
 }
@@ -87,7 +88,7 @@
     }
 }
 
-impl Policy for Module {
+impl Policy for SchedulerPolicy {
     fn handle_event(&mut self, now: Micros, event: PolicyEvent, commands: &mut Vec<Command>) {
         let event = match event {
             PolicyEvent::List(lines) => {
@@ -127,24 +128,24 @@
             },
             PolicyEvent::Wake { token } => Event::Timer { token },
         };
-        self.brain.handle(now, event, &mut self.actions);
-        self.tell(commands);
+        self.scheduler.handle(now, event, &mut self.actions);
+        self.translate_actions(commands);
     }
 
     fn decide(&mut self, now: Micros, commands: &mut Vec<Command>) {
-        self.brain.decide(now, &mut self.actions);
-        self.tell(commands);
+        self.scheduler.decide(now, &mut self.actions);
+        self.translate_actions(commands);
     }
 }
 
-impl Module {
-    fn tell(&mut self, commands: &mut Vec<Command>) {
+impl SchedulerPolicy {
+    fn translate_actions(&mut self, commands: &mut Vec<Command>) {
         commands.extend(self.actions.drain(..).filter_map(|action| match action {
             Action::Send { id, target, until } => Some(Command::Send { id, target, until }),
             Action::Refuse { id, retry_after } => Some(Command::Refuse { id, retry_after }),
             Action::Fail { id } => Some(Command::Fail { id }),
             Action::Timer { after, token } => Some(Command::Wake { after, token }),
-            // Probes, lists and calls that are called off are none of this world's.
+            // The emulator has no probes, no list subscriptions and no cancelled calls.
             _ => None,
         }));
     }
