--- a/benches/failing.rs
+++ b/benches/failing.rs
@@ -5,8 +5,8 @@
 #[path = "../tests/site/world.rs"]
 mod world;
 
-use foldtrack_standin::books::judge;
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::call_records::check_rules;
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -47,17 +47,17 @@
 /// Effects a second.
 fn applied(program: &str, share: f64) -> f64 {
     std::env::set_var("FOLDTRACK_PROGRAM", program);
-    let conduct = || Conduct {
+    let conduct = || PartnerBehavior {
         answers: (Duration::ZERO, Duration::from_millis(30)),
         errors: share / 2.0,
         resets: share / 2.0,
-        ..Conduct::default()
+        ..PartnerBehavior::default()
     };
     let partners = [Partner::start(7, conduct()), Partner::start(8, conduct())];
     let site =
         Site::start(&Plan::of(&[("p", "a", partners[0].address()), ("q", "b", partners[1].address())]));
     let (next, stop) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let effects = || judge([&partners[0].books(), &partners[1].books()]).effects as f64;
+    let effects = || check_rules([&partners[0].call_records(), &partners[1].call_records()]).effects as f64;
     scope(|scope| {
         (0..CLIENTS).for_each(|_| drop(scope.spawn(|| client(&site, &next, &stop))));
         // The first second is the way up.
--- a/benches/flood.rs
+++ b/benches/flood.rs
@@ -12,7 +12,7 @@
 
 use common::cpu;
 use floods::{flood, hand_in, p99};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{scope, sleep};
 use std::time::Duration;
@@ -23,7 +23,7 @@
 /// What a run took: CPU seconds.
 fn measure(program: &str, what: &str, addresses: &[String], size: usize, quiet: f64) -> f64 {
     std::env::set_var("FOLDTRACK_PROGRAM", program);
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.limits = "descriptors = 1024\ncalls = 64";
     let site = Site::start(&plan);
--- a/benches/partners.rs
+++ b/benches/partners.rs
@@ -12,7 +12,7 @@
 
 use common::{cpu, resident};
 use foldtrack_standin::http::{Reply, Server, OK};
-use foldtrack_standin::tls::{Authority, Front};
+use foldtrack_standin::tls::{Authority, TlsFrontend};
 use std::sync::Arc;
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
@@ -26,16 +26,16 @@
 
 struct Far {
     server: Arc<Server>,
-    front: Arc<Front>,
+    front: Arc<TlsFrontend>,
     authority: Authority,
     folder: tempfile::TempDir,
 }
 
 fn far() -> Far {
     let authority = Authority::new("far");
-    let server = Server::start_forgetful(|_| OK);
+    let server = Server::start_unrecorded(|_| OK);
     let issued = authority.issue(&["far.example".into()], (2020, 2090));
-    let front = Front::start(server.address, Authority::server(&issued, None));
+    let front = TlsFrontend::start(server.address, Authority::server(&issued, None));
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("roots.pem"), &authority.pem).expect("a file");
     Far { server, front, authority, folder }
@@ -80,7 +80,7 @@
     for round in 0..3 {
         for program in [Some(PROGRAM.to_string()), other.clone()].into_iter().flatten() {
             std::env::set_var("FOLDTRACK_PROGRAM", &program);
-            let server = Server::start_forgetful(|_| OK);
+            let server = Server::start_unrecorded(|_| OK);
             let site = Site::start(&Plan::of(&[("p", "a", server.address)]));
             let each = run(&site);
             let name = if program == PROGRAM { "plain" } else { "plain, the other build" };
--- a/benches/peers.rs
+++ b/benches/peers.rs
@@ -6,10 +6,10 @@
 
 use foldtrack_control::Ask;
 use foldtrack_load::exchange::{post, Exchange};
-use foldtrack_rig::fleet::{Fleet, FolderAs, Listed, Plan};
-use foldtrack_rig::run::{play, Play, Progress};
-use foldtrack_rig::story::Story;
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_rig::fleet::{Fleet, FleetConfig, PartnerEntry, StateFolder};
+use foldtrack_rig::run::{run_scenario, Progress, RunConfig};
+use foldtrack_rig::scenario::Scenario;
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::thread::scope;
@@ -31,12 +31,13 @@
 
 /// Messages a second at one of the forwarders, and p50 and p99 of the 202, in microseconds.
 fn through(how: How, clients: usize, class: &str, durability: &str) -> (f64, u64, u64) {
-    let quick = Conduct { answers: (Duration::ZERO, Duration::from_millis(1)), ..Conduct::default() };
+    let quick =
+        PartnerBehavior { answers: (Duration::ZERO, Duration::from_millis(1)), ..PartnerBehavior::default() };
     let partner = Partner::start(1, quick);
     let endpoints = vec![("p-1".to_string(), partner.address()), ("p-2".to_string(), partner.address())];
-    let plan = Plan {
+    let plan = FleetConfig {
         forwarders: 5,
-        partners: vec![Listed { name: "p".into(), endpoints, lines: String::new() }],
+        partners: vec![PartnerEntry { name: "p".into(), endpoints, lines: String::new() }],
         top: format!(
             "durability = \"{durability}\"\n[admission]\nknown = [\"127.0.0.0/8\"]\n[ends]\ncount = 400000\nsize = \"96MiB\"\n[class.once]\n\
              effect = \"once\"\ndeadline = \"24s\"\n[class.repeatable]\neffect = \"repeatable\"\ndeadline = \"24s\"\n"
@@ -76,7 +77,7 @@
         let clients: Vec<_> = (0..clients).map(|n| scope.spawn(move || client(n))).collect();
         while how == How::CatchUp && start.elapsed() < SPAN {
             fleet.forwarders[4].kill();
-            fleet.start(4, FolderAs::Empty).unwrap();
+            fleet.start(4, StateFolder::Empty).unwrap();
             caught_up += 1;
         }
         clients.into_iter().flat_map(|c| c.join().unwrap()).collect()
@@ -122,12 +123,12 @@
     for rate in [1_200.0] {
         for seed in 1..=2 {
             for shared in [false, true] {
-                let mut story = Story::told("calm").unwrap();
+                let mut story = Scenario::built_in("calm").unwrap();
                 (story.lasts, story.rate, story.least) = (Duration::from_secs(8), rate, 1);
                 story.steps.clear();
-                let mut told = Play::of("waits", story, 5, seed);
+                let mut told = RunConfig::new("waits", story, 5, seed);
                 told.peers_lines = format!("share-waits = {shared}");
-                let report = play(Path::new(PROGRAM), &told, &Progress::default()).unwrap();
+                let report = run_scenario(Path::new(PROGRAM), &told, &Progress::default()).unwrap();
                 let name = if shared { "shared" } else { "own" };
                 let limited = report.by_partner.get("limited").copied().unwrap_or_default();
                 println!(
--- a/benches/site.rs
+++ b/benches/site.rs
@@ -78,7 +78,7 @@
     }
     let list = json!({"version": 1, "full": true, "servers": servers});
     let text = list.to_string();
-    let agent = Server::start_forgetful(move |request| match request.path.contains("since=") {
+    let agent = Server::start_unrecorded(move |request| match request.path.contains("since=") {
         _ if request.method == "POST" => Reply::Status(204, ""),
         true => Reply::Silence,
         false => Reply::Body(text.clone().into_bytes()),
@@ -197,7 +197,7 @@
 }
 
 fn answering() -> Vec<Vec<SocketAddr>> {
-    (0..PARTNERS).map(|_| vec![Server::start_forgetful(|_| OK).address]).collect()
+    (0..PARTNERS).map(|_| vec![Server::start_unrecorded(|_| OK).address]).collect()
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -253,7 +253,7 @@
 /// Messages that nobody answers are held, while ten readers ask for everything.
 fn pause() {
     let held = number("HELD", 10_000);
-    let silent = Server::start_forgetful(|_| Reply::Silence);
+    let silent = Server::start_unrecorded(|_| Reply::Silence);
     let mut partners = answering();
     partners.push(vec![silent.address]);
     let running = site(&partners, "");
@@ -308,7 +308,7 @@
 
 fn restore() {
     let held = number("HELD", 10_000);
-    let silent = Server::start_forgetful(|_| Reply::Silence);
+    let silent = Server::start_unrecorded(|_| Reply::Silence);
     let mut running = site(&[vec![silent.address]], "");
     let file = running.folder.path().join("site.toml");
     let again = |running: &mut Running| {
@@ -334,11 +334,11 @@
     let count = number("DRAINS", 200);
     let last = Arc::new(Mutex::new(None::<Instant>));
     let seen = last.clone();
-    let drained = Server::start_forgetful(move |request| {
+    let drained = Server::start_unrecorded(move |request| {
         *seen.lock().unwrap() = Some(request.at);
         Reply::Later(Duration::from_millis(2), 200)
     });
-    let other = Server::start_forgetful(|_| Reply::Later(Duration::from_millis(2), 200));
+    let other = Server::start_unrecorded(|_| Reply::Later(Duration::from_millis(2), 200));
     let running = site(&[vec![drained.address, other.address]], "");
     let stop = AtomicBool::new(false);
     let (mut latest, mut acknowledged, mut after_ack) = (Vec::new(), Vec::new(), 0);
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,6 +1,6 @@
 //! What a run is to be: read from TOML, checked, each mistake told with its field.
 
-use foldtrack_standin::{Conduct, Kind};
+use foldtrack_standin::{FailureKind, PartnerBehavior};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::time::Duration;
@@ -170,21 +170,21 @@
     }
 
     /// How the partners are to behave.
-    pub fn conduct(&self) -> Conduct {
+    pub fn conduct(&self) -> PartnerBehavior {
         let kind = |f: &Failure| match f {
-            Failure::ResetBefore => Kind::ResetBefore,
-            Failure::ResetAfter => Kind::ResetAfter,
-            Failure::Error => Kind::Error,
-            Failure::Late => Kind::Late,
-            Failure::Full => Kind::Full,
+            Failure::ResetBefore => FailureKind::ResetBefore,
+            Failure::ResetAfter => FailureKind::ResetAfter,
+            Failure::Error => FailureKind::Error,
+            Failure::Late => FailureKind::Late,
+            Failure::Full => FailureKind::Full,
         };
-        Conduct {
+        PartnerBehavior {
             answers: (self.answers_from, self.answers_to),
             rate: (self.capacity > 0.0).then_some(self.capacity),
             failing: self.failing,
             kinds: self.kinds.iter().map(kind).collect(),
             at_once: self.at_once,
-            ..Conduct::default()
+            ..PartnerBehavior::default()
         }
     }
 }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -6,7 +6,7 @@
 use crate::schedule::{schedule, Due};
 use crate::{clients, plain};
 use foldtrack_control::{Ask, Status, Told};
-use foldtrack_standin::books::{judge, Books, Fate};
+use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords};
 use foldtrack_standin::Partner;
 use std::collections::HashMap;
 use std::path::Path;
@@ -66,7 +66,7 @@
         }
         sleep(Duration::from_millis(100));
     };
-    let books: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let books: Vec<CallRecords> = partners.iter().map(Partner::call_records).collect();
     let mut report = judged(plan, "forwarder", &schedule, &books, start);
     let Status { delivered, handed_back, given_up, in_doubt, held, .. } = status;
     (report.delivered, report.handed_back, report.given_up) = (delivered, handed_back, given_up);
@@ -87,19 +87,19 @@
     let start = Instant::now();
     let addresses: Vec<_> = partners.iter().map(Partner::address).collect();
     let served = plain::deliver(&schedule, plan, &addresses, start);
-    let books: Vec<Books> = partners.iter().map(Partner::books).collect();
+    let books: Vec<CallRecords> = partners.iter().map(Partner::call_records).collect();
     let mut report = judged(plan, "plain", &schedule, &books, start);
     (report.taken, report.delivered) = (schedule.len() as u64, served);
     report
 }
 
 /// What the books say.
-fn judged(plan: &Plan, way: &str, schedule: &[Due], books: &[Books], start: Instant) -> Report {
-    let verdict = judge(books);
+fn judged(plan: &Plan, way: &str, schedule: &[Due], books: &[CallRecords], start: Instant) -> Report {
+    let verdict = check_rules(books);
     let mut effects: HashMap<&str, Duration> = HashMap::new();
     for call in books.iter().flat_map(|b| &b.calls) {
         // An answer that never goes out has its effect when the call comes.
-        if matches!(call.fate, Fate::Took | Fate::Swallowed) {
+        if matches!(call.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered) {
             effects.entry(&call.id).or_insert(call.until.saturating_duration_since(start));
         }
     }
--- a/crates/rig/src/clients.rs
+++ b/crates/rig/src/clients.rs
@@ -31,7 +31,7 @@
 
 /// The books of all clients.
 #[derive(Clone, Debug, Default)]
-pub struct Books {
+pub struct CallRecords {
     /// Every 202.
     pub taken: Vec<Taken>,
     /// 409: it is over, or nobody can tell.
@@ -44,8 +44,8 @@
     pub refusals: u64,
 }
 
-impl Books {
-    fn join(mut self, other: Books) -> Books {
+impl CallRecords {
+    fn join(mut self, other: CallRecords) -> CallRecords {
         self.taken.extend(other.taken);
         self.conflicts.extend(other.conflicts);
         self.refused += other.refused;
@@ -76,17 +76,17 @@
 }
 
 /// Hands in a whole load.
-pub fn hand_in(load: &Load<'_>) -> Books {
+pub fn hand_in(load: &Load<'_>) -> CallRecords {
     let start = Instant::now();
     scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS).map(|n| scope.spawn(move || client(load, n, start))).collect();
-        clients.into_iter().filter_map(|c| c.join().ok()).fold(Books::default(), Books::join)
+        clients.into_iter().filter_map(|c| c.join().ok()).fold(CallRecords::default(), CallRecords::join)
     })
 }
 
-fn client(load: &Load<'_>, number: usize, start: Instant) -> Books {
+fn client(load: &Load<'_>, number: usize, start: Instant) -> CallRecords {
     let mut random = fastrand::Rng::with_seed(load.seed.wrapping_mul(31).wrapping_add(number as u64));
-    let mut books = Books::default();
+    let mut books = CallRecords::default();
     let home = number % load.to.len();
     let mut kept: Vec<Exchange> = load.to.iter().map(|to| Exchange::new(*to, PATIENCE)).collect();
     let all: u32 = load.partners.iter().map(|(_, weight)| weight).sum();
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,8 +1,8 @@
 //! Forwarders as processes, each on a folder of its own, with relays on every link.
 
-use crate::net::Net;
-use crate::stage::Stage;
-use crate::story::{forwarder, Clock};
+use crate::fleet_permit::FleetPermit;
+use crate::net::Network;
+use crate::scenario::{forwarder, Clock};
 use foldtrack_control::{Ask, Client, Endpoint, Peers, SiteState, Status, Told};
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 
 /// A partner as the site files have it: its endpoints, and further lines.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct PartnerEntry {
     /// Its name.
     pub name: String,
     /// Its endpoints' names, each with where it truly listens.
@@ -32,11 +32,11 @@
 
 /// What all site files of a fleet share.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct FleetConfig {
     /// How many forwarders.
     pub forwarders: usize,
     /// Their partners.
-    pub partners: Vec<Listed>,
+    pub partners: Vec<PartnerEntry>,
     /// Classes, limits and more, as the site file has them.
     pub top: String,
     /// Whether they know of each other.
@@ -49,9 +49,9 @@
 
 /// What a folder is to be at a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FolderAs {
+pub enum StateFolder {
     /// As it was left.
-    Left,
+    Existing,
     /// Empty.
     Empty,
     /// The copy that was made last.
@@ -79,19 +79,19 @@
 pub struct Fleet {
     program: PathBuf,
     /// Its links.
-    pub net: Net,
+    pub net: Network,
     /// Its forwarders.
     pub forwarders: Vec<Forwarder>,
     folder: TempDir,
     /// The last to go: the processes have ended before another fleet starts.
-    _stage: Stage,
+    _stage: FleetPermit,
 }
 
 /// A port of a host that no other fleet uses.
 ///
 /// # Errors
 /// There is none.
-pub fn own_address() -> io::Result<SocketAddr> {
+pub fn unique_address() -> io::Result<SocketAddr> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let host = NEXT.fetch_add(1, Ordering::Relaxed) % 250 + 1;
     let part = std::process::id() as usize % 250;
@@ -117,16 +117,16 @@
     ///
     /// # Errors
     /// What could not be had, in a line.
-    pub fn prepare(program: &Path, plan: &Plan, seed: u64) -> Result<Fleet, String> {
-        let stage = Stage::free();
+    pub fn prepare(program: &Path, plan: &FleetConfig, seed: u64) -> Result<Fleet, String> {
+        let stage = FleetPermit::free();
         let told = |e: io::Error| format!("the fleet: {e}");
         let folder = tempfile::tempdir().map_err(told)?;
-        let mut net = Net::new(seed).map_err(told)?;
+        let mut net = Network::new(seed).map_err(told)?;
         fs::write(folder.path().join("secret"), format!("{:032x}", seed ^ 0x5eed)).map_err(told)?;
         let names: Vec<String> = (0..plan.forwarders).map(forwarder).collect();
         let mut listens = Vec::new();
         for _ in &names {
-            listens.push((own_address().map_err(told)?, own_address().map_err(told)?));
+            listens.push((unique_address().map_err(told)?, unique_address().map_err(told)?));
         }
         let mut forwarders = Vec::new();
         for (n, name) in names.iter().enumerate() {
@@ -183,7 +183,7 @@
     /// One does not.
     pub fn start_all(&mut self) -> Result<(), String> {
         for forwarder in &mut self.forwarders {
-            forwarder.start(&self.program, FolderAs::Left)?;
+            forwarder.start(&self.program, StateFolder::Existing)?;
         }
         let by = Instant::now() + READY;
         for forwarder in &self.forwarders {
@@ -205,7 +205,7 @@
     ///
     /// # Errors
     /// There is none of that name.
-    pub fn place(&self, name: &str) -> Result<usize, String> {
+    pub fn index_of(&self, name: &str) -> Result<usize, String> {
         let place = self.forwarders.iter().position(|f| f.name == name);
         place.ok_or_else(|| format!("there is no forwarder {name}; the story needs more of them"))
     }
@@ -214,7 +214,7 @@
     ///
     /// # Errors
     /// It does not come up.
-    pub fn start(&mut self, place: usize, folder: FolderAs) -> Result<(), String> {
+    pub fn start(&mut self, place: usize, folder: StateFolder) -> Result<(), String> {
         self.forwarders[place].start(&self.program, folder)
     }
 
@@ -242,20 +242,20 @@
     }
 
     /// Everything that it has written to standard error.
-    pub fn whole_log(&self) -> String {
+    pub fn full_log(&self) -> String {
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    fn start(&mut self, program: &Path, folder: FolderAs) -> Result<(), String> {
+    fn start(&mut self, program: &Path, folder: StateFolder) -> Result<(), String> {
         self.kill();
         let name = self.name.clone();
         let told = |e: io::Error| format!("{name}: {e}");
         let (state, backup) = (self.state(), self.folder.join("backup"));
-        if folder != FolderAs::Left {
+        if folder != StateFolder::Existing {
             let _ = fs::remove_dir_all(&state);
             self.replaced = Some(Instant::now());
         }
-        if folder == FolderAs::Backup {
+        if folder == StateFolder::Backup {
             copy(&backup, &state).map_err(told)?;
         }
         let log = File::options().create(true).append(true).open(self.folder.join("log")).map_err(told)?;
@@ -329,7 +329,7 @@
     }
 
     /// SIGCONT.
-    pub fn go_on(&mut self) {
+    pub fn resume(&mut self) {
         self.stopped = false;
         self.signal(Signal::CONT);
     }
--- a/crates/rig/src/stage.rs
+++ b/crates/rig/src/fleet_permit.rs
@@ -12,20 +12,20 @@
 
 /// A fleet's leave to run, until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Stage;
+pub(crate) struct FleetPermit;
 
-impl Stage {
+impl FleetPermit {
     /// Waits for a free one.
-    pub fn free() -> Stage {
+    pub fn free() -> FleetPermit {
         let most = (available_parallelism().map_or(1, usize::from) / CORES).clamp(1, MOST);
         let running = RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = RUNNING.1.wait_while(running, |running| *running >= most);
         *waited.unwrap_or_else(PoisonError::into_inner) += 1;
-        Stage
+        FleetPermit
     }
 }
 
-impl Drop for Stage {
+impl Drop for FleetPermit {
     fn drop(&mut self) {
         *RUNNING.0.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
         RUNNING.1.notify_one();
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -9,10 +9,10 @@
 pub mod clients;
 pub mod faults;
 pub mod fleet;
-pub mod lateness;
+mod fleet_permit;
 pub mod net;
+pub mod report;
 pub mod run;
+pub mod scenario;
+pub mod sched_delay;
 pub mod shrink;
-mod stage;
-pub mod story;
-pub mod verdict;
--- a/crates/rig/src/net.rs
+++ b/crates/rig/src/net.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, sleep_until};
 
 /// A link from one to another, by name.
-pub type Name = (String, String);
+pub type LinkName = (String, String);
 /// Bytes that a held link holds at most.
 const HELD: usize = 4096;
 
@@ -47,7 +47,7 @@
 
 /// What has crossed a link by streams.
 #[derive(Clone, Debug, Default)]
-pub struct Crossed {
+pub struct LinkTraffic {
     /// Calls, where it leads to an endpoint.
     pub calls: Vec<Call>,
     /// Waits, where it leads from one.
@@ -70,7 +70,7 @@
     /// The faults are others now.
     changed: Notify,
     held: Mutex<Vec<Vec<u8>>>,
-    crossed: Mutex<Crossed>,
+    crossed: Mutex<LinkTraffic>,
 }
 
 impl Shared {
@@ -100,18 +100,18 @@
 }
 
 /// All relays of a rig, on threads of their own.
-pub struct Net {
+pub struct Network {
     runtime: Runtime,
-    links: BTreeMap<Name, Arc<Shared>>,
+    links: BTreeMap<LinkName, Arc<Shared>>,
     seed: u64,
 }
 
-impl Net {
+impl Network {
     /// # Errors
     /// There is no thread left.
-    pub fn new(seed: u64) -> io::Result<Net> {
+    pub fn new(seed: u64) -> io::Result<Network> {
         let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-        Ok(Net { runtime, links: BTreeMap::new(), seed })
+        Ok(Network { runtime, links: BTreeMap::new(), seed })
     }
 
     fn link(&mut self, from: &str, to: &str) -> Arc<Shared> {
@@ -167,12 +167,12 @@
     }
 
     /// Every link's name.
-    pub fn names(&self) -> impl Iterator<Item = &Name> {
+    pub fn names(&self) -> impl Iterator<Item = &LinkName> {
         self.links.keys()
     }
 
     /// Changes the faults of a link; what it held goes on if it holds no more.
-    pub fn change(&self, name: &Name, change: impl FnOnce(&mut Faults)) {
+    pub fn update_faults(&self, name: &LinkName, change: impl FnOnce(&mut Faults)) {
         let Some(shared) = self.links.get(name) else { return };
         change(&mut locked(&shared.link).faults);
         // Two ways wait on one link at most, and each relay of datagrams.
@@ -181,9 +181,9 @@
     }
 
     /// What has gone from one to another.
-    pub fn crossed(&self, from: &str, to: &str) -> Crossed {
+    pub fn traffic(&self, from: &str, to: &str) -> LinkTraffic {
         let shared = self.links.get(&(from.to_string(), to.to_string()));
-        shared.map_or(Crossed::default(), |s| locked(&s.crossed).clone())
+        shared.map_or(LinkTraffic::default(), |s| locked(&s.crossed).clone())
     }
 }
 
@@ -316,7 +316,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use foldtrack_standin::{Conduct, Partner};
+    use foldtrack_standin::{Partner, PartnerBehavior};
     use std::io::{Read, Write};
 
     const CALL: &[u8] = b"POST /v1/messages HTTP/1.1\r\nX-Request-Id: m-1\r\nContent-Length: 0\r\n\r\n";
@@ -330,18 +330,18 @@
     /// A relay that is late itself must not hold that against whoever wrote in time.
     #[test]
     fn what_is_read_late_counts_from_when_it_was_written() {
-        let partner = Partner::start(1, Conduct::default());
-        let mut net = Net::new(1).unwrap();
+        let partner = Partner::start(1, PartnerBehavior::default());
+        let mut net = Network::new(1).unwrap();
         let relay = net.streams("a", "p", partner.address()).unwrap();
         let mut stream = std::net::TcpStream::connect(relay).unwrap();
         // The first is under way for so long that the second one waits in the relay's socket to be read.
         let late = Duration::from_millis(300);
-        net.change(&("a".into(), "p".into()), |f| f.delay = (late, late));
+        net.update_faults(&("a".into(), "p".into()), |f| f.delay = (late, late));
         call(&mut stream);
-        foldtrack_standin::eventually("the first is read", || net.crossed("a", "p").calls.len() == 1);
+        foldtrack_standin::eventually("the first is read", || net.traffic("a", "p").calls.len() == 1);
         let (before, after) = call(&mut stream);
-        foldtrack_standin::eventually("both have crossed", || net.crossed("a", "p").calls.len() == 2);
-        let second = net.crossed("a", "p").calls[1].at;
+        foldtrack_standin::eventually("both have crossed", || net.traffic("a", "p").calls.len() == 2);
+        let second = net.traffic("a", "p").calls[1].at;
         assert!(Instant::now() > after + late / 2, "it was not read late");
         let slack = Duration::from_millis(1);
         assert!(before < second + slack && second < after + slack, "{before:?} {second:?} {after:?}");
@@ -349,28 +349,31 @@
 
     #[test]
     fn a_wait_counts_as_told_unless_its_call_was_given_up() {
-        let partner = Partner::start(1, Conduct { rate: Some(0.0), ..Conduct::default() });
-        let mut net = Net::new(1).unwrap();
+        let partner = Partner::start(1, PartnerBehavior { rate: Some(0.0), ..PartnerBehavior::default() });
+        let mut net = Network::new(1).unwrap();
         let relay = net.streams("a", "p", partner.address()).unwrap();
         let mut stream = std::net::TcpStream::connect(relay).unwrap();
         call(&mut stream);
         let asked = Instant::now();
         assert!(stream.read(&mut [0; 1024]).unwrap() > 0);
-        foldtrack_standin::eventually("it is noted", || net.crossed("p", "a").waits.len() == 1);
-        let wait = net.crossed("p", "a").waits[0];
-        assert!(wait.from >= asked && wait.until <= Instant::now() + Conduct::default().wait, "{wait:?}");
+        foldtrack_standin::eventually("it is noted", || net.traffic("p", "a").waits.len() == 1);
+        let wait = net.traffic("p", "a").waits[0];
+        assert!(
+            wait.from >= asked && wait.until <= Instant::now() + PartnerBehavior::default().wait,
+            "{wait:?}"
+        );
         let held = ("p".to_string(), "a".to_string());
-        net.change(&held, |f| f.hold = true);
+        net.update_faults(&held, |f| f.hold = true);
         call(&mut stream);
-        foldtrack_standin::eventually("it is answered", || partner.books().waits.len() == 2);
+        foldtrack_standin::eventually("it is answered", || partner.call_records().waits.len() == 2);
         drop(stream);
         // Given up before the answer reached it; one that comes after it says that the relay is past it.
-        net.change(&held, |f| f.hold = false);
+        net.update_faults(&held, |f| f.hold = false);
         let mut other = std::net::TcpStream::connect(relay).unwrap();
         call(&mut other);
         foldtrack_standin::eventually("the next one is noted", || {
-            net.crossed("p", "a").waits.iter().any(|w| w.until > wait.until)
+            net.traffic("p", "a").waits.iter().any(|w| w.until > wait.until)
         });
-        assert_eq!(net.crossed("p", "a").waits.len(), 2);
+        assert_eq!(net.traffic("p", "a").waits.len(), 2);
     }
 }
--- a/crates/rig/src/verdict.rs
+++ b/crates/rig/src/report.rs
@@ -18,7 +18,7 @@
 
 /// How often each rule was broken, by the books.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Breaches {
+pub struct Violations {
     /// Taken on and without an end, or with two.
     pub lost: u64,
     /// Took effect more than once.
@@ -35,10 +35,10 @@
     pub diverged: u64,
 }
 
-impl Breaches {
+impl Violations {
     /// Of all rules together.
     pub fn sum(&self) -> u64 {
-        let Breaches { lost, twice, out_of_order, after_drain, waits_broken, pushed_over, diverged } = self;
+        let Violations { lost, twice, out_of_order, after_drain, waits_broken, pushed_over, diverged } = self;
         lost + twice + out_of_order + after_drain + waits_broken + pushed_over + diverged
     }
 }
@@ -58,7 +58,7 @@
     pub ended: u64,
     /// How often each rule was broken.
     #[serde(flatten)]
-    pub breaches: Breaches,
+    pub breaches: Violations,
     /// From when nothing stood between them until all had the same picture.
     pub converged_ms: u64,
     /// From the order to the last forwarder that was told, over all drains.
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1,15 +1,15 @@
 //! A play: a story on a fleet of real processes, under load, judged from the books of partners and clients.
 
-use crate::clients::{self, Books as ClientBooks, Load, Taken};
+use crate::clients::{self, CallRecords as ClientBooks, Load, Taken};
 use crate::faults::Faults;
-use crate::fleet::{get, Fleet, FolderAs, Listed, Plan};
-use crate::lateness::{Late, Watch};
-use crate::net::{Call, Crossed, Name, Wait};
-use crate::story::{Step, Story, What};
-use crate::verdict::{Breaches, Drain, Report};
+use crate::fleet::{get, Fleet, FleetConfig, PartnerEntry, StateFolder};
+use crate::net::{Call, LinkName, LinkTraffic, Wait};
+use crate::report::{Drain, Report, Violations};
+use crate::scenario::{Action, Scenario, Step};
+use crate::sched_delay::{SchedDelayMonitor, SchedDelays};
 use foldtrack_control::Ask;
-use foldtrack_standin::books::{judge, Books, Fate, Verdict, WAIT_GRACE};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords, RuleCheck, WAIT_GRACE};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,11 +32,11 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct RunConfig {
     /// The story's name, for the report.
     pub name: String,
     /// The story.
-    pub story: Story,
+    pub scenario: Scenario,
     /// How many forwarders.
     pub forwarders: usize,
     /// Sets all that is drawn.
@@ -47,10 +47,17 @@
     pub peers_lines: String,
 }
 
-impl Play {
+impl RunConfig {
     /// A story as it is told.
-    pub fn of(name: &str, story: Story, forwarders: usize, seed: u64) -> Play {
-        Play { name: name.into(), story, forwarders, seed, peers: true, peers_lines: String::new() }
+    pub fn new(name: &str, story: Scenario, forwarders: usize, seed: u64) -> RunConfig {
+        RunConfig {
+            name: name.into(),
+            scenario: story,
+            forwarders,
+            seed,
+            peers: true,
+            peers_lines: String::new(),
+        }
     }
 }
 
@@ -58,15 +65,15 @@
 #[derive(Debug, Default)]
 pub struct Progress {
     /// What is being done.
-    pub doing: Mutex<String>,
+    pub activity: Mutex<String>,
     /// Part of the whole, in thousandths.
-    pub part: AtomicU64,
+    pub per_mille: AtomicU64,
 }
 
 impl Progress {
     fn at(&self, doing: &str, part: f64) {
-        *self.doing.lock().unwrap_or_else(PoisonError::into_inner) = doing.to_string();
-        self.part.store((part * 1000.0) as u64, Ordering::Relaxed);
+        *self.activity.lock().unwrap_or_else(PoisonError::into_inner) = doing.to_string();
+        self.per_mille.store((part * 1000.0) as u64, Ordering::Relaxed);
     }
 }
 
@@ -74,21 +81,21 @@
 fn partners(seed: u64) -> Vec<(&'static str, u32, Partner, usize, &'static str)> {
     let ms = Duration::from_millis;
     let remembers = Duration::from_secs(30);
-    let steady = Conduct { answers: (ms(2), ms(15)), remembers, ..Conduct::default() };
-    let limited = Conduct {
+    let steady = PartnerBehavior { answers: (ms(2), ms(15)), remembers, ..PartnerBehavior::default() };
+    let limited = PartnerBehavior {
         answers: (ms(2), ms(10)),
         rate: Some(40.0),
         wait: ms(400),
         remembers,
-        ..Conduct::default()
+        ..PartnerBehavior::default()
     };
-    let shaky = Conduct {
+    let shaky = PartnerBehavior {
         answers: (ms(5), ms(40)),
         errors: 0.01,
         resets: 0.01,
         capacity: 200.0,
         remembers,
-        ..Conduct::default()
+        ..PartnerBehavior::default()
     };
     vec![
         ("steady", 60, Partner::start(seed, steady), 2, ""),
@@ -106,19 +113,19 @@
 ///
 /// # Errors
 /// The play itself could not be done, in a line: that is no verdict on the forwarders.
-pub fn play(program: &Path, play: &Play, progress: &Progress) -> Result<Report, String> {
-    let Play { story, forwarders, seed, .. } = play;
+pub fn run_scenario(program: &Path, play: &RunConfig, progress: &Progress) -> Result<Report, String> {
+    let RunConfig { scenario: story, forwarders, seed, .. } = play;
     if *forwarders < story.forwarders {
         return Err(format!("the story needs {} forwarders", story.forwarders));
     }
     progress.at("starting", 0.0);
     let partners = partners(*seed);
-    let listed = partners.iter().map(|(name, _, partner, endpoints, lines)| Listed {
+    let listed = partners.iter().map(|(name, _, partner, endpoints, lines)| PartnerEntry {
         name: name.to_string(),
         endpoints: endpoints_of(name, *endpoints).map(|endpoint| (endpoint, partner.address())).collect(),
         lines: lines.to_string(),
     });
-    let plan = Plan {
+    let plan = FleetConfig {
         forwarders: *forwarders,
         partners: listed.collect(),
         top: TOP.into(),
@@ -129,8 +136,8 @@
     let mut fleet = Fleet::prepare(program, &plan, *seed)?;
     fleet.start_all()?;
     // The links' own faults begin once all have met.
-    let own: Vec<Name> = own_links(&fleet);
-    own.iter().for_each(|name| fleet.net.change(name, |f| *f = story.links.clone()));
+    let own: Vec<LinkName> = own_links(&fleet);
+    own.iter().for_each(|name| fleet.net.update_faults(name, |f| *f = story.links.clone()));
 
     let listens: Vec<SocketAddr> = fleet.forwarders.iter().map(|f| f.listen).collect();
     let shares: Vec<(String, u32)> =
@@ -147,9 +154,10 @@
         over: &over,
     };
     let begun = Instant::now();
-    let watch = Watch::start();
+    let watch = SchedDelayMonitor::start();
     let mut told = Tellings::default();
-    let mut stage = Stage { fleet: &mut fleet, own, story, partners: &partners, drains: Vec::new(), begun };
+    let mut stage =
+        ScenarioRunner { fleet: &mut fleet, own, story, partners: &partners, drains: Vec::new(), begun };
     let (books, played) = scope(|scope| {
         let clients = scope.spawn(|| clients::hand_in(&load));
         let played = stage.act(&mut told, progress);
@@ -165,14 +173,14 @@
     progress.at("coming together", 0.7);
     let since = Instant::now();
     let own = own_links(&fleet);
-    own.iter().for_each(|name| fleet.net.change(name, |f| *f = Faults::default()));
+    own.iter().for_each(|name| fleet.net.update_faults(name, |f| *f = Faults::default()));
     for place in 0..fleet.forwarders.len() {
         if fleet.forwarders[place].is_stopped() {
-            fleet.forwarders[place].go_on();
+            fleet.forwarders[place].resume();
         }
         fleet.forwarders[place].wait_for_end();
         if !fleet.forwarders[place].is_running() {
-            fleet.start(place, FolderAs::Left)?;
+            fleet.start(place, StateFolder::Existing)?;
         }
     }
     // Those that do not know of each other have nothing to wait for.
@@ -193,7 +201,7 @@
     Ok(report)
 }
 
-fn own_links(fleet: &Fleet) -> Vec<Name> {
+fn own_links(fleet: &Fleet) -> Vec<LinkName> {
     let names: BTreeSet<&String> = fleet.forwarders.iter().map(|f| &f.name).collect();
     fleet.net.names().filter(|(a, b)| names.contains(a) && names.contains(b)).cloned().collect()
 }
@@ -201,16 +209,16 @@
 /// When each forwarder was first seen to have closed, or opened again, an endpoint: by drain.
 type Tellings = HashMap<(usize, usize), Instant>;
 
-struct Stage<'a> {
+struct ScenarioRunner<'a> {
     fleet: &'a mut Fleet,
-    own: Vec<Name>,
-    story: &'a Story,
+    own: Vec<LinkName>,
+    story: &'a Scenario,
     partners: &'a [(&'static str, u32, Partner, usize, &'static str)],
     drains: Vec<Drain>,
     begun: Instant,
 }
 
-impl Stage<'_> {
+impl ScenarioRunner<'_> {
     /// Has happen what happens, and looks meanwhile who has been told of which drain.
     fn act(&mut self, told: &mut Tellings, progress: &Progress) -> Result<(), String> {
         let mut steps = self.story.steps.clone().into_iter().peekable();
@@ -228,7 +236,10 @@
             returns.retain(|(at, partner)| {
                 let due = Instant::now() >= *at;
                 if due {
-                    self.partners.iter().filter(|p| p.0 == partner).for_each(|p| p.2.come_back_cold());
+                    self.partners
+                        .iter()
+                        .filter(|p| p.0 == partner)
+                        .for_each(|p| p.2.recover_with_slow_start());
                 }
                 !due
             });
@@ -241,60 +252,60 @@
     fn step(&mut self, step: Step) -> Result<Option<(Instant, String)>, String> {
         let story = &self.story.links;
         match step.what {
-            What::Cut(groups) => {
+            Action::Cut(groups) => {
                 let side =
                     |name: &String| groups.iter().position(|g| g.contains(name)).unwrap_or(groups.len() - 1);
                 for name in &self.own {
                     let apart = side(&name.0) != side(&name.1);
-                    self.fleet.net.change(name, |f| f.cut = apart);
+                    self.fleet.net.update_faults(name, |f| f.cut = apart);
                 }
             }
-            What::CutOneWay(from, to) => {
+            Action::CutOneWay(from, to) => {
                 for who in [&from, &to] {
-                    self.fleet.place(who)?;
+                    self.fleet.index_of(who)?;
                 }
-                self.fleet.net.change(&(from, to), |f| f.cut = true);
+                self.fleet.net.update_faults(&(from, to), |f| f.cut = true);
             }
-            What::Heal(_) => {
-                self.own.iter().for_each(|name| self.fleet.net.change(name, |f| *f = story.clone()));
+            Action::Heal(_) => {
+                self.own.iter().for_each(|name| self.fleet.net.update_faults(name, |f| *f = story.clone()));
             }
-            What::Hold(who) | What::Release(who) if self.fleet.place(&who).is_err() => {
+            Action::Hold(who) | Action::Release(who) if self.fleet.index_of(&who).is_err() => {
                 return Err(format!("there is no forwarder {who}"));
             }
-            What::Hold(who) => self.hold(&who, true),
-            What::Release(who) => self.hold(&who, false),
-            What::Links(faults) => {
-                self.own.iter().for_each(|name| self.fleet.net.change(name, |f| *f = faults.clone()));
+            Action::Hold(who) => self.hold(&who, true),
+            Action::Release(who) => self.hold(&who, false),
+            Action::Links(faults) => {
+                self.own.iter().for_each(|name| self.fleet.net.update_faults(name, |f| *f = faults.clone()));
             }
-            What::Kill(who) => {
-                let place = self.fleet.place(&who)?;
+            Action::Kill(who) => {
+                let place = self.fleet.index_of(&who)?;
                 self.fleet.forwarders[place].kill();
             }
-            What::Terminate(who) => {
-                let place = self.fleet.place(&who)?;
+            Action::Terminate(who) => {
+                let place = self.fleet.index_of(&who)?;
                 self.fleet.forwarders[place].terminate();
             }
-            What::Stop(who) => {
-                let place = self.fleet.place(&who)?;
+            Action::Stop(who) => {
+                let place = self.fleet.index_of(&who)?;
                 self.fleet.forwarders[place].stop();
             }
-            What::GoOn(who) => {
-                let place = self.fleet.place(&who)?;
-                self.fleet.forwarders[place].go_on();
+            Action::GoOn(who) => {
+                let place = self.fleet.index_of(&who)?;
+                self.fleet.forwarders[place].resume();
             }
-            What::Start(who) => self.start(&who, FolderAs::Left)?,
-            What::StartEmpty(who) => self.start(&who, FolderAs::Empty)?,
-            What::StartBackup(who) => self.start(&who, FolderAs::Backup)?,
-            What::Backup(who) => {
-                let place = self.fleet.place(&who)?;
+            Action::Start(who) => self.start(&who, StateFolder::Existing)?,
+            Action::StartEmpty(who) => self.start(&who, StateFolder::Empty)?,
+            Action::StartBackup(who) => self.start(&who, StateFolder::Backup)?,
+            Action::Backup(who) => {
+                let place = self.fleet.index_of(&who)?;
                 self.fleet.forwarders[place].backup()?;
             }
-            What::Order(who, word, name) => self.order(&who, &word, &name)?,
-            What::Silent(partner, span) => {
+            Action::Order(who, word, name) => self.order(&who, &word, &name)?,
+            Action::Silent(partner, span) => {
                 let span = humantime::parse_duration(&span).map_err(|e| e.to_string())?;
                 let known = self.partners.iter().find(|p| p.0 == partner);
                 let known = known.ok_or_else(|| format!("there is no partner {partner}"))?;
-                known.2.conduct(|c| c.silent = true);
+                known.2.update_behavior(|c| c.silent = true);
                 return Ok(Some((Instant::now() + span, partner)));
             }
         }
@@ -303,17 +314,17 @@
 
     fn hold(&mut self, who: &str, hold: bool) {
         for name in self.own.iter().filter(|(a, b)| a == who || b == who) {
-            self.fleet.net.change(name, |f| f.hold = hold);
+            self.fleet.net.update_faults(name, |f| f.hold = hold);
         }
     }
 
-    fn start(&mut self, who: &str, folder: FolderAs) -> Result<(), String> {
-        let place = self.fleet.place(who)?;
+    fn start(&mut self, who: &str, folder: StateFolder) -> Result<(), String> {
+        let place = self.fleet.index_of(who)?;
         self.fleet.start(place, folder)
     }
 
     fn order(&mut self, who: &str, word: &str, name: &str) -> Result<(), String> {
-        let place = self.fleet.place(who)?;
+        let place = self.fleet.index_of(who)?;
         let ask = match word {
             "drain" => Ask::Drain { endpoint: name.into() },
             "resume" => Ask::Resume { endpoint: Some(name.into()), partner: None },
@@ -349,25 +360,25 @@
 
 fn what_is_done(step: &Step) -> String {
     match &step.what {
-        What::Cut(groups) => {
+        Action::Cut(groups) => {
             let sides: Vec<String> = groups.iter().map(|g| g.join(" ")).collect();
             format!("cut: {}", sides.join(" | "))
         }
-        What::CutOneWay(from, to) => format!("{from} can't reach {to}"),
-        What::Heal(_) => "the links are sound again".into(),
-        What::Order(who, word, name) => format!("{who} is told to {word} {name}"),
-        What::Kill(who) => format!("{who} is killed"),
-        What::Terminate(who) => format!("{who} is told to end"),
-        What::Stop(who) => format!("{who} is stopped"),
-        What::GoOn(who) => format!("{who} goes on"),
-        What::Start(who) => format!("{who} is started again"),
-        What::StartEmpty(who) => format!("{who} is started on an empty folder"),
-        What::StartBackup(who) => format!("{who} is started on an old copy of its folder"),
-        What::Backup(who) => format!("the folder of {who} is copied"),
-        What::Silent(partner, span) => format!("{partner} is silent for {span}"),
-        What::Hold(who) => format!("what goes to and from {who} is held"),
-        What::Release(who) => format!("what goes to and from {who} is let go"),
-        What::Links(_) => "the links change".into(),
+        Action::CutOneWay(from, to) => format!("{from} can't reach {to}"),
+        Action::Heal(_) => "the links are sound again".into(),
+        Action::Order(who, word, name) => format!("{who} is told to {word} {name}"),
+        Action::Kill(who) => format!("{who} is killed"),
+        Action::Terminate(who) => format!("{who} is told to end"),
+        Action::Stop(who) => format!("{who} is stopped"),
+        Action::GoOn(who) => format!("{who} goes on"),
+        Action::Start(who) => format!("{who} is started again"),
+        Action::StartEmpty(who) => format!("{who} is started on an empty folder"),
+        Action::StartBackup(who) => format!("{who} is started on an old copy of its folder"),
+        Action::Backup(who) => format!("the folder of {who} is copied"),
+        Action::Silent(partner, span) => format!("{partner} is silent for {span}"),
+        Action::Hold(who) => format!("what goes to and from {who} is held"),
+        Action::Release(who) => format!("what goes to and from {who} is let go"),
+        Action::Links(_) => "the links change".into(),
     }
 }
 
@@ -462,10 +473,10 @@
 
 fn judge_all(
     fleet: &Fleet, partners: &[(&'static str, u32, Partner, usize, &'static str)], clients: &ClientBooks,
-    drains: &[Drain], told: &Tellings, late: &Late,
+    drains: &[Drain], told: &Tellings, late: &SchedDelays,
 ) -> Result<Report, String> {
-    let books: Vec<Books> = partners.iter().map(|p| p.2.books()).collect();
-    let Verdict { effects, mut twice, out_of_order, fell_over, calls, .. } = judge(&books);
+    let books: Vec<CallRecords> = partners.iter().map(|p| p.2.call_records()).collect();
+    let RuleCheck { effects, mut twice, out_of_order, fell_over, calls, .. } = check_rules(&books);
     // A notice may take effect as often as it likes.
     let notices: BTreeSet<&str> =
         books.iter().flat_map(|b| &b.calls).filter(|c| c.class == "notice").map(|c| c.id.as_str()).collect();
@@ -499,7 +510,7 @@
         for (place, forwarder) in fleet.forwarders.iter().enumerate() {
             let Some(at) = told.get(&(n, place)) else { continue };
             slowest = slowest.max(at.saturating_duration_since(drain.at));
-            let Crossed { calls, .. } = fleet.net.crossed(&forwarder.name, &drain.endpoint);
+            let LinkTraffic { calls, .. } = fleet.net.traffic(&forwarder.name, &drain.endpoint);
             let until = drain.until.unwrap_or_else(|| Instant::now() + Duration::from_secs(3600));
             let late = calls.iter().filter(|c| c.at > *at + Duration::from_secs(2) && c.at < until);
             after_drain += late.count() as u64;
@@ -519,12 +530,16 @@
     if seen < calls || (waits == 0 && refusals > 100) {
         return Err(format!("the relays noted {seen} of {calls} calls, and {waits} of {refusals} waits"));
     }
-    let of_partner = |(partner, books): (&(&str, u32, Partner, usize, &str), &Books)| {
-        let effects = books.calls.iter().filter(|c| matches!(c.fate, Fate::Took | Fate::Swallowed)).count();
+    let of_partner = |(partner, books): (&(&str, u32, Partner, usize, &str), &CallRecords)| {
+        let effects = books
+            .calls
+            .iter()
+            .filter(|c| matches!(c.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered))
+            .count();
         (partner.0.to_string(), (books.calls.len() as u64, effects as u64))
     };
     let by_partner = partners.iter().zip(&books).map(of_partner).collect();
-    let breaches = Breaches {
+    let breaches = Violations {
         lost: lost.len() as u64 + doubled,
         twice: twice.len() as u64,
         out_of_order: out_of_order.len() as u64,
@@ -557,15 +572,15 @@
 fn crossed(fleet: &Fleet, forwarder: &str, partner: &str, endpoints: usize) -> (Vec<Call>, Vec<Wait>) {
     let (mut calls, mut waits) = (Vec::new(), Vec::new());
     for endpoint in endpoints_of(partner, endpoints) {
-        calls.extend(fleet.net.crossed(forwarder, &endpoint).calls);
-        waits.extend(fleet.net.crossed(&endpoint, forwarder).waits);
+        calls.extend(fleet.net.traffic(forwarder, &endpoint).calls);
+        waits.extend(fleet.net.traffic(&endpoint, forwarder).waits);
     }
     (calls, waits)
 }
 
 /// Calls that a forwarder wrote in a wait that it had been told, though the machine was not late for so long.
 /// A restart ends a wait (PROTOCOL): what one process was told does not bind the next. Each in words, for the report.
-fn waits_broken(calls: &[Call], waits: &[Wait], late: &Late, starts: &[Instant]) -> Vec<String> {
+fn waits_broken(calls: &[Call], waits: &[Wait], late: &SchedDelays, starts: &[Instant]) -> Vec<String> {
     let mut broken = Vec::new();
     for call in calls {
         let told = waits.iter().find(|told| {
@@ -593,8 +608,9 @@
         let call = |ms: u64| Call { id: ms.to_string(), at: at(ms) };
         let calls = [call(1_090), call(1_300), call(1_401)];
         let told = [Wait { from: at(1_000), until: at(1_400) }];
-        let broken =
-            |told: &[Wait], starts: &[Instant]| waits_broken(&calls, told, &Late::default(), starts).len();
+        let broken = |told: &[Wait], starts: &[Instant]| {
+            waits_broken(&calls, told, &SchedDelays::default(), starts).len()
+        };
         assert_eq!((broken(&told, &[]), broken(&[], &[])), (1, 0));
         assert_eq!(broken(&told, &[at(0), at(1_200)]), 0, "a restart ends a wait");
         assert_eq!(broken(&told, &[at(999), at(1_301)]), 1, "not one before it, nor after the call");
--- a/crates/rig/src/story.rs
+++ b/crates/rig/src/scenario.rs
@@ -8,7 +8,7 @@
 /// A story. See `docs/rig.md`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Story {
+pub struct Scenario {
     /// What it is about, in a sentence.
     pub about: String,
     /// Messages are handed in for so long.
@@ -66,13 +66,13 @@
     pub at: Duration,
     /// What.
     #[serde(flatten)]
-    pub what: What,
+    pub what: Action,
 }
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum Action {
     /// Groups that can't reach each other; who is in none is with the last.
     Cut(Vec<Vec<String>>),
     /// From the first to the second nothing comes; the other way it does.
@@ -109,7 +109,7 @@
 }
 
 /// The stories that come with the program.
-pub const TOLD: [(&str, &str); 10] = [
+pub const BUILT_IN: [(&str, &str); 10] = [
     ("calm", include_str!("../stories/calm.toml")),
     ("loss", include_str!("../stories/loss.toml")),
     ("cut", include_str!("../stories/cut.toml")),
@@ -130,25 +130,25 @@
     }
 }
 
-impl Story {
+impl Scenario {
     /// One that comes with the program, by its name.
-    pub fn told(name: &str) -> Option<Story> {
-        let (_, text) = TOLD.iter().find(|(known, _)| *known == name)?;
-        Story::read(text).ok()
+    pub fn built_in(name: &str) -> Option<Scenario> {
+        let (_, text) = BUILT_IN.iter().find(|(known, _)| *known == name)?;
+        Scenario::read(text).ok()
     }
 
     /// Reads a story.
     ///
     /// # Errors
     /// What is wrong in it, with its place.
-    pub fn read(text: &str) -> Result<Story, String> {
-        let mut story: Story = toml::from_str(text).map_err(|e| e.to_string())?;
+    pub fn read(text: &str) -> Result<Scenario, String> {
+        let mut story: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
         story.steps.sort_by_key(|s| s.at);
         for (n, step) in story.steps.iter().enumerate() {
-            if let What::Silent(_, span) = &step.what {
+            if let Action::Silent(_, span) = &step.what {
                 humantime::parse_duration(span).map_err(|e| format!("step {}: {span:?}: {e}", n + 1))?;
             }
-            if let What::Order(_, word, _) = &step.what {
+            if let Action::Order(_, word, _) = &step.what {
                 let known = ["drain", "resume", "pause", "resume-partner", "remove"];
                 if !known.contains(&word.as_str()) {
                     return Err(format!(
@@ -163,7 +163,7 @@
     }
 
     /// The story as a file would tell it.
-    pub fn text(&self) -> String {
+    pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_else(|e| format!("# {e}\n"))
     }
 }
@@ -174,11 +174,11 @@
 
     #[test]
     fn every_story_is_read_and_told_again_as_it_was() {
-        for (name, text) in TOLD {
-            let story = Story::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
+        for (name, text) in BUILT_IN {
+            let story = Scenario::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
             assert!(story.least > 0 && !story.about.is_empty(), "{name}");
             assert!(story.steps.windows(2).all(|w| w[0].at <= w[1].at));
-            assert_eq!(Story::read(&story.text()).unwrap_or_else(|e| panic!("{name}: {e}")), story);
+            assert_eq!(Scenario::read(&story.to_toml()).unwrap_or_else(|e| panic!("{name}: {e}")), story);
         }
     }
 
@@ -192,7 +192,7 @@
             ("at = \"1s\"\nsilent = [\"shaky\", \"soon\"]", "soon"),
             ("at = \"1s\"\nlinks = { delay = [\"2s\", \"1s\"] }", "shorter"),
         ] {
-            let told = Story::read(&format!("{head}[[step]]\n{step}\n")).unwrap_err();
+            let told = Scenario::read(&format!("{head}[[step]]\n{step}\n")).unwrap_err();
             assert!(told.contains(problem), "{step}: {told}");
         }
     }
--- a/crates/rig/src/lateness.rs
+++ b/crates/rig/src/sched_delay.rs
@@ -17,9 +17,9 @@
 
 /// Spans in which a core did not get to a thread that was due.
 #[derive(Clone, Debug, Default)]
-pub struct Late(Vec<(Instant, Instant)>);
+pub struct SchedDelays(Vec<(Instant, Instant)>);
 
-impl Late {
+impl SchedDelays {
     /// How long the machine stood still between two moments, by the core that was late for longest.
     pub fn between(&self, from: Instant, to: Instant) -> Duration {
         let overlap =
@@ -33,7 +33,7 @@
     }
 }
 
-fn note(noted: &Mutex<Late>, due: Instant, woke: Instant) {
+fn note(noted: &Mutex<SchedDelays>, due: Instant, woke: Instant) {
     let mut noted = noted.lock().unwrap_or_else(PoisonError::into_inner);
     if noted.0.len() < MOST {
         noted.0.push((due, woke));
@@ -42,16 +42,16 @@
 
 /// The sleepers of a play.
 #[derive(Debug)]
-pub struct Watch {
+pub struct SchedDelayMonitor {
     over: Arc<AtomicBool>,
-    noted: Arc<Mutex<Late>>,
+    noted: Arc<Mutex<SchedDelays>>,
     sleepers: Vec<JoinHandle<()>>,
 }
 
-impl Watch {
+impl SchedDelayMonitor {
     /// Puts a sleeper on each core.
-    pub fn start() -> Watch {
-        let (over, noted) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Late::default())));
+    pub fn start() -> SchedDelayMonitor {
+        let (over, noted) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(SchedDelays::default())));
         let cores = available_parallelism().map_or(1, usize::from);
         let sleeper = |core: usize| {
             let (over, noted) = (over.clone(), noted.clone());
@@ -71,11 +71,11 @@
             })
         };
         let sleepers = (0..cores).map(sleeper).collect();
-        Watch { sleepers, over, noted }
+        SchedDelayMonitor { sleepers, over, noted }
     }
 
     /// Wakes them all for good, and gives what they noted.
-    pub fn end(mut self) -> Late {
+    pub fn end(mut self) -> SchedDelays {
         self.over.store(true, Ordering::Relaxed);
         for sleeper in self.sleepers.drain(..) {
             let _ = sleeper.join();
@@ -84,7 +84,7 @@
     }
 }
 
-impl Drop for Watch {
+impl Drop for SchedDelayMonitor {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
     }
@@ -98,7 +98,7 @@
     fn only_what_overlaps_counts_and_the_longest_of_it() {
         let start = Instant::now();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let late = Late(vec![(at(0), at(50)), (at(100), at(180)), (at(120), at(150))]);
+        let late = SchedDelays(vec![(at(0), at(50)), (at(100), at(180)), (at(120), at(150))]);
         assert_eq!(late.between(at(60), at(90)), Duration::ZERO);
         assert_eq!(late.between(at(90), at(300)), Duration::from_millis(80));
         assert_eq!(late.between(at(40), at(130)), Duration::from_millis(30));
@@ -107,7 +107,7 @@
 
     #[test]
     fn sleepers_run_and_end() {
-        let watch = Watch::start();
+        let watch = SchedDelayMonitor::start();
         sleep(Duration::from_millis(30));
         drop(watch.end());
     }
--- a/crates/rig/src/shrink.rs
+++ b/crates/rig/src/shrink.rs
@@ -1,10 +1,12 @@
 //! The shortest story that still fails: steps are left out as long as it does.
 
-use crate::story::Story;
+use crate::scenario::Scenario;
 
 /// Leaves steps out, half of them first and then one by one, as long as what is left still fails, with so many plays at
 /// most. Gives the shortest story found, and how many plays it took.
-pub fn shortest(story: &Story, most: usize, mut fails: impl FnMut(&Story) -> bool) -> (Story, usize) {
+pub fn shrink_scenario(
+    story: &Scenario, most: usize, mut fails: impl FnMut(&Scenario) -> bool,
+) -> (Scenario, usize) {
     let (mut best, mut plays) = (story.clone(), 0);
     let mut chunk = best.steps.len().div_ceil(2);
     while chunk > 0 {
@@ -30,18 +32,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::story::What;
+    use crate::scenario::Action;
 
     #[test]
     fn what_the_failure_does_not_need_is_left_out() {
-        let story = Story::told("cut").expect("it comes with the program");
-        let cut = |s: &Story| s.steps.iter().any(|s| matches!(s.what, What::Cut(_)));
+        let story = Scenario::built_in("cut").expect("it comes with the program");
+        let cut = |s: &Scenario| s.steps.iter().any(|s| matches!(s.what, Action::Cut(_)));
         let resumed =
-            |s: &Story| s.steps.iter().any(|s| matches!(&s.what, What::Order(_, w, _) if w == "resume"));
-        let (short, plays) = shortest(&story, 100, |s| cut(s) && resumed(s));
+            |s: &Scenario| s.steps.iter().any(|s| matches!(&s.what, Action::Order(_, w, _) if w == "resume"));
+        let (short, plays) = shrink_scenario(&story, 100, |s| cut(s) && resumed(s));
         assert_eq!(short.steps.len(), 2);
         assert!(plays < 30, "{plays}");
-        let (whole, plays) = shortest(&story, 5, |_| false);
+        let (whole, plays) = shrink_scenario(&story, 5, |_| false);
         assert_eq!((whole.steps.len(), plays), (story.steps.len(), 5));
     }
 }
--- a/crates/standin/src/books.rs
+++ b/crates/standin/src/call_records.rs
@@ -5,17 +5,17 @@
 
 /// What became of a call at the partner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     /// It took effect.
-    Took,
+    TookEffect,
     /// Its key was known: nothing took effect, and it was answered as served.
-    Repeat,
+    Duplicate,
     /// Turned away: over the limit, or the partner had fallen over.
-    Full,
+    Rejected,
     /// Answered with an error before it took effect.
     Failed,
     /// Taken, and never answered. It has taken effect.
-    Swallowed,
+    Unanswered,
 }
 
 /// A call that has come.
@@ -32,12 +32,12 @@
     /// Class, if its body names one behind that: `class=NAME;`.
     pub class: String,
     /// What became of it.
-    pub fate: Fate,
+    pub outcome: CallOutcome,
 }
 
 /// The books of one partner.
 #[derive(Clone, Debug, Default)]
-pub struct Books {
+pub struct CallRecords {
     /// Every call, in the order in which they came.
     pub calls: Vec<Call>,
     /// Waits that were told: from, and until when nothing may come.
@@ -51,7 +51,7 @@
 
 /// What the books of some partners say about the rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RuleCheck {
     /// Calls that came.
     pub calls: u64,
     /// Messages that took effect.
@@ -66,7 +66,7 @@
     pub fell_over: u64,
 }
 
-impl Verdict {
+impl RuleCheck {
     /// Whether every rule that the books can show was kept.
     pub fn is_clean(&self) -> bool {
         self.twice.is_empty() && self.out_of_order.is_empty() && self.in_waits == 0 && self.fell_over == 0
@@ -92,8 +92,8 @@
 }
 
 /// Judges the rules from the books of partners.
-pub fn judge<'a>(books: impl IntoIterator<Item = &'a Books>) -> Verdict {
-    let mut verdict = Verdict::default();
+pub fn check_rules<'a>(books: impl IntoIterator<Item = &'a CallRecords>) -> RuleCheck {
+    let mut verdict = RuleCheck::default();
     let mut effects: BTreeMap<&str, u64> = BTreeMap::new();
     for book in books {
         verdict.calls += book.calls.len() as u64;
@@ -103,7 +103,7 @@
             let waits =
                 book.waits.iter().filter(|(from, until)| call.at > *from + WAIT_GRACE && call.at < *until);
             verdict.in_waits += u64::from(waits.count() > 0);
-            if !matches!(call.fate, Fate::Took | Fate::Swallowed) {
+            if !matches!(call.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered) {
                 continue;
             }
             *effects.entry(&call.id).or_default() += 1;
@@ -124,9 +124,9 @@
 mod tests {
     use super::*;
 
-    fn call(id: &str, at: Instant, turn: Option<(&str, u64)>, fate: Fate) -> Call {
+    fn call(id: &str, at: Instant, turn: Option<(&str, u64)>, fate: CallOutcome) -> Call {
         let turn = turn.map(|(key, number)| (key.to_string(), number));
-        Call { id: id.into(), at, until: at, turn, class: String::new(), fate }
+        Call { id: id.into(), at, until: at, turn, class: String::new(), outcome: fate }
     }
 
     /// A judge that finds nothing is no judge: each rule is broken once.
@@ -134,24 +134,24 @@
     fn every_broken_rule_is_found() {
         let now = Instant::now();
         let later = |ms| now + Duration::from_millis(ms);
-        let clean = Books {
+        let clean = CallRecords {
             calls: vec![
-                call("a", now, Some(("k", 1)), Fate::Took),
-                call("a", later(1), Some(("k", 1)), Fate::Repeat),
-                call("b", later(2), Some(("k", 2)), Fate::Took),
-                call("c", later(150), None, Fate::Full),
+                call("a", now, Some(("k", 1)), CallOutcome::TookEffect),
+                call("a", later(1), Some(("k", 1)), CallOutcome::Duplicate),
+                call("b", later(2), Some(("k", 2)), CallOutcome::TookEffect),
+                call("c", later(150), None, CallOutcome::Rejected),
             ],
             waits: vec![(later(100), later(400))],
             fell_over: None,
         };
-        let verdict = judge([&clean]);
+        let verdict = check_rules([&clean]);
         assert!(verdict.is_clean() && verdict.effects == 2 && verdict.calls == 4, "{verdict:?}");
         let mut broken = clean.clone();
-        broken.calls.push(call("d", later(300), None, Fate::Took));
-        broken.calls.push(call("d", later(500), None, Fate::Swallowed));
-        broken.calls.push(call("e", later(501), Some(("k", 1)), Fate::Took));
+        broken.calls.push(call("d", later(300), None, CallOutcome::TookEffect));
+        broken.calls.push(call("d", later(500), None, CallOutcome::Unanswered));
+        broken.calls.push(call("e", later(501), Some(("k", 1)), CallOutcome::TookEffect));
         broken.fell_over = Some(now);
-        let verdict = judge([&broken]);
+        let verdict = check_rules([&broken]);
         assert_eq!((verdict.twice, verdict.out_of_order), (vec!["d".to_string()], vec!["e".to_string()]));
         assert_eq!((verdict.in_waits, verdict.fell_over), (1, 1));
     }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -14,9 +14,9 @@
 
 /// How an idle connection is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum IdleClose {
     /// By a FIN.
-    Told,
+    Fin,
     /// Without a word, as boxes between do: what is written to it later is answered by a reset.
     Silent,
 }
@@ -91,9 +91,9 @@
     /// Connections closed after an answer, or while they stood idle.
     pub closed: AtomicUsize,
     /// Requests that came on a connection after it had been closed here while it stood idle.
-    pub behind: AtomicUsize,
+    pub late_requests: AtomicUsize,
     /// Connections that stand idle for so long are closed.
-    idle: Mutex<Option<(Duration, Closing)>>,
+    idle: Mutex<Option<(Duration, IdleClose)>>,
     behaviour: Mutex<Arc<Behaviour>>,
 }
 
@@ -135,7 +135,7 @@
     ///
     /// # Panics
     /// There is no port or descriptor left.
-    pub fn start_forgetful(behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Arc<Server> {
+    pub fn start_unrecorded(behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Arc<Server> {
         Server::launch(Box::new(behaviour), false)
     }
 
@@ -146,7 +146,7 @@
             seen: Mutex::default(),
             records,
             closed: AtomicUsize::new(0),
-            behind: AtomicUsize::new(0),
+            late_requests: AtomicUsize::new(0),
             idle: Mutex::default(),
             behaviour: Mutex::new(Arc::new(behaviour)),
         });
@@ -226,7 +226,7 @@
     }
 
     /// Drops connections that stand idle for so long, from the next request on; none to leave them.
-    pub fn drop_idle(&self, after: Option<(Duration, Closing)>) {
+    pub fn drop_idle(&self, after: Option<(Duration, IdleClose)>) {
         *locked(&self.idle) = after;
     }
 
@@ -240,7 +240,7 @@
         match reader.fill_buf() {
             Ok(bytes) => !bytes.is_empty() && stream.set_read_timeout(None).is_ok(),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                let silent = idle.is_some_and(|(_, closing)| closing == Closing::Silent);
+                let silent = idle.is_some_and(|(_, closing)| closing == IdleClose::Silent);
                 if !silent {
                     let _ = stream.shutdown(Shutdown::Write);
                 }
@@ -248,7 +248,7 @@
                 // What comes is left unread: closing the socket then resets the connection.
                 let _ = stream.set_read_timeout(Some(if silent { SILENT } else { LATE }));
                 if reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
-                    self.behind.fetch_add(1, Ordering::SeqCst);
+                    self.late_requests.fetch_add(1, Ordering::SeqCst);
                 }
                 false
             }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -6,13 +6,13 @@
 //! them, with an authority of its own.
 #![warn(missing_docs)]
 
-pub mod books;
+pub mod call_records;
 pub mod http;
 mod partner;
 #[cfg(feature = "tls")]
 pub mod tls;
 
-pub use partner::{Conduct, Kind, Partner};
+pub use partner::{FailureKind, Partner, PartnerBehavior};
 
 use std::time::{Duration, Instant};
 
--- a/crates/standin/src/partner.rs
+++ b/crates/standin/src/partner.rs
@@ -1,7 +1,7 @@
 //! An outside partner: answers at its own pace, keeps a limit and tells waits, drops repeats of a key, and has faults
 //! by a seed: errors, lost connections, a silence after which it comes back cold.
 
-use crate::books::{names_in, Books, Call, Fate};
+use crate::call_records::{names_in, Call, CallOutcome, CallRecords};
 use crate::http::{Reply, Request, Server};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FailureKind {
     /// The connection ends, and nothing took effect.
     ResetBefore,
     /// The connection ends after the call took effect.
@@ -28,7 +28,7 @@
 
 /// How a partner behaves.
 #[derive(Clone, Debug)]
-pub struct Conduct {
+pub struct PartnerBehavior {
     /// Answers take between these spans.
     pub answers: (Duration, Duration),
     /// Calls a second that it takes; above, it turns away and tells a wait. None for no limit.
@@ -38,7 +38,7 @@
     /// Share of calls that fail by one of `kinds`, each as often, 0 to 1.
     pub failing: f64,
     /// See `failing`.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<FailureKind>,
     /// Calls that it works on at once; further ones wait for their turn. 0 for all.
     pub at_once: usize,
     /// Share of calls that are answered with an error before they take effect, 0 to 1.
@@ -53,9 +53,9 @@
     pub capacity: f64,
 }
 
-impl Default for Conduct {
+impl Default for PartnerBehavior {
     fn default() -> Self {
-        Conduct {
+        PartnerBehavior {
             answers: (Duration::from_millis(2), Duration::from_millis(10)),
             rate: None,
             wait: Duration::from_millis(300),
@@ -79,9 +79,9 @@
 const TIP_AFTER: Duration = Duration::from_secs(2);
 
 struct State {
-    conduct: Conduct,
+    conduct: PartnerBehavior,
     random: fastrand::Rng,
-    books: Books,
+    books: CallRecords,
     /// Calls taken within the last second, for the limit.
     taken: VecDeque<Instant>,
     keys: HashMap<String, Instant>,
@@ -107,11 +107,11 @@
     ///
     /// # Panics
     /// There is no port or descriptor left.
-    pub fn start(seed: u64, conduct: Conduct) -> Partner {
+    pub fn start(seed: u64, conduct: PartnerBehavior) -> Partner {
         let state = Arc::new(Mutex::new(State {
             conduct,
             random: fastrand::Rng::with_seed(seed),
-            books: Books::default(),
+            books: CallRecords::default(),
             taken: VecDeque::new(),
             keys: HashMap::new(),
             cold_since: None,
@@ -119,7 +119,7 @@
             works_until: Vec::new(),
         }));
         let shared = state.clone();
-        let server = Server::start_forgetful(move |request| locked(&shared).call(request));
+        let server = Server::start_unrecorded(move |request| locked(&shared).call(request));
         Partner { server, state }
     }
 
@@ -129,12 +129,12 @@
     }
 
     /// Changes how it behaves.
-    pub fn conduct(&self, change: impl FnOnce(&mut Conduct)) {
+    pub fn update_behavior(&self, change: impl FnOnce(&mut PartnerBehavior)) {
         change(&mut locked(&self.state).conduct);
     }
 
     /// Ends a silence: it answers again, at a part of its capacity that grows, and falls over if it is pushed.
-    pub fn come_back_cold(&self) {
+    pub fn recover_with_slow_start(&self) {
         let mut state = locked(&self.state);
         state.conduct.silent = false;
         state.cold_since = Some(Instant::now());
@@ -142,7 +142,7 @@
     }
 
     /// Its books so far.
-    pub fn books(&self) -> Books {
+    pub fn call_records(&self) -> CallRecords {
         locked(&self.state).books.clone()
     }
 
@@ -159,14 +159,14 @@
         let took = if let Reply::Later(took, _) = reply { took } else { Duration::ZERO };
         let (turn, class) = names_in(&request.body);
         let id = request.id().to_string();
-        self.books.calls.push(Call { id, at: now, until: now + took, turn, class, fate });
+        self.books.calls.push(Call { id, at: now, until: now + took, turn, class, outcome: fate });
         reply
     }
 
-    fn decide(&mut self, request: &Request, now: Instant) -> (Fate, Reply) {
+    fn decide(&mut self, request: &Request, now: Instant) -> (CallOutcome, Reply) {
         let down = self.books.fell_over.is_some() || self.is_pushed_over(now);
         if down {
-            return (Fate::Full, Reply::Status(503, ""));
+            return (CallOutcome::Rejected, Reply::Status(503, ""));
         }
         if let Some(rate) = self.conduct.rate {
             while self.taken.front().is_some_and(|at| now - *at > Duration::from_secs(1)) {
@@ -176,22 +176,22 @@
                 let wait = self.conduct.wait;
                 self.books.waits.push((now, now + wait));
                 return (
-                    Fate::Full,
+                    CallOutcome::Rejected,
                     Reply::Headers(429, format!("X-Come-Back-Ms: {}\r\n", wait.as_millis())),
                 );
             }
             self.taken.push_back(now);
         }
         if self.random.f64() < self.conduct.errors {
-            return (Fate::Failed, Reply::Status(500, ""));
+            return (CallOutcome::Failed, Reply::Status(500, ""));
         }
         let failing = self.random.f64() < self.conduct.failing && !self.conduct.kinds.is_empty();
         let kind = failing.then(|| self.conduct.kinds[self.random.usize(0..self.conduct.kinds.len())]);
         match kind {
-            Some(Kind::ResetBefore) => return (Fate::Failed, Reply::Close),
-            Some(Kind::Error) => return (Fate::Failed, Reply::Status(500, "")),
-            Some(Kind::Full) => return (Fate::Full, Reply::Status(503, "")),
-            Some(Kind::ResetAfter | Kind::Late) | None => {}
+            Some(FailureKind::ResetBefore) => return (CallOutcome::Failed, Reply::Close),
+            Some(FailureKind::Error) => return (CallOutcome::Failed, Reply::Status(500, "")),
+            Some(FailureKind::Full) => return (CallOutcome::Rejected, Reply::Status(503, "")),
+            Some(FailureKind::ResetAfter | FailureKind::Late) | None => {}
         }
         let remembers = self.conduct.remembers;
         self.keys.retain(|_, at| now.saturating_duration_since(*at) < remembers);
@@ -202,16 +202,16 @@
             known
         });
         if self.conduct.silent {
-            return (if repeat { Fate::Repeat } else { Fate::Swallowed }, Reply::Silence);
+            return (if repeat { CallOutcome::Duplicate } else { CallOutcome::Unanswered }, Reply::Silence);
         }
-        if kind == Some(Kind::ResetAfter) || self.random.f64() < self.conduct.resets {
-            return (if repeat { Fate::Repeat } else { Fate::Swallowed }, Reply::Close);
+        if kind == Some(FailureKind::ResetAfter) || self.random.f64() < self.conduct.resets {
+            return (if repeat { CallOutcome::Duplicate } else { CallOutcome::Unanswered }, Reply::Close);
         }
         let (least, most) = self.conduct.answers;
         let took = least + (most - least).mul_f64(self.random.f64());
-        let took = if kind == Some(Kind::Late) { took + LATE } else { took };
+        let took = if kind == Some(FailureKind::Late) { took + LATE } else { took };
         let took = took + self.turn(now, took);
-        (if repeat { Fate::Repeat } else { Fate::Took }, Reply::Later(took, 200))
+        (if repeat { CallOutcome::Duplicate } else { CallOutcome::TookEffect }, Reply::Later(took, 200))
     }
 
     /// How long a call waits until one of those that are worked on is done.
@@ -266,34 +266,38 @@
 
     #[test]
     fn a_partner_serves_drops_repeats_and_tells_waits_above_its_limit() {
-        let partner = Partner::start(1, Conduct { rate: Some(3.0), ..Conduct::default() });
+        let partner = Partner::start(1, PartnerBehavior { rate: Some(3.0), ..PartnerBehavior::default() });
         assert!(call(&partner, "a").starts_with("HTTP/1.1 200"));
         assert!(call(&partner, "a").starts_with("HTTP/1.1 200"));
         assert!(call(&partner, "b").starts_with("HTTP/1.1 200"));
         assert!(call(&partner, "c").contains("X-Come-Back-Ms: 300"));
-        let books = partner.books();
-        let fates: Vec<Fate> = books.calls.iter().map(|c| c.fate).collect();
-        assert_eq!(fates, [Fate::Took, Fate::Repeat, Fate::Took, Fate::Full]);
+        let books = partner.call_records();
+        let fates: Vec<CallOutcome> = books.calls.iter().map(|c| c.outcome).collect();
+        assert_eq!(
+            fates,
+            [CallOutcome::TookEffect, CallOutcome::Duplicate, CallOutcome::TookEffect, CallOutcome::Rejected]
+        );
         assert_eq!(books.waits.len(), 1);
     }
 
     #[test]
     fn calls_fail_by_the_kinds_that_are_stated_and_queue_beyond_what_is_worked_on() {
-        let all = |kind| Conduct { failing: 1.0, kinds: vec![kind], ..Conduct::default() };
+        let all = |kind| PartnerBehavior { failing: 1.0, kinds: vec![kind], ..PartnerBehavior::default() };
         for (kind, answer, fate) in [
-            (Kind::ResetBefore, "", Fate::Failed),
-            (Kind::ResetAfter, "", Fate::Swallowed),
-            (Kind::Error, "HTTP/1.1 500", Fate::Failed),
-            (Kind::Late, "HTTP/1.1 200", Fate::Took),
-            (Kind::Full, "HTTP/1.1 503", Fate::Full),
+            (FailureKind::ResetBefore, "", CallOutcome::Failed),
+            (FailureKind::ResetAfter, "", CallOutcome::Unanswered),
+            (FailureKind::Error, "HTTP/1.1 500", CallOutcome::Failed),
+            (FailureKind::Late, "HTTP/1.1 200", CallOutcome::TookEffect),
+            (FailureKind::Full, "HTTP/1.1 503", CallOutcome::Rejected),
         ] {
             let partner = Partner::start(1, all(kind));
             let told = call(&partner, "a");
             assert!(told.starts_with(answer) && told.is_empty() == answer.is_empty(), "{kind:?}: {told}");
-            assert_eq!(partner.books().calls[0].fate, fate, "{kind:?}");
+            assert_eq!(partner.call_records().calls[0].outcome, fate, "{kind:?}");
         }
         let answers = (Duration::from_millis(80), Duration::from_millis(80));
-        let partner = Partner::start(1, Conduct { at_once: 1, answers, ..Conduct::default() });
+        let partner =
+            Partner::start(1, PartnerBehavior { at_once: 1, answers, ..PartnerBehavior::default() });
         std::thread::scope(|scope| {
             (0..3).for_each(|n| {
                 drop(scope.spawn({
@@ -302,17 +306,17 @@
                 }))
             })
         });
-        let ends: Vec<Instant> = partner.books().calls.iter().map(|c| c.until).collect();
+        let ends: Vec<Instant> = partner.call_records().calls.iter().map(|c| c.until).collect();
         assert!(ends.windows(2).all(|w| w[1] - w[0] >= Duration::from_millis(80)), "one after another");
     }
 
     #[test]
     fn a_cold_partner_that_is_pushed_falls_over_and_stays_down() {
-        let partner = Partner::start(1, Conduct { capacity: 10.0, ..Conduct::default() });
-        partner.come_back_cold();
+        let partner = Partner::start(1, PartnerBehavior { capacity: 10.0, ..PartnerBehavior::default() });
+        partner.recover_with_slow_start();
         // 16% of 10 a second, 2.5 times of that, for 2 s: more than 8 calls.
         let down = (0..40).any(|n| call(&partner, &n.to_string()).starts_with("HTTP/1.1 503"));
-        assert!(down && partner.books().fell_over.is_some());
+        assert!(down && partner.call_records().fell_over.is_some());
         assert!(call(&partner, "last").starts_with("HTTP/1.1 503"));
     }
 }
--- a/crates/standin/src/tls.rs
+++ b/crates/standin/src/tls.rs
@@ -110,7 +110,7 @@
 
 /// How a front behaves.
 #[derive(Clone)]
-struct Conduct {
+struct FrontendConfig {
     config: Arc<ServerConfig>,
     /// Bytes after which it says nothing more.
     stall_after: Option<usize>,
@@ -119,10 +119,10 @@
 }
 
 /// TLS in front of a plain server.
-pub struct Front {
+pub struct TlsFrontend {
     /// Where it listens.
     pub address: SocketAddr,
-    conduct: Mutex<Conduct>,
+    conduct: Mutex<FrontendConfig>,
     /// Handshakes done in full, resumed, and broken off.
     pub full: AtomicUsize,
     /// See `full`.
@@ -131,17 +131,17 @@
     pub broken: AtomicUsize,
 }
 
-impl Front {
+impl TlsFrontend {
     /// Starts one before a server.
     ///
     /// # Panics
     /// There is no port, descriptor or thread left.
-    pub fn start(to: SocketAddr, config: Arc<ServerConfig>) -> Arc<Front> {
+    pub fn start(to: SocketAddr, config: Arc<ServerConfig>) -> Arc<TlsFrontend> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
         listener.set_nonblocking(true).expect("a listener that does not block");
-        let front = Arc::new(Front {
+        let front = Arc::new(TlsFrontend {
             address: listener.local_addr().expect("the address of a bound socket"),
-            conduct: Mutex::new(Conduct { config, stall_after: None, delay: Duration::ZERO }),
+            conduct: Mutex::new(FrontendConfig { config, stall_after: None, delay: Duration::ZERO }),
             full: AtomicUsize::new(0),
             resumed: AtomicUsize::new(0),
             broken: AtomicUsize::new(0),
@@ -163,7 +163,7 @@
         front
     }
 
-    fn conduct(&self) -> MutexGuard<'_, Conduct> {
+    fn conduct(&self) -> MutexGuard<'_, FrontendConfig> {
         self.conduct.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -183,7 +183,7 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream, to: SocketAddr) {
-        let Conduct { config, stall_after, delay } = self.conduct().clone();
+        let FrontendConfig { config, stall_after, delay } = self.conduct().clone();
         let _ = stream.set_nodelay(true);
         tokio::time::sleep(delay).await;
         let stream = Stalling { stream, left: stall_after };
--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -7,10 +7,10 @@
 use foldtrack_control::{Ask, Client, Partner as Shown, Status, Told};
 use foldtrack_load::exchange::{post, Exchange};
 use foldtrack_load::forwarder::{Forwarder, Listed};
-use foldtrack_rig::run::Play;
-use foldtrack_rig::story::{Story, What};
-use foldtrack_standin::books::{judge, Books, Fate};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_rig::run::RunConfig;
+use foldtrack_rig::scenario::{Action, Scenario};
+use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -37,11 +37,11 @@
 
 /// Two sides of a fleet that can't reach each other for a while, and an order on either.
 fn among_forwarders(forwarders: usize, seed: u64) -> Ended {
-    let mut story = Story::told("cut").ok_or_else(|| Failure(FAILED, "there is no story".into()))?;
+    let mut story = Scenario::built_in("cut").ok_or_else(|| Failure(FAILED, "there is no story".into()))?;
     // The story tells of five; of fewer the second side is the smaller one.
     story.forwarders = 3;
     for step in &mut story.steps {
-        if let What::Order(who, ..) = &mut step.what {
+        if let Action::Order(who, ..) = &mut step.what {
             if forwarders < 4 && who == "d" {
                 *who = "c".into();
             }
@@ -51,7 +51,7 @@
         "{forwarders} forwarders that know of each other, and their partners and clients.\n{}.\n\n",
         story.about
     ))?;
-    let report = fleet::watched(&Play::of("demo", story, forwarders, seed), false)?;
+    let report = fleet::watched(&RunConfig::new("demo", story, forwarders, seed), false)?;
     say(&fleet::table(&report))?;
     if report.is_clean() {
         return Ok(());
@@ -72,13 +72,18 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const LOOK: Duration = Duration::from_millis(500);
 
-fn conduct(name: &str) -> Conduct {
+fn conduct(name: &str) -> PartnerBehavior {
     let ms = Duration::from_millis;
     match name {
-        "slow" => Conduct { answers: (ms(150), ms(400)), ..Conduct::default() },
-        "limited" => Conduct { rate: Some(60.0), ..Conduct::default() },
-        "shaky" => Conduct { answers: (ms(5), ms(40)), errors: 0.01, capacity: 200.0, ..Conduct::default() },
-        _ => Conduct::default(),
+        "slow" => PartnerBehavior { answers: (ms(150), ms(400)), ..PartnerBehavior::default() },
+        "limited" => PartnerBehavior { rate: Some(60.0), ..PartnerBehavior::default() },
+        "shaky" => PartnerBehavior {
+            answers: (ms(5), ms(40)),
+            errors: 0.01,
+            capacity: 200.0,
+            ..PartnerBehavior::default()
+        },
+        _ => PartnerBehavior::default(),
     }
 }
 
@@ -142,9 +147,9 @@
         let faults = scope.spawn(move || {
             let Some(shaky) = shaky else { return };
             sleep(span.mul_f64(SILENT.0));
-            shaky.conduct(|c| c.silent = true);
+            shaky.update_behavior(|c| c.silent = true);
             sleep(span.mul_f64(SILENT.1 - SILENT.0));
-            shaky.come_back_cold();
+            shaky.recover_with_slow_start();
         });
         let shown = watch(&mut client, &sent, demo.messages);
         sent.done.store(true, Ordering::SeqCst);
@@ -153,7 +158,8 @@
     });
     let (status, lines) = shown?;
     let ends = foldtrack_rig::run::ends(listen).map_err(|e| told("the ends", &e))?;
-    let books: Vec<(&str, Books)> = partners.iter().map(|(name, p)| (*name, p.books())).collect();
+    let books: Vec<(&str, CallRecords)> =
+        partners.iter().map(|(name, p)| (*name, p.call_records())).collect();
     conclude(&status, &lines, &ends, &books, &sent, start.elapsed())
 }
 
@@ -237,12 +243,14 @@
 
 /// The table at the end: what the forwarder says, and what the partners' books say of it.
 fn conclude(
-    status: &Status, partners: &[Shown], ends: &BTreeMap<String, Vec<String>>, books: &[(&str, Books)],
+    status: &Status, partners: &[Shown], ends: &BTreeMap<String, Vec<String>>, books: &[(&str, CallRecords)],
     sent: &Sent, took: Duration,
 ) -> Ended {
     let taken = lock_ignoring_poison(&sent.taken);
-    let verdict = judge(books.iter().map(|(_, b)| b));
-    let effect = |call: &&foldtrack_standin::books::Call| matches!(call.fate, Fate::Took | Fate::Swallowed);
+    let verdict = check_rules(books.iter().map(|(_, b)| b));
+    let effect = |call: &&foldtrack_standin::call_records::Call| {
+        matches!(call.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered)
+    };
     let effects: BTreeSet<&str> =
         books.iter().flat_map(|(_, b)| b.calls.iter().filter(effect).map(|c| c.id.as_str())).collect();
     let mut by_end: BTreeMap<(&str, &str), u64> = BTreeMap::new();
--- a/src/bin/foldtrack/cli/fleet.rs
+++ b/src/bin/foldtrack/cli/fleet.rs
@@ -2,10 +2,10 @@
 
 use super::{say, Ended, Failure, FAILED, WRONG};
 use clap::Subcommand;
-use foldtrack_rig::run::{play, Play, Progress};
-use foldtrack_rig::shrink::shortest;
-use foldtrack_rig::story::{Story, TOLD};
-use foldtrack_rig::verdict::Report;
+use foldtrack_rig::report::Report;
+use foldtrack_rig::run::{run_scenario, Progress, RunConfig};
+use foldtrack_rig::scenario::{Scenario, BUILT_IN};
+use foldtrack_rig::shrink::shrink_scenario;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -53,17 +53,17 @@
     match words {
         Fleet::List => {
             let line = |(name, text): &(&str, &str)| {
-                let about = Story::read(text).map(|s| s.about).unwrap_or_default();
+                let about = Scenario::read(text).map(|s| s.about).unwrap_or_default();
                 format!("{name:<16}{about}\n")
             };
-            say(&TOLD.iter().map(line).collect::<String>())
+            say(&BUILT_IN.iter().map(line).collect::<String>())
         }
-        Fleet::Story { name } => match TOLD.iter().find(|(known, _)| known == name) {
+        Fleet::Story { name } => match BUILT_IN.iter().find(|(known, _)| known == name) {
             Some((_, text)) => say(text),
             None => Err(unknown(name)),
         },
         Fleet::Run { forwarders, scenario, seed, json, alone, no_shrink } => {
-            let mut told = Play::of(scenario, story(scenario)?, *forwarders as usize, *seed);
+            let mut told = RunConfig::new(scenario, story(scenario)?, *forwarders as usize, *seed);
             told.peers = !alone;
             run(&told, *json, !no_shrink)
         }
@@ -71,20 +71,20 @@
 }
 
 fn unknown(name: &str) -> Failure {
-    let names: Vec<&str> = TOLD.iter().map(|(name, _)| *name).collect();
+    let names: Vec<&str> = BUILT_IN.iter().map(|(name, _)| *name).collect();
     Failure(WRONG, format!("there is no story {name:?}, and no file; there are {}", names.join(", ")))
 }
 
-fn story(name: &str) -> Result<Story, Failure> {
-    if let Some(story) = Story::told(name) {
+fn story(name: &str) -> Result<Scenario, Failure> {
+    if let Some(story) = Scenario::built_in(name) {
         return Ok(story);
     }
     let text = std::fs::read_to_string(PathBuf::from(name)).map_err(|_| unknown(name))?;
-    Story::read(&text).map_err(|e| Failure(WRONG, format!("{name}: {e}")))
+    Scenario::read(&text).map_err(|e| Failure(WRONG, format!("{name}: {e}")))
 }
 
 /// Plays it, with a bar for whoever looks on.
-pub(super) fn watched(told: &Play, quiet: bool) -> Result<Report, Failure> {
+pub(super) fn watched(told: &RunConfig, quiet: bool) -> Result<Report, Failure> {
     let program = std::env::current_exe().map_err(|e| Failure(FAILED, format!("this program: {e}")))?;
     let (progress, over) = (Progress::default(), AtomicBool::new(false));
     let bar = match quiet || !std::io::stderr().is_terminal() {
@@ -97,12 +97,12 @@
     let report = std::thread::scope(|scope| {
         scope.spawn(|| {
             while !over.load(Ordering::Relaxed) {
-                bar.set_position(progress.part.load(Ordering::Relaxed));
-                bar.set_message(progress.doing.lock().unwrap_or_else(PoisonError::into_inner).clone());
+                bar.set_position(progress.per_mille.load(Ordering::Relaxed));
+                bar.set_message(progress.activity.lock().unwrap_or_else(PoisonError::into_inner).clone());
                 std::thread::sleep(Duration::from_millis(100));
             }
         });
-        let report = play(&program, told, &progress);
+        let report = run_scenario(&program, told, &progress);
         over.store(true, Ordering::Relaxed);
         report
     });
@@ -110,9 +110,9 @@
     report.map_err(|e| Failure(FAILED, e))
 }
 
-fn run(told: &Play, json: bool, shrink: bool) -> Ended {
+fn run(told: &RunConfig, json: bool, shrink: bool) -> Ended {
     if !json {
-        say(&format!("{}: {}\n", told.name, told.story.about))?;
+        say(&format!("{}: {}\n", told.name, told.scenario.about))?;
     }
     let report = watched(told, json)?;
     if !json {
@@ -124,12 +124,12 @@
             "a rule is broken with seed {}; looking for the shortest story that breaks one\n",
             told.seed
         ))?;
-        let fails = |story: &Story| {
-            let shorter = Play { story: story.clone(), ..told.clone() };
+        let fails = |story: &Scenario| {
+            let shorter = RunConfig { scenario: story.clone(), ..told.clone() };
             watched(&shorter, false).is_ok_and(|r| r.breaches.sum() > 0)
         };
-        let (short, plays) = shortest(&told.story, SHRINKING, fails);
-        say(&format!("after {plays} plays, for --seed {}:\n\n{}\n", told.seed, short.text()))?;
+        let (short, plays) = shrink_scenario(&told.scenario, SHRINKING, fails);
+        say(&format!("after {plays} plays, for --seed {}:\n\n{}\n", told.seed, short.to_toml()))?;
     }
     let line = serde_json::to_string(&report).map_err(|e| Failure(FAILED, e.to_string()))?;
     say(&format!("{line}\n"))?;
--- a/tests/peers/main.rs
+++ b/tests/peers/main.rs
@@ -4,10 +4,10 @@
 //! `FOLDTRACK_KILLS=N` sets the number of kills.
 
 use foldtrack_control::{Ask, Told};
-use foldtrack_rig::fleet::{Fleet, FolderAs, Listed, Plan};
-use foldtrack_rig::run::{play, Play, Progress};
-use foldtrack_rig::story::{Story, What};
-use foldtrack_standin::{eventually, Conduct, Partner};
+use foldtrack_rig::fleet::{Fleet, FleetConfig, PartnerEntry, StateFolder};
+use foldtrack_rig::run::{run_scenario, Progress, RunConfig};
+use foldtrack_rig::scenario::{Action, Scenario};
+use foldtrack_standin::{eventually, Partner, PartnerBehavior};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::Path;
@@ -23,9 +23,9 @@
 /// Runs a scenario and checks every invariant against the partners' records.
 fn check_invariants(name: &str) {
     for seed in 1..=number("FOLDTRACK_SEEDS", 1) {
-        let story = Story::told(name).unwrap();
-        let plan = Play::of(name, story, 5, seed);
-        let report = play(Path::new(PROGRAM), &plan, &Progress::default()).unwrap();
+        let story = Scenario::built_in(name).unwrap();
+        let plan = RunConfig::new(name, story, 5, seed);
+        let report = run_scenario(Path::new(PROGRAM), &plan, &Progress::default()).unwrap();
         assert!(report.is_clean(), "seed {seed}: {report:?}");
     }
 }
@@ -54,11 +54,11 @@
 
 /// A fleet with one partner that has two endpoints.
 fn fleet(forwarders: usize, peers: bool, lines: &str) -> (Fleet, Partner) {
-    let partner = Partner::start(1, Conduct::default());
+    let partner = Partner::start(1, PartnerBehavior::default());
     let endpoints = vec![("p-1".to_string(), partner.address()), ("p-2".to_string(), partner.address())];
-    let plan = Plan {
+    let plan = FleetConfig {
         forwarders,
-        partners: vec![Listed { name: "p".into(), endpoints, lines: String::new() }],
+        partners: vec![PartnerEntry { name: "p".into(), endpoints, lines: String::new() }],
         top: "durability = \"process\"\n[class.payment]\neffect = \"once\"\ndeadline = \"8s\"\n[class.notice]\n\
               effect = \"repeatable\"\ndeadline = \"8s\"\n"
             .into(),
@@ -107,7 +107,7 @@
             eventually("the others keep the drain", || state_of(&fleet, other, "p-1") == "draining");
         }
         slowest_propagation = slowest_propagation.max(killed.elapsed());
-        fleet.start(author, FolderAs::Left).unwrap();
+        fleet.start(author, StateFolder::Existing).unwrap();
         assert_eq!(
             state_of(&fleet, author, "p-1"),
             "draining",
@@ -129,7 +129,7 @@
     eventually("all have the order", || (0..3).all(|n| state_of(&fleet, n, "p-1") == "draining"));
     let links: Vec<_> =
         fleet.net.names().filter(|(from, to)| from == "a" && to.len() == 1 || to == "a").cloned().collect();
-    let cut = |cut: bool| links.iter().for_each(|name| fleet.net.change(name, |f| f.cut = cut));
+    let cut = |cut: bool| links.iter().for_each(|name| fleet.net.update_faults(name, |f| f.cut = cut));
     cut(true);
     let refused = fleet.forwarders[0].ask(resume("p-1")).unwrap_err();
     assert!(refused.contains("majority") && refused.contains("1 of the 2"), "{refused}");
@@ -182,12 +182,12 @@
     let (mut fleet, _partner) = started(3);
     fleet.forwarders[2].backup().unwrap();
     fleet.forwarders[2].kill();
-    fleet.start(2, FolderAs::Left).unwrap();
+    fleet.start(2, StateFolder::Existing).unwrap();
     fleet.forwarders[2].ask(drain("p-1")).unwrap();
     fleet.forwarders[2].kill();
-    fleet.start(2, FolderAs::Backup).unwrap();
+    fleet.start(2, StateFolder::Backup).unwrap();
     assert_eq!(state_of(&fleet, 2, "p-1"), "draining");
-    let log = fleet.forwarders[2].whole_log();
+    let log = fleet.forwarders[2].full_log();
     assert!(log.contains("old_state: the state folder is older"), "{log}");
     let starts = fleet.forwarders[0].peers().unwrap().others.iter().find(|o| o.name == "c").unwrap().start;
     assert_eq!(starts, 3);
@@ -212,13 +212,13 @@
     let Ok(Told::Done(done)) = fleet.forwarders[0].ask(block) else { panic!() };
     assert!(done.changed && done.copies >= 1 && done.others == 2, "{done:?}");
     eventually("another forwarder has the block", || blocked(&fleet, 1).is_some());
-    fleet.start(2, FolderAs::Left).unwrap();
+    fleet.start(2, StateFolder::Existing).unwrap();
     eventually("the forwarder that was away has the block", || {
         blocked(&fleet, 2).is_some_and(|ms| ms > 3_500_000)
     });
     // After a restart the block continues for the remaining time.
     fleet.forwarders[1].kill();
-    fleet.start(1, FolderAs::Left).unwrap();
+    fleet.start(1, StateFolder::Existing).unwrap();
     assert!(blocked(&fleet, 1).is_some_and(|ms| ms <= 3_600_000));
     fleet.forwarders[1].ask(Ask::Unblock { network: network() }).unwrap();
     eventually("all unblock the network", || (0..3).all(|n| blocked(&fleet, n).is_none()));
@@ -249,7 +249,7 @@
         others.iter().any(|o| o.name == "c" && o.standing == "down")
     };
     assert!(declared_down(0) && declared_down(1));
-    fleet.forwarders[2].go_on();
+    fleet.forwarders[2].resume();
     let resumed = Instant::now();
     eventually("it has the current state", || {
         state_of(&fleet, 2, "p-1") == "active" && state_of(&fleet, 2, "p-2") == "draining"
@@ -278,7 +278,9 @@
         .lines()
         .map(|line| match line.split_once(" = ") {
             // The second process has its own state folder and, since this is a test, its own ports.
-            Some(("listen", _)) => format!("listen = \"{}\"\n", foldtrack_rig::fleet::own_address().unwrap()),
+            Some(("listen", _)) => {
+                format!("listen = \"{}\"\n", foldtrack_rig::fleet::unique_address().unwrap())
+            }
             Some(("state", _)) => format!("state = {:?}\n", folder.join("state")),
             _ => format!("{line}\n"),
         })
@@ -289,7 +291,7 @@
     let mut second = Command::new(PROGRAM).args(["serve", "--site"]).arg(&site).stderr(log).spawn().unwrap();
     eventually("the others report it", || {
         (1..3).any(|n| {
-            fleet.forwarders[n].whole_log().contains("two_processes: two processes run under the name a")
+            fleet.forwarders[n].full_log().contains("two_processes: two processes run under the name a")
         })
     });
     fleet.forwarders[0].ask(drain("p-1")).unwrap();
@@ -309,14 +311,14 @@
         let state = fleet.folder().join("b/state");
         fs::write(state.join("peers.redb"), noise).unwrap();
         fs::remove_file(state.join("membership")).unwrap();
-        fleet.start(1, FolderAs::Left).unwrap();
+        fleet.start(1, StateFolder::Existing).unwrap();
         assert_eq!(state_of(&fleet, 1, "p-1"), "draining");
     }
     assert!(fs::read_dir(fleet.folder().join("b/state"))
         .unwrap()
         .flatten()
         .any(|e| { e.file_name().to_string_lossy().starts_with("peers.redb.damaged-") }));
-    assert!(fleet.forwarders[1].whole_log().contains("set aside as"));
+    assert!(fleet.forwarders[1].full_log().contains("set aside as"));
 }
 
 /// A forwarder that reaches no other one reports for a while that it is not ready, and then continues with
@@ -325,14 +327,14 @@
 fn a_forwarder_without_reachable_peers_waits_for_its_timeout_and_continues_alone() {
     let (mut fleet, _partner) = fleet(3, true, "ready-within = \"2s\"");
     let before = Instant::now();
-    fleet.start(0, FolderAs::Left).unwrap();
+    fleet.start(0, StateFolder::Existing).unwrap();
     // The listener opens once the forwarder is ready.
     assert!(before.elapsed() >= Duration::from_secs(2), "{:?}", before.elapsed());
     eventually("it serves", || fleet.forwarders[0].is_healthy());
     let seen = fleet.forwarders[0].peers().unwrap();
     assert_eq!((seen.mode.as_str(), seen.there, seen.members, seen.majority), ("alone", 1, 3, 2));
     fleet.forwarders[0].ask(drain("p-1")).unwrap();
-    fleet.start(1, FolderAs::Left).unwrap();
+    fleet.start(1, StateFolder::Existing).unwrap();
     assert_eq!(state_of(&fleet, 1, "p-1"), "draining", "it served before it had caught up");
 }
 
@@ -343,7 +345,7 @@
     let site = fleet.forwarders[0].site();
     let whole = fs::read_to_string(&site).unwrap();
     fs::write(&site, whole.split("[peers]").next().unwrap()).unwrap();
-    fleet.start(0, FolderAs::Left).unwrap();
+    fleet.start(0, StateFolder::Existing).unwrap();
     fleet.forwarders[0].ask(drain("p-1")).unwrap();
     fleet.forwarders[0].kill();
     fs::write(&site, whole).unwrap();
@@ -413,11 +415,11 @@
 /// the drain.
 #[test]
 fn the_rig_detects_diverged_state() {
-    let mut story = Story::told("calm").unwrap();
+    let mut story = Scenario::built_in("calm").unwrap();
     story.lasts = Duration::from_secs(2);
-    story.steps.retain(|s| matches!(&s.what, What::Order(_, word, _) if word == "drain"));
-    let mut alone = Play::of("calm", story, 5, 1);
+    story.steps.retain(|s| matches!(&s.what, Action::Order(_, word, _) if word == "drain"));
+    let mut alone = RunConfig::new("calm", story, 5, 1);
     alone.peers = false;
-    let report = play(Path::new(PROGRAM), &alone, &Progress::default()).unwrap();
+    let report = run_scenario(Path::new(PROGRAM), &alone, &Progress::default()).unwrap();
     assert!(report.breaches.diverged == 1 && !report.is_clean(), "{report:?}");
 }
--- a/tests/site/admission.rs
+++ b/tests/site/admission.rs
@@ -4,7 +4,7 @@
 use super::floods::{flood, from, hand_in, hand_in_to, p99};
 use super::world::*;
 use foldtrack_control::{Ask, Clients, Told};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::io::{Read, Write};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -23,7 +23,7 @@
 }
 
 fn flooded(what: &str, addresses: &[String], admission: &'static str) {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.limits = "descriptors = 400\ncalls = 64";
     plan.admission = admission;
@@ -86,7 +86,7 @@
 /// What stands out of the flood is told once, and can be blocked, also over a restart.
 #[test]
 fn a_flood_is_seen_blocked_and_let_in_again() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.admission = "new-per-second = 5\nburst = 20";
     let mut site = Site::start(&plan);
@@ -126,9 +126,12 @@
 /// Descriptors run out with forwards in flight: these end, the control line answers, and accepting is what waits.
 #[test]
 fn what_was_taken_on_ends_when_descriptors_run_out() {
-    let conduct = Conduct { answers: (Duration::from_secs(2), Duration::from_secs(2)), ..Conduct::default() };
+    let conduct = PartnerBehavior {
+        answers: (Duration::from_secs(2), Duration::from_secs(2)),
+        ..PartnerBehavior::default()
+    };
     let partner = Partner::start(3, conduct);
-    let quick = Partner::start(4, Conduct::default());
+    let quick = Partner::start(4, PartnerBehavior::default());
     let mut plan = Plan::of(&[("p", "a", partner.address()), ("q", "b", quick.address())]);
     plan.limits = "descriptors = 400\ncalls = 64\ndisk = \"10MiB\"";
     plan.admission = "known = [\"127.0.9.0/24\"]";
@@ -169,7 +172,7 @@
 
 #[test]
 fn a_limit_that_is_too_small_is_told_before_anything_is_taken_on() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.limits = "descriptors = 400\ncalls = 64";
     let site = Site::prepared(&plan);
@@ -187,8 +190,10 @@
 #[test]
 fn all_who_draw_descriptors_together_stay_within_the_limit() {
     const LIMIT: usize = 104;
-    let conduct =
-        Conduct { answers: (Duration::from_millis(40), Duration::from_millis(60)), ..Conduct::default() };
+    let conduct = PartnerBehavior {
+        answers: (Duration::from_millis(40), Duration::from_millis(60)),
+        ..PartnerBehavior::default()
+    };
     let (p, q) = (Partner::start(3, conduct.clone()), Partner::start(4, conduct));
     let mut plan = Plan::of(&[("p", "a", p.address()), ("q", "b", q.address())]);
     plan.limits = "descriptors = 104\ncalls = 20";
@@ -228,7 +233,7 @@
 /// A client that takes a sip of its answers now and then holds its connection no longer than the floor allows.
 #[test]
 fn who_sips_at_its_answers_is_let_go() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.admission = "known = [\"127.0.9.0/24\"]";
     let site = Site::start(&plan);
@@ -261,7 +266,7 @@
 /// A hundred connections whose requests are refused, and that ask again at once.
 #[test]
 fn who_asks_again_at_once_holds_up_nobody() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.limits = "descriptors = 400\ncalls = 64";
     plan.admission =
--- a/tests/site/connections.rs
+++ b/tests/site/connections.rs
@@ -3,8 +3,8 @@
 
 use super::world::*;
 use foldtrack_control::Ask;
-use foldtrack_standin::http::{Closing, Reply, Server, OK};
-use foldtrack_standin::tls::{Authority, Front};
+use foldtrack_standin::http::{IdleClose, Reply, Server, OK};
+use foldtrack_standin::tls::{Authority, TlsFrontend};
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 
 /// Hands payments in, with gaps around a partner's idle time, the worst there can be: 0.5 to 1.25 of it, and now and then a
 /// tenth. Gives how many were written to a connection that it had dropped.
-fn around(site: &Site, server: &Server, name: &str, idle: u64, closing: Closing) -> usize {
+fn around(site: &Site, server: &Server, name: &str, idle: u64, closing: IdleClose) -> usize {
     server.drop_idle(Some((MS(idle), closing)));
-    let before = server.behind.load(Ordering::SeqCst);
+    let before = server.late_requests.load(Ordering::SeqCst);
     for call in 0..calls() {
         assert_eq!(site.post("fee", "", &format!("{name}-{call}"), "x").0, 202);
         let gap = if call % 5 == 0 { idle / 10 } else { idle / 2 + (call * 37 % 100) * idle * 3 / 400 };
         sleep(MS(gap));
     }
-    server.behind.load(Ordering::SeqCst) - before
+    server.late_requests.load(Ordering::SeqCst) - before
 }
 
 /// A partner that drops idle connections after a time that it does not tell and changes: what is written to one that it has
@@ -40,10 +40,10 @@
     let mut plan = Plan::of(&[("p", "a", server.address)]);
     plan.calls = "open-ahead = false";
     let site = Site::start(&plan);
-    let told = around(&site, &server, "told", 60, Closing::Told);
-    let sooner = around(&site, &server, "sooner", 30, Closing::Told);
+    let told = around(&site, &server, "told", 60, IdleClose::Fin);
+    let sooner = around(&site, &server, "sooner", 30, IdleClose::Fin);
     // Nobody sees these but by a message: a few are lost to learn it.
-    let silent = around(&site, &server, "silent", 50, Closing::Silent);
+    let silent = around(&site, &server, "silent", 50, IdleClose::Silent);
     let sent = 3 * calls();
     eventually("all have ended", || site.status().held == 0);
     let status = site.status();
@@ -63,7 +63,7 @@
 
 struct Far {
     server: Arc<Server>,
-    front: Arc<Front>,
+    front: Arc<TlsFrontend>,
     _folder: TempDir,
     lines: String,
 }
@@ -73,7 +73,7 @@
     let authority = Authority::new("far");
     let server = Server::start(|_| OK);
     let issued = authority.issue(&["far.example".into()], (2020, 2090));
-    let front = Front::start(server.address, Authority::server(&issued, None));
+    let front = TlsFrontend::start(server.address, Authority::server(&issued, None));
     front.delay(handshake);
     let folder = tempfile::tempdir().unwrap();
     let roots = folder.path().join("roots.pem");
--- a/tests/site/encrypted.rs
+++ b/tests/site/encrypted.rs
@@ -3,7 +3,7 @@
 use super::world::*;
 use foldtrack_control::{Ask, Told};
 use foldtrack_standin::http::{Reply, Server, OK};
-use foldtrack_standin::tls::{Authority, Front, Issued};
+use foldtrack_standin::tls::{Authority, Issued, TlsFrontend};
 use std::fs::{self, Permissions};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
 struct Pay {
     authority: Authority,
     server: Arc<Server>,
-    front: Arc<Front>,
+    front: Arc<TlsFrontend>,
     folder: TempDir,
 }
 
@@ -28,7 +28,7 @@
     fn start(issue: impl Fn(&Authority) -> Issued) -> Pay {
         let authority = Authority::new("the partner's");
         let server = Server::start(|_| OK);
-        let front = Front::start(server.address, Authority::server(&issue(&authority), None));
+        let front = TlsFrontend::start(server.address, Authority::server(&issue(&authority), None));
         let pay = Pay { authority, server, front, folder: tempfile::tempdir().unwrap() };
         pay.write("roots.pem", &pay.authority.pem, 0o644);
         pay
--- a/tests/site/kills.rs
+++ b/tests/site/kills.rs
@@ -3,9 +3,9 @@
 
 use super::world::*;
 use foldtrack_control::{Ask, Client};
-use foldtrack_standin::books::{judge, Fate};
+use foldtrack_standin::call_records::{check_rules, CallOutcome};
 use foldtrack_standin::http::{Server, OK};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -139,7 +139,8 @@
 
 /// A site whose journal compacts all the time, with a partner that fails some calls.
 fn small_site(durability: &'static str, budget: bool) -> (Site, Partner) {
-    let partner = Partner::start(7, Conduct { resets: 0.02, errors: 0.02, ..Conduct::default() });
+    let partner =
+        Partner::start(7, PartnerBehavior { resets: 0.02, errors: 0.02, ..PartnerBehavior::default() });
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.limits = "messages = 2000\ndisk = \"16MiB\"";
     plan.ends = "size = \"8MiB\"";
@@ -222,13 +223,13 @@
     for id in &taken {
         assert_eq!(by_id.get(id.as_str()).map(Vec::len), Some(1), "{id}: {:?}", by_id.get(id.as_str()));
     }
-    let books = partner.books();
-    let verdict = judge([&books]);
+    let books = partner.call_records();
+    let verdict = check_rules([&books]);
     assert!(verdict.twice.is_empty(), "{verdict:?}");
     let took: BTreeSet<&str> = books
         .calls
         .iter()
-        .filter(|c| matches!(c.fate, Fate::Took | Fate::Swallowed))
+        .filter(|c| matches!(c.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered))
         .map(|c| c.id.as_str())
         .collect();
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -10,9 +10,9 @@
 mod world;
 
 use foldtrack_control::{Ask, Told, Trouble};
-use foldtrack_standin::books::judge;
+use foldtrack_standin::call_records::check_rules;
 use foldtrack_standin::http::{Reply, Server, OK};
-use foldtrack_standin::{Conduct, Partner};
+use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -479,11 +479,11 @@
 }
 
 fn waits_and_comes_again(wait: Duration, memory: u64) {
-    let conduct = Conduct {
+    let conduct = PartnerBehavior {
         failing: 1.0,
-        kinds: vec![foldtrack_standin::Kind::ResetAfter],
+        kinds: vec![foldtrack_standin::FailureKind::ResetAfter],
         remembers: Duration::from_secs(memory),
-        ..Conduct::default()
+        ..PartnerBehavior::default()
     };
     let partner = Partner::start(5, conduct);
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
@@ -493,7 +493,7 @@
     assert_eq!(site.post("update", "k", "u1", "class=update;").0, 202);
     eventually("it is over", || site.state_of("u1") != "held");
     let end = site.get("/v1/messages/u1").1;
-    partner.conduct(|c| c.failing = 0.0);
+    partner.update_behavior(|c| c.failing = 0.0);
     sleep(wait);
     site.kill();
     site.start_again();
@@ -506,15 +506,20 @@
         None => assert!(answer == 409 && end["state"] == "in_doubt", "{wait:?}: {answer}, {end}"),
     }
     eventually("it is over again", || site.state_of("u1") != "held");
-    let verdict = judge([&partner.books()]);
-    assert_eq!((verdict.effects, verdict.twice.len()), (1, 0), "{wait:?}: {:?}", partner.books().calls);
+    let verdict = check_rules([&partner.call_records()]);
+    assert_eq!(
+        (verdict.effects, verdict.twice.len()),
+        (1, 0),
+        "{wait:?}: {:?}",
+        partner.call_records().calls
+    );
 }
 
 /// The sender is killed, and then the forwarder, while a file is handed in: run again, it hands in the rest, and
 /// nothing twice.
 #[test]
 fn a_file_is_handed_in_once_however_often_it_is_interrupted() {
-    let partner = Partner::start(3, Conduct::default());
+    let partner = Partner::start(3, PartnerBehavior::default());
     let mut site = Site::start(&Plan::of(&[("p", "a", partner.address())]));
     let file = site.folder.path().join("in.jsonl");
     let line = |n: usize| match n % 3 {
@@ -545,8 +550,8 @@
     let ended = second.wait_with_output().unwrap();
     let table = String::from_utf8_lossy(&ended.stdout).into_owned();
     eventually("all have ended", || site.status().held == 0);
-    let books = partner.books();
-    let verdict = judge([&books]);
+    let books = partner.call_records();
+    let verdict = check_rules([&books]);
     assert!(verdict.twice.is_empty() && verdict.out_of_order.is_empty(), "{verdict:?}");
     // What was out when the forwarder was killed may be in doubt, and may never have come; all else is delivered.
     let ids: BTreeSet<&str> = books.calls.iter().map(|c| c.id.as_str()).collect();
@@ -560,7 +565,7 @@
     }
     let again = site.run(&["send", file.to_str().unwrap(), "--partner", "p"]);
     assert!(String::from_utf8_lossy(&again.stderr).contains(&format!("{count} lines were taken on before")));
-    assert_eq!(judge([&partner.books()]), verdict);
+    assert_eq!(check_rules([&partner.call_records()]), verdict);
 }
 
 #[test]
@@ -593,7 +598,8 @@
 /// With `durability = "machine"` every answer, call and end waits for a sync; they share it, and all ends the same.
 #[test]
 fn what_waits_for_the_disk_is_answered_sent_and_told_all_the_same() {
-    let partner = Partner::start(5, Conduct { answers: (MS(0), MS(1)), ..Conduct::default() });
+    let partner =
+        Partner::start(5, PartnerBehavior { answers: (MS(0), MS(1)), ..PartnerBehavior::default() });
     let mut plan = Plan::of(&[("p", "a", partner.address())]);
     plan.durability = "machine";
     let mut site = Site::start(&plan);
@@ -613,7 +619,7 @@
     });
     eventually("all ends", || site.status().delivered == 240);
     // On a slow machine some may have been sent again, to a partner that knows their keys.
-    let verdict = judge([&partner.books()]);
+    let verdict = check_rules([&partner.call_records()]);
     assert!(verdict.effects == 240 && verdict.is_clean(), "{verdict:?}");
     let told = String::from_utf8(site.run(&["ends"]).stdout).unwrap();
     assert_eq!(told.lines().count(), 240);
