--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1,13 +1,14 @@
-//! A play: a story on a fleet of real processes, under load, judged from the books of partners and clients.
+//! Runs a scenario on a fleet of real processes under load, and checks the rules from the records of partners, clients and
+//! relays.
 
-use crate::clients::{self, CallRecords as ClientBooks, Load, Taken};
+use crate::clients::{self, AcceptedMessage, ClientRecords, Load};
 use crate::faults::Faults;
 use crate::fleet::{get, Fleet, FleetConfig, PartnerEntry, StateFolder};
 use crate::net::{Call, LinkName, LinkTraffic, Wait};
 use crate::report::{Drain, Report, Violations};
 use crate::scenario::{Action, Scenario, Step};
 use crate::sched_delay::{SchedDelayMonitor, SchedDelays};
-use foldtrack_control::Ask;
+use foldtrack_control::ControlCommand;
 use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords, RuleCheck, WAIT_GRACE};
 use foldtrack_standin::{Partner, PartnerBehavior};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -18,67 +19,65 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-/// After the load: by when all that was taken on has ended, and all have the same picture.
-const OVER: Duration = Duration::from_secs(14);
-const SAME: Duration = Duration::from_secs(12);
-const LOOK: Duration = Duration::from_millis(25);
+/// How long after the load the accepted messages may take to finish.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(14);
+/// How long after the end of all faults the forwarders may take to reach the same state.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Interval at which the forwarders are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Classes and limits of the rig's sites. Deadlines are short, so that a play is.
-const TOP: &str = "durability = \"process\"\n[limits]\nmessages = 4000\ndisk = \"256MiB\"\n\
+/// Classes and limits in the site files. Deadlines are short to keep runs short.
+const SITE_LINES: &str = "durability = \"process\"\n[limits]\nmessages = 4000\ndisk = \"256MiB\"\n\
     [admission]\nknown = [\"127.0.0.0/8\"]\n\
     [class.update]\neffect = \"keyed\"\nremembered = \"20s\"\nordered = true\naim = \"1s\"\ndeadline = \"8s\"\n\
     [class.payment]\neffect = \"once\"\naim = \"1s\"\ndeadline = \"8s\"\nworth = 3\n\
     [class.notice]\neffect = \"repeatable\"\naim = \"1s\"\ndeadline = \"8s\"\n";
 
-/// What is played.
+/// What to run.
 #[derive(Clone, Debug)]
 pub struct RunConfig {
-    /// The story's name, for the report.
+    /// Name of the scenario, for the report.
     pub name: String,
-    /// The story.
+    /// The scenario.
     pub scenario: Scenario,
-    /// How many forwarders.
+    /// Number of forwarders.
     pub forwarders: usize,
-    /// Sets all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// They know of each other; without it they are as separate installations, for comparisons.
+    /// Whether the forwarders are peers of each other. Otherwise they are separate installations, for comparison.
     pub peers: bool,
-    /// Further lines of `[peers]`.
+    /// Additional lines of `[peers]`.
     pub peers_lines: String,
 }
 
 impl RunConfig {
-    /// A story as it is told.
-    pub fn new(name: &str, story: Scenario, forwarders: usize, seed: u64) -> RunConfig {
-        RunConfig {
-            name: name.into(),
-            scenario: story,
-            forwarders,
-            seed,
-            peers: true,
-            peers_lines: String::new(),
-        }
+    /// A run of a scenario with peers and without further settings.
+    pub fn new(name: &str, scenario: Scenario, forwarders: usize, seed: u64) -> RunConfig {
+        RunConfig { name: name.into(), scenario, forwarders, seed, peers: true, peers_lines: String::new() }
     }
 }
 
-/// How far a play has come, for whoever watches.
+/// Progress of a run, for a progress bar.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// What is being done.
+    /// Description of the present activity.
     pub activity: Mutex<String>,
-    /// Part of the whole, in thousandths.
+    /// Completed share in thousandths.
     pub per_mille: AtomicU64,
 }
 
 impl Progress {
-    fn at(&self, doing: &str, part: f64) {
-        *self.activity.lock().unwrap_or_else(PoisonError::into_inner) = doing.to_string();
-        self.per_mille.store((part * 1000.0) as u64, Ordering::Relaxed);
+    fn set(&self, activity: &str, share: f64) {
+        *self.activity.lock().unwrap_or_else(PoisonError::into_inner) = activity.to_string();
+        self.per_mille.store((share * 1000.0) as u64, Ordering::Relaxed);
     }
 }
 
-/// The partners of a rig: name, weight of its messages, conduct, endpoints, lines of the site file.
-fn partners(seed: u64) -> Vec<(&'static str, u32, Partner, usize, &'static str)> {
+/// A partner of the rig: name, weight of its messages, server, number of endpoints, additional lines of the site file.
+type RigPartner = (&'static str, u32, Partner, usize, &'static str);
+
+/// Starts the partners of a rig.
+fn partners(seed: u64) -> Vec<RigPartner> {
     let ms = Duration::from_millis;
     let remembers = Duration::from_secs(30);
     let steady = PartnerBehavior { answers: (ms(2), ms(15)), remembers, ..PartnerBehavior::default() };
@@ -109,131 +108,139 @@
     (1..=count).map(move |n| format!("{partner}-{n}"))
 }
 
-/// Plays a story.
+/// Runs a scenario and checks the rules.
 ///
 /// # Errors
-/// The play itself could not be done, in a line: that is no verdict on the forwarders.
-pub fn run_scenario(program: &Path, play: &RunConfig, progress: &Progress) -> Result<Report, String> {
-    let RunConfig { scenario: story, forwarders, seed, .. } = play;
-    if *forwarders < story.forwarders {
-        return Err(format!("the story needs {} forwarders", story.forwarders));
+/// The run itself failed; this says nothing about the forwarders.
+pub fn run_scenario(program: &Path, config: &RunConfig, progress: &Progress) -> Result<Report, String> {
+    let RunConfig { scenario, forwarders, seed, .. } = config;
+    if *forwarders < scenario.forwarders {
+        return Err(format!("the scenario needs {} forwarders", scenario.forwarders));
     }
-    progress.at("starting", 0.0);
+    progress.set("starting", 0.0);
     let partners = partners(*seed);
-    let listed = partners.iter().map(|(name, _, partner, endpoints, lines)| PartnerEntry {
+    let entries = partners.iter().map(|(name, _, partner, endpoints, lines)| PartnerEntry {
         name: name.to_string(),
         endpoints: endpoints_of(name, *endpoints).map(|endpoint| (endpoint, partner.address())).collect(),
         lines: lines.to_string(),
     });
-    let plan = FleetConfig {
+    let fleet_config = FleetConfig {
         forwarders: *forwarders,
-        partners: listed.collect(),
-        top: TOP.into(),
-        peers: play.peers,
-        peers_lines: play.peers_lines.clone(),
-        clocks: story.clocks.clone(),
+        partners: entries.collect(),
+        top: SITE_LINES.into(),
+        peers: config.peers,
+        peers_lines: config.peers_lines.clone(),
+        clocks: scenario.clocks.clone(),
     };
-    let mut fleet = Fleet::prepare(program, &plan, *seed)?;
+    let mut fleet = Fleet::prepare(program, &fleet_config, *seed)?;
     fleet.start_all()?;
-    // The links' own faults begin once all have met.
-    let own: Vec<LinkName> = own_links(&fleet);
-    own.iter().for_each(|name| fleet.net.update_faults(name, |f| *f = story.links.clone()));
+    // The initial faults of the links begin once all forwarders have connected to each other.
+    let links: Vec<LinkName> = peer_links(&fleet);
+    links.iter().for_each(|name| fleet.net.update_faults(name, |f| *f = scenario.links.clone()));
 
-    let listens: Vec<SocketAddr> = fleet.forwarders.iter().map(|f| f.listen).collect();
-    let shares: Vec<(String, u32)> =
+    let addresses: Vec<SocketAddr> = fleet.forwarders.iter().map(|f| f.listen).collect();
+    let weights: Vec<(String, u32)> =
         partners.iter().map(|(name, weight, ..)| (name.to_string(), *weight)).collect();
-    let over = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let load = Load {
-        to: &listens,
-        rate: story.rate,
-        lasts: story.lasts,
+        forwarders: &addresses,
+        rate: scenario.rate,
+        duration: scenario.lasts,
         seed: *seed,
-        elsewhere: story.elsewhere,
-        lost_answers: story.lost_answers,
-        partners: &shares,
-        over: &over,
+        failover: scenario.elsewhere,
+        lost_answers: scenario.lost_answers,
+        partners: &weights,
+        stop: &stop,
+    };
+    let started = Instant::now();
+    let monitor = SchedDelayMonitor::start();
+    let mut closed = ClosedSeen::default();
+    let mut runner = ScenarioRunner {
+        fleet: &mut fleet,
+        links,
+        scenario,
+        partners: &partners,
+        drains: Vec::new(),
+        started,
     };
-    let begun = Instant::now();
-    let watch = SchedDelayMonitor::start();
-    let mut told = Tellings::default();
-    let mut stage =
-        ScenarioRunner { fleet: &mut fleet, own, story, partners: &partners, drains: Vec::new(), begun };
-    let (books, played) = scope(|scope| {
-        let clients = scope.spawn(|| clients::hand_in(&load));
-        let played = stage.act(&mut told, progress);
-        if played.is_err() {
-            over.store(true, Ordering::Relaxed);
+    let (client_records, steps) = scope(|scope| {
+        let clients = scope.spawn(|| clients::run_clients(&load));
+        let steps = runner.run_steps(&mut closed, progress);
+        if steps.is_err() {
+            stop.store(true, Ordering::Relaxed);
         }
-        (clients.join().unwrap_or_default(), played)
+        (clients.join().unwrap_or_default(), steps)
     });
-    played?;
-    let drains = std::mem::take(&mut stage.drains);
-
-    // Everybody is there again, and nothing stands between them.
-    progress.at("coming together", 0.7);
-    let since = Instant::now();
-    let own = own_links(&fleet);
-    own.iter().for_each(|name| fleet.net.update_faults(name, |f| *f = Faults::default()));
-    for place in 0..fleet.forwarders.len() {
-        if fleet.forwarders[place].is_stopped() {
-            fleet.forwarders[place].resume();
+    steps?;
+    let drains = std::mem::take(&mut runner.drains);
+
+    // End all faults and bring every forwarder back.
+    progress.set("waiting for convergence", 0.7);
+    let healed_at = Instant::now();
+    let links = peer_links(&fleet);
+    links.iter().for_each(|name| fleet.net.update_faults(name, |f| *f = Faults::default()));
+    for index in 0..fleet.forwarders.len() {
+        if fleet.forwarders[index].is_stopped() {
+            fleet.forwarders[index].resume();
         }
-        fleet.forwarders[place].wait_for_end();
-        if !fleet.forwarders[place].is_running() {
-            fleet.start(place, StateFolder::Existing)?;
+        fleet.forwarders[index].wait_for_exit();
+        if !fleet.forwarders[index].is_running() {
+            fleet.start(index, StateFolder::Existing)?;
         }
     }
-    // Those that do not know of each other have nothing to wait for.
-    let within = if play.peers { SAME } else { Duration::ZERO };
-    let together = converge(&fleet, &mut told, &drains, since, within);
-    progress.at("waiting for all ends", 0.85);
-    wait_for_ends(&fleet);
-    progress.at("reading the books", 0.98);
-    let judged = judge_all(&fleet, &partners, &books, &drains, &told, &watch.end())?;
-    progress.at("over", 1.0);
-    let mut report = judged;
-    report.scenario = play.name.clone();
+    // Without peers there is no convergence to wait for.
+    let within = if config.peers { CONVERGENCE_TIMEOUT } else { Duration::ZERO };
+    let convergence = converge(&fleet, &mut closed, &drains, healed_at, within);
+    progress.set("waiting for messages to finish", 0.85);
+    wait_until_finished(&fleet);
+    progress.set("checking the rules", 0.98);
+    let mut report = check_run(&fleet, &partners, &client_records, &drains, &closed, &monitor.finish())?;
+    progress.set("finished", 1.0);
+    report.scenario = config.name.clone();
     report.seed = *seed;
     report.forwarders = *forwarders;
-    report.least = story.least;
+    report.least = scenario.least;
     (report.breaches.diverged, report.converged_ms) =
-        (together.0, together.1.unwrap_or(SAME.as_millis() as u64));
+        (convergence.0, convergence.1.unwrap_or(CONVERGENCE_TIMEOUT.as_millis() as u64));
     Ok(report)
 }
 
-fn own_links(fleet: &Fleet) -> Vec<LinkName> {
+/// The links between forwarders.
+fn peer_links(fleet: &Fleet) -> Vec<LinkName> {
     let names: BTreeSet<&String> = fleet.forwarders.iter().map(|f| &f.name).collect();
     fleet.net.names().filter(|(a, b)| names.contains(a) && names.contains(b)).cloned().collect()
 }
 
-/// When each forwarder was first seen to have closed, or opened again, an endpoint: by drain.
-type Tellings = HashMap<(usize, usize), Instant>;
+/// When each forwarder was first seen to have closed an endpoint, by the indices of drain and forwarder.
+type ClosedSeen = HashMap<(usize, usize), Instant>;
 
+/// Runs the steps of a scenario on a fleet.
 struct ScenarioRunner<'a> {
     fleet: &'a mut Fleet,
-    own: Vec<LinkName>,
-    story: &'a Scenario,
-    partners: &'a [(&'static str, u32, Partner, usize, &'static str)],
+    links: Vec<LinkName>,
+    scenario: &'a Scenario,
+    partners: &'a [RigPartner],
     drains: Vec<Drain>,
-    begun: Instant,
+    started: Instant,
 }
 
 impl ScenarioRunner<'_> {
-    /// Has happen what happens, and looks meanwhile who has been told of which drain.
-    fn act(&mut self, told: &mut Tellings, progress: &Progress) -> Result<(), String> {
-        let mut steps = self.story.steps.clone().into_iter().peekable();
-        let mut returns: Vec<(Instant, String)> = Vec::new();
-        while self.begun.elapsed() < self.story.lasts || steps.peek().is_some() || !returns.is_empty() {
-            let part = self.begun.elapsed().as_secs_f64() / self.story.lasts.as_secs_f64();
-            let mut doing = "messages go in".to_string();
-            while let Some(step) = steps.next_if(|s| s.at <= self.begun.elapsed()) {
-                doing = what_is_done(&step);
-                if let Some(back) = self.step(step)? {
-                    returns.push(back);
+    /// Runs the steps when they are due, and records meanwhile which forwarder has applied which drain.
+    fn run_steps(&mut self, closed: &mut ClosedSeen, progress: &Progress) -> Result<(), String> {
+        let mut steps = self.scenario.steps.clone().into_iter().peekable();
+        let mut recoveries: Vec<(Instant, String)> = Vec::new();
+        while self.started.elapsed() < self.scenario.lasts || steps.peek().is_some() || !recoveries.is_empty()
+        {
+            let share = self.started.elapsed().as_secs_f64() / self.scenario.lasts.as_secs_f64();
+            let mut activity = "submitting messages".to_string();
+            while let Some(step) = steps.next_if(|s| s.at <= self.started.elapsed()) {
+                activity = describe(&step);
+                if let Some(recovery) = self.step(step)? {
+                    recoveries.push(recovery);
                 }
             }
-            progress.at(&doing, 0.05 + 0.65 * part.min(1.0));
-            returns.retain(|(at, partner)| {
+            progress.set(&activity, 0.05 + 0.65 * share.min(1.0));
+            recoveries.retain(|(at, partner)| {
                 let due = Instant::now() >= *at;
                 if due {
                     self.partners
@@ -243,31 +250,34 @@
                 }
                 !due
             });
-            look(self.fleet, &self.drains, told);
-            sleep(LOOK);
+            poll_drains(self.fleet, &self.drains, closed);
+            sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
+    /// Runs a step. Returns when and which partner is to recover, if the step silences one.
     fn step(&mut self, step: Step) -> Result<Option<(Instant, String)>, String> {
-        let story = &self.story.links;
+        let initial = &self.scenario.links;
         match step.what {
             Action::Cut(groups) => {
-                let side =
+                let group_of =
                     |name: &String| groups.iter().position(|g| g.contains(name)).unwrap_or(groups.len() - 1);
-                for name in &self.own {
-                    let apart = side(&name.0) != side(&name.1);
+                for name in &self.links {
+                    let apart = group_of(&name.0) != group_of(&name.1);
                     self.fleet.net.update_faults(name, |f| f.cut = apart);
                 }
             }
             Action::CutOneWay(from, to) => {
-                for who in [&from, &to] {
-                    self.fleet.index_of(who)?;
+                for name in [&from, &to] {
+                    self.fleet.index_of(name)?;
                 }
                 self.fleet.net.update_faults(&(from, to), |f| f.cut = true);
             }
             Action::Heal(_) => {
-                self.own.iter().for_each(|name| self.fleet.net.update_faults(name, |f| *f = story.clone()));
+                self.links
+                    .iter()
+                    .for_each(|name| self.fleet.net.update_faults(name, |f| *f = initial.clone()));
             }
             Action::Hold(who) | Action::Release(who) if self.fleet.index_of(&who).is_err() => {
                 return Err(format!("there is no forwarder {who}"));
@@ -275,78 +285,82 @@
             Action::Hold(who) => self.hold(&who, true),
             Action::Release(who) => self.hold(&who, false),
             Action::Links(faults) => {
-                self.own.iter().for_each(|name| self.fleet.net.update_faults(name, |f| *f = faults.clone()));
+                self.links
+                    .iter()
+                    .for_each(|name| self.fleet.net.update_faults(name, |f| *f = faults.clone()));
             }
             Action::Kill(who) => {
-                let place = self.fleet.index_of(&who)?;
-                self.fleet.forwarders[place].kill();
+                let index = self.fleet.index_of(&who)?;
+                self.fleet.forwarders[index].kill();
             }
             Action::Terminate(who) => {
-                let place = self.fleet.index_of(&who)?;
-                self.fleet.forwarders[place].terminate();
+                let index = self.fleet.index_of(&who)?;
+                self.fleet.forwarders[index].terminate();
             }
             Action::Stop(who) => {
-                let place = self.fleet.index_of(&who)?;
-                self.fleet.forwarders[place].stop();
+                let index = self.fleet.index_of(&who)?;
+                self.fleet.forwarders[index].stop();
             }
             Action::GoOn(who) => {
-                let place = self.fleet.index_of(&who)?;
-                self.fleet.forwarders[place].resume();
+                let index = self.fleet.index_of(&who)?;
+                self.fleet.forwarders[index].resume();
             }
             Action::Start(who) => self.start(&who, StateFolder::Existing)?,
             Action::StartEmpty(who) => self.start(&who, StateFolder::Empty)?,
             Action::StartBackup(who) => self.start(&who, StateFolder::Backup)?,
             Action::Backup(who) => {
-                let place = self.fleet.index_of(&who)?;
-                self.fleet.forwarders[place].backup()?;
+                let index = self.fleet.index_of(&who)?;
+                self.fleet.forwarders[index].backup()?;
             }
             Action::Order(who, word, name) => self.order(&who, &word, &name)?,
-            Action::Silent(partner, span) => {
-                let span = humantime::parse_duration(&span).map_err(|e| e.to_string())?;
+            Action::Silent(partner, duration) => {
+                let duration = humantime::parse_duration(&duration).map_err(|e| e.to_string())?;
                 let known = self.partners.iter().find(|p| p.0 == partner);
                 let known = known.ok_or_else(|| format!("there is no partner {partner}"))?;
                 known.2.update_behavior(|c| c.silent = true);
-                return Ok(Some((Instant::now() + span, partner)));
+                return Ok(Some((Instant::now() + duration, partner)));
             }
         }
         Ok(None)
     }
 
+    /// Holds or releases all links from and to a forwarder.
     fn hold(&mut self, who: &str, hold: bool) {
-        for name in self.own.iter().filter(|(a, b)| a == who || b == who) {
+        for name in self.links.iter().filter(|(a, b)| a == who || b == who) {
             self.fleet.net.update_faults(name, |f| f.hold = hold);
         }
     }
 
     fn start(&mut self, who: &str, folder: StateFolder) -> Result<(), String> {
-        let place = self.fleet.index_of(who)?;
-        self.fleet.start(place, folder)
+        let index = self.fleet.index_of(who)?;
+        self.fleet.start(index, folder)
     }
 
+    /// Gives an operator's order to a forwarder.
     fn order(&mut self, who: &str, word: &str, name: &str) -> Result<(), String> {
-        let place = self.fleet.index_of(who)?;
-        let ask = match word {
-            "drain" => Ask::Drain { endpoint: name.into() },
-            "resume" => Ask::Resume { endpoint: Some(name.into()), partner: None },
-            "resume-partner" => Ask::Resume { endpoint: None, partner: Some(name.into()) },
-            "pause" => Ask::Pause { partner: name.into() },
-            _ => Ask::Remove { endpoint: name.into() },
+        let index = self.fleet.index_of(who)?;
+        let command = match word {
+            "drain" => ControlCommand::Drain { endpoint: name.into() },
+            "resume" => ControlCommand::Resume { endpoint: Some(name.into()), partner: None },
+            "resume-partner" => ControlCommand::Resume { endpoint: None, partner: Some(name.into()) },
+            "pause" => ControlCommand::Pause { partner: name.into() },
+            _ => ControlCommand::Remove { endpoint: name.into() },
         };
         let at = Instant::now();
-        let kept = self.fleet.forwarders[place].ask(ask);
+        let result = self.fleet.forwarders[index].ask(command);
         let endpoints = |name: &str| -> Vec<String> {
             let of = self.partners.iter().find(|p| p.0 == name);
             of.map_or(vec![name.to_string()], |p| endpoints_of(name, p.3).collect())
         };
         match word {
             "drain" | "pause" | "remove" => {
-                kept.map_err(|e| format!("{who} refuses to {word} {name}: {e}"))?;
+                result.map_err(|e| format!("{who} refuses to {word} {name}: {e}"))?;
                 for endpoint in endpoints(name) {
-                    self.drains.push(Drain { endpoint, by: place, at, until: None });
+                    self.drains.push(Drain { endpoint, by: index, at, until: None });
                 }
             }
-            // Whether a resume is let through depends on who can be reached: a story may ask for one that is not.
-            _ if kept.is_ok() => {
+            // Whether a resume is accepted depends on which peers can be reached, so a scenario may order one that is refused.
+            _ if result.is_ok() => {
                 for endpoint in endpoints(name) {
                     let open = self.drains.iter_mut().filter(|d| d.endpoint == endpoint && d.until.is_none());
                     open.for_each(|d| d.until = Some(at));
@@ -358,60 +372,62 @@
     }
 }
 
-fn what_is_done(step: &Step) -> String {
+/// Describes a step, for the progress bar.
+fn describe(step: &Step) -> String {
     match &step.what {
         Action::Cut(groups) => {
-            let sides: Vec<String> = groups.iter().map(|g| g.join(" ")).collect();
-            format!("cut: {}", sides.join(" | "))
+            let groups: Vec<String> = groups.iter().map(|g| g.join(" ")).collect();
+            format!("cut: {}", groups.join(" | "))
         }
-        Action::CutOneWay(from, to) => format!("{from} can't reach {to}"),
-        Action::Heal(_) => "the links are sound again".into(),
-        Action::Order(who, word, name) => format!("{who} is told to {word} {name}"),
+        Action::CutOneWay(from, to) => format!("{from} cannot reach {to}"),
+        Action::Heal(_) => "the links are healed".into(),
+        Action::Order(who, word, name) => format!("{who}: {word} {name}"),
         Action::Kill(who) => format!("{who} is killed"),
-        Action::Terminate(who) => format!("{who} is told to end"),
+        Action::Terminate(who) => format!("{who} is sent SIGTERM"),
         Action::Stop(who) => format!("{who} is stopped"),
-        Action::GoOn(who) => format!("{who} goes on"),
-        Action::Start(who) => format!("{who} is started again"),
-        Action::StartEmpty(who) => format!("{who} is started on an empty folder"),
-        Action::StartBackup(who) => format!("{who} is started on an old copy of its folder"),
+        Action::GoOn(who) => format!("{who} is resumed"),
+        Action::Start(who) => format!("{who} is restarted"),
+        Action::StartEmpty(who) => format!("{who} is restarted with an empty folder"),
+        Action::StartBackup(who) => format!("{who} is restarted with an old copy of its folder"),
         Action::Backup(who) => format!("the folder of {who} is copied"),
-        Action::Silent(partner, span) => format!("{partner} is silent for {span}"),
-        Action::Hold(who) => format!("what goes to and from {who} is held"),
-        Action::Release(who) => format!("what goes to and from {who} is let go"),
-        Action::Links(_) => "the links change".into(),
+        Action::Silent(partner, duration) => format!("{partner} does not respond for {duration}"),
+        Action::Hold(who) => format!("all traffic of {who} is held"),
+        Action::Release(who) => format!("all traffic of {who} is released"),
+        Action::Links(_) => "the faults of the links change".into(),
     }
 }
 
-/// Notes who has been told of which drain by now. Seen a little later than it was: what is judged by it is judged more
-/// mildly by as much.
-fn look(fleet: &Fleet, drains: &[Drain], told: &mut Tellings) {
-    for place in 0..fleet.forwarders.len() {
-        let open = |d: &usize| !told.contains_key(&(*d, place)) && drains[*d].until.is_none();
-        let wanted: Vec<usize> = (0..drains.len()).filter(open).collect();
-        if wanted.is_empty() || fleet.forwarders[place].is_stopped() {
+/// Records which forwarder has applied which drain by now. A forwarder may have applied it up to one polling interval
+/// earlier, so the check is more lenient by as much.
+fn poll_drains(fleet: &Fleet, drains: &[Drain], closed: &mut ClosedSeen) {
+    for index in 0..fleet.forwarders.len() {
+        let open = |d: &usize| !closed.contains_key(&(*d, index)) && drains[*d].until.is_none();
+        let pending: Vec<usize> = (0..drains.len()).filter(open).collect();
+        if pending.is_empty() || fleet.forwarders[index].is_stopped() {
             continue;
         }
-        let Some(endpoints) = fleet.forwarders[place].endpoints() else { continue };
-        for drain in wanted {
-            let closed = endpoints.get(&drains[drain].endpoint).is_none_or(|e| e.state != "active");
-            if closed {
-                told.insert((drain, place), Instant::now());
+        let Some(endpoints) = fleet.forwarders[index].endpoints() else { continue };
+        for drain in pending {
+            let is_closed = endpoints.get(&drains[drain].endpoint).is_none_or(|e| e.state != "active");
+            if is_closed {
+                closed.insert((drain, index), Instant::now());
             }
         }
     }
 }
 
-/// A forwarder's picture: its ledger, and what it has made of it.
-type Seen = (String, Vec<(String, String)>);
+/// State of a forwarder: the digest of its orders, and the state of each endpoint.
+type FleetView = (String, Vec<(String, String)>);
 
-/// Waits until all have the same picture: how many differ in the end, and how long it took.
+/// Waits until all forwarders have the same state. Returns how many differ in the end, and after how many milliseconds all were
+/// equal.
 fn converge(
-    fleet: &Fleet, told: &mut Tellings, drains: &[Drain], since: Instant, within: Duration,
+    fleet: &Fleet, closed: &mut ClosedSeen, drains: &[Drain], healed_at: Instant, within: Duration,
 ) -> (u64, Option<u64>) {
     loop {
-        look(fleet, drains, told);
-        let mut pictures: BTreeMap<Seen, u64> = BTreeMap::new();
-        let mut unseen = 0;
+        poll_drains(fleet, drains, closed);
+        let mut views: BTreeMap<FleetView, u64> = BTreeMap::new();
+        let mut unreachable = 0;
         for forwarder in &fleet.forwarders {
             if forwarder.peers().is_some_and(|p| p.mode == "displaced") {
                 continue;
@@ -420,74 +436,80 @@
                 Some(endpoints) => {
                     let states = endpoints.into_values().map(|e| (e.name, e.state)).collect();
                     let digest = forwarder.site_state().map_or(String::new(), |s| s.digest);
-                    *pictures.entry((digest, states)).or_default() += 1;
+                    *views.entry((digest, states)).or_default() += 1;
                 }
-                None => unseen += 1,
+                None => unreachable += 1,
             }
         }
-        let most = pictures.values().copied().max().unwrap_or(0);
-        let apart = pictures.values().sum::<u64>() - most + unseen;
-        if apart == 0 {
-            return (0, Some(since.elapsed().as_millis() as u64));
+        let largest = views.values().copied().max().unwrap_or(0);
+        let diverged = views.values().sum::<u64>() - largest + unreachable;
+        if diverged == 0 {
+            return (0, Some(healed_at.elapsed().as_millis() as u64));
         }
-        if since.elapsed() > within {
-            return (apart, None);
+        if healed_at.elapsed() > within {
+            return (diverged, None);
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
 
-fn wait_for_ends(fleet: &Fleet) {
-    let by = Instant::now() + OVER;
-    while Instant::now() < by {
+/// Waits until no forwarder holds a message, or the time is up.
+fn wait_until_finished(fleet: &Fleet) {
+    let deadline = Instant::now() + FINISH_TIMEOUT;
+    while Instant::now() < deadline {
         if fleet.forwarders.iter().all(|f| f.status().is_some_and(|s| s.held == 0)) {
             return;
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
 
-/// Every end that a forwarder keeps: by id, how it ended, each as often as it was told.
+/// Reads all outcomes that a forwarder keeps: by message id, the state of each outcome reported for it.
 ///
 /// # Errors
-/// They could not be read.
+/// The outcomes could not be read.
 pub fn ends(listen: SocketAddr) -> Result<BTreeMap<String, Vec<String>>, String> {
     let mut ends: BTreeMap<String, Vec<String>> = BTreeMap::new();
     let mut after = String::new();
     loop {
         let path = format!("/v1/ends?peek=1&wait_ms=0{after}");
-        let (status, body) = get(listen, &path).ok_or("the ends could not be read")?;
-        let told: serde_json::Value =
-            serde_json::from_str(&body).map_err(|e| format!("the ends: {status}: {e}"))?;
-        let lines = told["ends"].as_array().cloned().unwrap_or_default();
+        let (status, body) = get(listen, &path).ok_or("the outcomes could not be read")?;
+        let response: serde_json::Value = serde_json::from_str(&body)
+            .map_err(|e| format!("the outcomes could not be read: status {status}: {e}"))?;
+        let lines = response["ends"].as_array().cloned().unwrap_or_default();
         if lines.is_empty() {
             return Ok(ends);
         }
         for line in lines {
-            let word = |name: &str| line[name].as_str().unwrap_or("").to_string();
-            ends.entry(word("id")).or_default().push(word("state"));
+            let field = |name: &str| line[name].as_str().unwrap_or("").to_string();
+            ends.entry(field("id")).or_default().push(field("state"));
         }
-        after = format!("&after={}", told["cursor"]);
+        after = format!("&after={}", response["cursor"]);
     }
 }
 
-fn judge_all(
-    fleet: &Fleet, partners: &[(&'static str, u32, Partner, usize, &'static str)], clients: &ClientBooks,
-    drains: &[Drain], told: &Tellings, late: &SchedDelays,
+/// Checks the rules from all records. Does not check convergence.
+fn check_run(
+    fleet: &Fleet, partners: &[RigPartner], clients: &ClientRecords, drains: &[Drain], closed: &ClosedSeen,
+    delays: &SchedDelays,
 ) -> Result<Report, String> {
-    let books: Vec<CallRecords> = partners.iter().map(|p| p.2.call_records()).collect();
-    let RuleCheck { effects, mut twice, out_of_order, fell_over, calls, .. } = check_rules(&books);
-    // A notice may take effect as often as it likes.
-    let notices: BTreeSet<&str> =
-        books.iter().flat_map(|b| &b.calls).filter(|c| c.class == "notice").map(|c| c.id.as_str()).collect();
+    let records: Vec<CallRecords> = partners.iter().map(|p| p.2.call_records()).collect();
+    let RuleCheck { effects, mut twice, out_of_order, fell_over, calls, .. } = check_rules(&records);
+    // A notice is repeatable: it may take effect more than once.
+    let notices: BTreeSet<&str> = records
+        .iter()
+        .flat_map(|r| &r.calls)
+        .filter(|c| c.class == "notice")
+        .map(|c| c.id.as_str())
+        .collect();
     twice.retain(|id| !notices.contains(id.as_str()));
     let mut by_forwarder = Vec::new();
     for forwarder in &fleet.forwarders {
         by_forwarder.push(ends(forwarder.listen)?);
     }
-    let (mut ended, mut lost, mut with_machine, mut doubled) = (0, Vec::new(), 0, 0);
+    let (mut ended, mut lost, mut lost_with_machine, mut doubled) = (0, Vec::new(), 0, 0);
     let mut seen: BTreeSet<(&str, usize)> = BTreeSet::new();
-    for Taken { id, by, at, .. } in &clients.taken {
+    for AcceptedMessage { id, forwarder: by, accepted_at: at, .. } in &clients.accepted {
         if !seen.insert((id, *by)) {
             continue;
         }
@@ -496,9 +518,11 @@
             .map_or(0, |ends| ends.iter().filter(|e| *e != "handed_back").count().max(1));
         let elsewhere = by_forwarder.iter().any(|ends| ends.contains_key(id));
         match here {
-            // A 202 may have been for what another forwarder holds.
+            // The 202 may have been for a message that another forwarder holds.
             0 if elsewhere => ended += 1,
-            0 if fleet.forwarders[*by].replaced.is_some_and(|replaced| replaced > *at) => with_machine += 1,
+            0 if fleet.forwarders[*by].replaced.is_some_and(|replaced| replaced > *at) => {
+                lost_with_machine += 1
+            }
             0 => lost.push(id.clone()),
             1 => ended += 1,
             _ => doubled += 1,
@@ -507,8 +531,8 @@
     let mut after_drain = 0;
     let mut slowest = Duration::ZERO;
     for (n, drain) in drains.iter().enumerate() {
-        for (place, forwarder) in fleet.forwarders.iter().enumerate() {
-            let Some(at) = told.get(&(n, place)) else { continue };
+        for (index, forwarder) in fleet.forwarders.iter().enumerate() {
+            let Some(at) = closed.get(&(n, index)) else { continue };
             slowest = slowest.max(at.saturating_duration_since(drain.at));
             let LinkTraffic { calls, .. } = fleet.net.traffic(&forwarder.name, &drain.endpoint);
             let until = drain.until.unwrap_or_else(|| Instant::now() + Duration::from_secs(3600));
@@ -516,29 +540,31 @@
             after_drain += late.count() as u64;
         }
     }
-    let (mut in_waits, mut seen, mut waits) = (Vec::new(), 0, 0);
+    let (mut in_waits, mut relayed, mut waits) = (Vec::new(), 0, 0);
     for forwarder in &fleet.forwarders {
         for (name, _, _, endpoints, _) in partners {
-            let (to, back) = crossed(fleet, &forwarder.name, name, *endpoints);
-            (seen, waits) = (seen + to.len() as u64, waits + back.len() as u64);
-            let broken = waits_broken(&to, &back, late, &forwarder.starts);
-            in_waits.extend(broken.into_iter().map(|told| format!("{}: {told}", forwarder.name)));
+            let (to, back) = partner_traffic(fleet, &forwarder.name, name, *endpoints);
+            (relayed, waits) = (relayed + to.len() as u64, waits + back.len() as u64);
+            let broken = waits_broken(&to, &back, delays, &forwarder.starts);
+            in_waits.extend(broken.into_iter().map(|call| format!("{}: {call}", forwarder.name)));
         }
     }
-    // What is judged by the relays' books is worth no more than they are.
-    let refusals: u64 = books.iter().map(|b| b.waits.len() as u64).sum();
-    if seen < calls || (waits == 0 && refusals > 100) {
-        return Err(format!("the relays noted {seen} of {calls} calls, and {waits} of {refusals} waits"));
+    // The checks that use the relays' records are only valid if these are complete.
+    let refusals: u64 = records.iter().map(|r| r.waits.len() as u64).sum();
+    if relayed < calls || (waits == 0 && refusals > 100) {
+        return Err(format!(
+            "the relays recorded {relayed} of {calls} calls, and {waits} of {refusals} waits"
+        ));
     }
-    let of_partner = |(partner, books): (&(&str, u32, Partner, usize, &str), &CallRecords)| {
-        let effects = books
+    let partner_counts = |(partner, records): (&RigPartner, &CallRecords)| {
+        let effects = records
             .calls
             .iter()
             .filter(|c| matches!(c.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered))
             .count();
-        (partner.0.to_string(), (books.calls.len() as u64, effects as u64))
+        (partner.0.to_string(), (records.calls.len() as u64, effects as u64))
     };
-    let by_partner = partners.iter().zip(&books).map(of_partner).collect();
+    let by_partner = partners.iter().zip(&records).map(partner_counts).collect();
     let breaches = Violations {
         lost: lost.len() as u64 + doubled,
         twice: twice.len() as u64,
@@ -550,9 +576,9 @@
     };
     let examples = lost.into_iter().chain(twice).chain(out_of_order).chain(in_waits).take(10).collect();
     Ok(Report {
-        taken: clients.taken.len() as u64,
+        taken: clients.accepted.len() as u64,
         ended,
-        lost_with_machine: with_machine,
+        lost_with_machine,
         conflicts: clients.conflicts.len() as u64,
         refused: clients.refused,
         unanswered: clients.unanswered,
@@ -563,13 +589,15 @@
         by_partner,
         breaches,
         examples,
-        late_ms: late.longest().as_millis() as u64,
+        late_ms: delays.longest().as_millis() as u64,
         ..Report::default()
     })
 }
 
-/// What has crossed between a forwarder and the endpoints of a partner: calls, and waits.
-fn crossed(fleet: &Fleet, forwarder: &str, partner: &str, endpoints: usize) -> (Vec<Call>, Vec<Wait>) {
+/// The calls and waits between a forwarder and the endpoints of a partner.
+fn partner_traffic(
+    fleet: &Fleet, forwarder: &str, partner: &str, endpoints: usize,
+) -> (Vec<Call>, Vec<Wait>) {
     let (mut calls, mut waits) = (Vec::new(), Vec::new());
     for endpoint in endpoints_of(partner, endpoints) {
         calls.extend(fleet.net.traffic(forwarder, &endpoint).calls);
@@ -578,19 +606,19 @@
     (calls, waits)
 }
 
-/// Calls that a forwarder wrote in a wait that it had been told, though the machine was not late for so long.
-/// A restart ends a wait (PROTOCOL): what one process was told does not bind the next. Each in words, for the report.
-fn waits_broken(calls: &[Call], waits: &[Wait], late: &SchedDelays, starts: &[Instant]) -> Vec<String> {
+/// Describes each call that a forwarder sent during a wait that it had received, beyond what the scheduling delays of the
+/// machine explain. A restart ends a wait (PROTOCOL): a wait that one process received does not bind the next.
+fn waits_broken(calls: &[Call], waits: &[Wait], delays: &SchedDelays, starts: &[Instant]) -> Vec<String> {
     let mut broken = Vec::new();
     for call in calls {
-        let told = waits.iter().find(|told| {
-            let into = call.at.saturating_duration_since(told.from);
-            let within = into > WAIT_GRACE && call.at < told.until;
-            let restarted = || starts.iter().any(|at| told.from < *at && *at < call.at);
-            within && !restarted() && into > WAIT_GRACE + late.between(told.from, call.at)
+        let wait = waits.iter().find(|wait| {
+            let into = call.at.saturating_duration_since(wait.from);
+            let within = into > WAIT_GRACE && call.at < wait.until;
+            let restarted = || starts.iter().any(|at| wait.from < *at && *at < call.at);
+            within && !restarted() && into > WAIT_GRACE + delays.between(wait.from, call.at)
         });
-        broken.extend(told.map(|told| {
-            let (into, left) = (call.at - told.from, told.until - call.at);
+        broken.extend(wait.map(|wait| {
+            let (into, left) = (call.at - wait.from, wait.until - call.at);
             format!("{} {into:?} into a wait, {left:?} before its end", call.id)
         }));
     }
@@ -602,17 +630,21 @@
     use super::*;
 
     #[test]
-    fn a_wait_binds_the_process_that_was_told_it_and_not_the_one_after() {
-        let begun = Instant::now();
-        let at = |ms: u64| begun + Duration::from_millis(ms);
+    fn a_wait_binds_the_process_that_received_it_and_not_the_next_one() {
+        let start = Instant::now();
+        let at = |ms: u64| start + Duration::from_millis(ms);
         let call = |ms: u64| Call { id: ms.to_string(), at: at(ms) };
         let calls = [call(1_090), call(1_300), call(1_401)];
-        let told = [Wait { from: at(1_000), until: at(1_400) }];
-        let broken = |told: &[Wait], starts: &[Instant]| {
-            waits_broken(&calls, told, &SchedDelays::default(), starts).len()
+        let waits = [Wait { from: at(1_000), until: at(1_400) }];
+        let broken = |waits: &[Wait], starts: &[Instant]| {
+            waits_broken(&calls, waits, &SchedDelays::default(), starts).len()
         };
-        assert_eq!((broken(&told, &[]), broken(&[], &[])), (1, 0));
-        assert_eq!(broken(&told, &[at(0), at(1_200)]), 0, "a restart ends a wait");
-        assert_eq!(broken(&told, &[at(999), at(1_301)]), 1, "not one before it, nor after the call");
+        assert_eq!((broken(&waits, &[]), broken(&[], &[])), (1, 0));
+        assert_eq!(broken(&waits, &[at(0), at(1_200)]), 0, "a restart ends a wait");
+        assert_eq!(
+            broken(&waits, &[at(999), at(1_301)]),
+            1,
+            "a restart before the wait or after the call does not end it"
+        );
     }
 }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,39 +1,39 @@
-//! Stories: what happens to a fleet and when, in a file that reads like one.
+//! Scenarios: what happens to a fleet and when, read from TOML files.
 
 use crate::faults::Faults;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A story. See `docs/rig.md`.
+/// A scenario. See `docs/rig.md`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scenario {
-    /// What it is about, in a sentence.
+    /// Description in one sentence.
     pub about: String,
-    /// Messages are handed in for so long.
+    /// How long messages are submitted.
     #[serde(with = "humantime_serde")]
     pub lasts: Duration,
-    /// Messages a second to the whole fleet.
+    /// Messages per second to the whole fleet.
     pub rate: f64,
-    /// Below so many messages taken on a play proves nothing.
+    /// With fewer accepted messages than this a run proves nothing.
     pub least: u64,
-    /// Forwarders that it needs at least.
+    /// Minimum number of forwarders.
     #[serde(default = "usual_forwarders")]
     pub forwarders: usize,
-    /// Clients turn to another forwarder where theirs does not answer, under the same id.
+    /// Whether clients retry at another forwarder, under the same id, where theirs does not respond.
     #[serde(default)]
     pub elsewhere: bool,
-    /// Share of the answers to clients that get lost on the way, where `elsewhere` is set.
+    /// Share of the responses to clients that are lost, where `elsewhere` is set.
     #[serde(default)]
     pub lost_answers: f64,
-    /// Faults of all links between forwarders from the start.
+    /// Initial faults of all links between forwarders.
     #[serde(default)]
     pub links: Faults,
-    /// Clocks that are set or run otherwise, by forwarder.
+    /// Clocks with an offset or another rate, by forwarder.
     #[serde(default)]
     pub clocks: BTreeMap<String, Clock>,
-    /// What happens.
+    /// The steps, in order of time.
     #[serde(default, rename = "step")]
     pub steps: Vec<Step>,
 }
@@ -42,13 +42,13 @@
     5
 }
 
-/// A clock that is not as others are.
+/// The clock of one forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clock {
-    /// Seconds that it is set by.
+    /// Offset in seconds from the machine's clock.
     pub offset: f64,
-    /// How many times as fast it runs.
+    /// Rate as a multiple of the machine's clock.
     pub rate: f64,
 }
 
@@ -58,57 +58,57 @@
     }
 }
 
-/// Something that happens at a time.
+/// An action at a point in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// When, from the start of the load.
+    /// Time since the start of the load.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// What.
+    /// The action.
     #[serde(flatten)]
     pub what: Action,
 }
 
-/// What happens.
+/// What a step does. Forwarders and partners are given by name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Groups that can't reach each other; who is in none is with the last.
+    /// Cuts all links between groups of forwarders. A forwarder that is in no group belongs to the last one.
     Cut(Vec<Vec<String>>),
-    /// From the first to the second nothing comes; the other way it does.
+    /// Cuts the link from the first forwarder to the second, and leaves the opposite direction as it is.
     CutOneWay(String, String),
-    /// Every link is sound again, but for the story's own faults.
+    /// Restores every link to the initial faults of the scenario.
     Heal(bool),
-    /// What crosses the links from and to one is held back.
+    /// Keeps back all traffic from and to a forwarder.
     Hold(String),
-    /// It is let go, all at once.
+    /// Delivers the traffic that was kept back, all at once.
     Release(String),
-    /// Faults of all links between forwarders.
+    /// Sets the faults of all links between forwarders.
     Links(Faults),
-    /// SIGKILL.
+    /// Sends SIGKILL.
     Kill(String),
-    /// SIGTERM.
+    /// Sends SIGTERM.
     Terminate(String),
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     Stop(String),
-    /// SIGCONT.
+    /// Sends SIGCONT.
     GoOn(String),
-    /// It is started again, on the folder that it left.
+    /// Restarts a forwarder with its existing state folder.
     Start(String),
-    /// It is started again on an empty folder.
+    /// Restarts a forwarder with an empty state folder.
     StartEmpty(String),
-    /// Its folder is copied as it stands.
+    /// Copies the state folder of a forwarder while it runs.
     Backup(String),
-    /// It is started again on the copy.
+    /// Restarts a forwarder with the copied state folder.
     StartBackup(String),
-    /// An operator's order at a forwarder: `["a", "drain", "steady-1"]`; `drain`, `resume`, `pause`, `resume-partner`,
-    /// `remove`.
+    /// Gives an operator's order to a forwarder: `["a", "drain", "steady-1"]`. The orders are `drain`, `resume`, `pause`,
+    /// `resume-partner` and `remove`.
     Order(String, String, String),
-    /// A partner goes silent for a span, and comes back cold: `["shaky", "3s"]`.
+    /// Makes a partner stop responding for a time, after which it recovers with a slow start: `["shaky", "3s"]`.
     Silent(String, String),
 }
 
-/// The stories that come with the program.
+/// Name and text of the scenarios that are compiled into the program.
 pub const BUILT_IN: [(&str, &str); 10] = [
     ("calm", include_str!("../stories/calm.toml")),
     ("loss", include_str!("../stories/loss.toml")),
@@ -122,47 +122,48 @@
     ("clocks", include_str!("../stories/clocks.toml")),
 ];
 
-/// Name of the forwarder of a place.
-pub fn forwarder(place: usize) -> String {
-    match u8::try_from(place) {
+/// The name of the forwarder with this index: `a` to `z`, then `f26` and so on.
+pub fn forwarder(index: usize) -> String {
+    match u8::try_from(index) {
         Ok(n) if n < 26 => char::from(b'a' + n).to_string(),
-        _ => format!("f{place}"),
+        _ => format!("f{index}"),
     }
 }
 
 impl Scenario {
-    /// One that comes with the program, by its name.
+    /// Returns a built-in scenario by name.
     pub fn built_in(name: &str) -> Option<Scenario> {
         let (_, text) = BUILT_IN.iter().find(|(known, _)| *known == name)?;
         Scenario::read(text).ok()
     }
 
-    /// Reads a story.
+    /// Parses a scenario and sorts its steps by time.
     ///
     /// # Errors
-    /// What is wrong in it, with its place.
+    /// Describes the mistake and where it is.
     pub fn read(text: &str) -> Result<Scenario, String> {
-        let mut story: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
-        story.steps.sort_by_key(|s| s.at);
-        for (n, step) in story.steps.iter().enumerate() {
-            if let Action::Silent(_, span) = &step.what {
-                humantime::parse_duration(span).map_err(|e| format!("step {}: {span:?}: {e}", n + 1))?;
+        let mut scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
+        scenario.steps.sort_by_key(|s| s.at);
+        for (n, step) in scenario.steps.iter().enumerate() {
+            if let Action::Silent(_, duration) = &step.what {
+                humantime::parse_duration(duration)
+                    .map_err(|e| format!("step {}: {duration:?}: {e}", n + 1))?;
             }
-            if let Action::Order(_, word, _) = &step.what {
+            if let Action::Order(_, order, _) = &step.what {
                 let known = ["drain", "resume", "pause", "resume-partner", "remove"];
-                if !known.contains(&word.as_str()) {
+                if !known.contains(&order.as_str()) {
                     return Err(format!(
-                        "step {}: {word:?} is no order; there are {}",
+                        "step {}: unknown order {order:?}; the orders are {}",
                         n + 1,
                         known.join(", ")
                     ));
                 }
             }
         }
-        Ok(story)
+        Ok(scenario)
     }
 
-    /// The story as a file would tell it.
+    /// Formats the scenario as TOML.
     pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_else(|e| format!("# {e}\n"))
     }
@@ -173,17 +174,20 @@
     use super::*;
 
     #[test]
-    fn every_story_is_read_and_told_again_as_it_was() {
+    fn built_in_scenarios_are_read_and_survive_a_round_trip() {
         for (name, text) in BUILT_IN {
-            let story = Scenario::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
-            assert!(story.least > 0 && !story.about.is_empty(), "{name}");
-            assert!(story.steps.windows(2).all(|w| w[0].at <= w[1].at));
-            assert_eq!(Scenario::read(&story.to_toml()).unwrap_or_else(|e| panic!("{name}: {e}")), story);
+            let scenario = Scenario::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
+            assert!(scenario.least > 0 && !scenario.about.is_empty(), "{name}");
+            assert!(scenario.steps.windows(2).all(|w| w[0].at <= w[1].at));
+            assert_eq!(
+                Scenario::read(&scenario.to_toml()).unwrap_or_else(|e| panic!("{name}: {e}")),
+                scenario
+            );
         }
     }
 
     #[test]
-    fn what_is_wrong_is_told() {
+    fn mistakes_are_described() {
         let head = "about = \"x\"\nlasts = \"1s\"\nrate = 1\nleast = 1\n";
         for (step, problem) in [
             ("at = \"1s\"\nfly = \"a\"", "no variant"),
@@ -192,8 +196,8 @@
             ("at = \"1s\"\nsilent = [\"shaky\", \"soon\"]", "soon"),
             ("at = \"1s\"\nlinks = { delay = [\"2s\", \"1s\"] }", "shorter"),
         ] {
-            let told = Scenario::read(&format!("{head}[[step]]\n{step}\n")).unwrap_err();
-            assert!(told.contains(problem), "{step}: {told}");
+            let error = Scenario::read(&format!("{head}[[step]]\n{step}\n")).unwrap_err();
+            assert!(error.contains(problem), "{step}: {error}");
         }
     }
 }
--- a/crates/rig/src/shrink.rs
+++ b/crates/rig/src/shrink.rs
@@ -1,23 +1,23 @@
-//! The shortest story that still fails: steps are left out as long as it does.
+//! Reduces a failing scenario: leaves out steps as long as the rest still fails.
 
 use crate::scenario::Scenario;
 
-/// Leaves steps out, half of them first and then one by one, as long as what is left still fails, with so many plays at
-/// most. Gives the shortest story found, and how many plays it took.
+/// Removes steps, first half of them at a time and in the end one by one, as long as the rest still fails. Runs at most `max_runs`
+/// scenarios. Returns the shortest failing scenario found and the number of runs.
 pub fn shrink_scenario(
-    story: &Scenario, most: usize, mut fails: impl FnMut(&Scenario) -> bool,
+    scenario: &Scenario, max_runs: usize, mut fails: impl FnMut(&Scenario) -> bool,
 ) -> (Scenario, usize) {
-    let (mut best, mut plays) = (story.clone(), 0);
+    let (mut best, mut runs) = (scenario.clone(), 0);
     let mut chunk = best.steps.len().div_ceil(2);
     while chunk > 0 {
         let mut at = 0;
         while at < best.steps.len() {
-            if plays >= most {
-                return (best, plays);
+            if runs >= max_runs {
+                return (best, runs);
             }
             let mut shorter = best.clone();
             shorter.steps.drain(at..(at + chunk).min(best.steps.len()));
-            plays += 1;
+            runs += 1;
             if fails(&shorter) {
                 best = shorter;
             } else {
@@ -26,7 +26,7 @@
         }
         chunk /= 2;
     }
-    (best, plays)
+    (best, runs)
 }
 
 #[cfg(test)]
@@ -35,15 +35,15 @@
     use crate::scenario::Action;
 
     #[test]
-    fn what_the_failure_does_not_need_is_left_out() {
-        let story = Scenario::built_in("cut").expect("it comes with the program");
+    fn steps_that_the_failure_does_not_need_are_removed() {
+        let scenario = Scenario::built_in("cut").expect("the scenario is built in");
         let cut = |s: &Scenario| s.steps.iter().any(|s| matches!(s.what, Action::Cut(_)));
         let resumed =
             |s: &Scenario| s.steps.iter().any(|s| matches!(&s.what, Action::Order(_, w, _) if w == "resume"));
-        let (short, plays) = shrink_scenario(&story, 100, |s| cut(s) && resumed(s));
+        let (short, runs) = shrink_scenario(&scenario, 100, |s| cut(s) && resumed(s));
         assert_eq!(short.steps.len(), 2);
-        assert!(plays < 30, "{plays}");
-        let (whole, plays) = shrink_scenario(&story, 5, |_| false);
-        assert_eq!((whole.steps.len(), plays), (story.steps.len(), 5));
+        assert!(runs < 30, "{runs}");
+        let (whole, runs) = shrink_scenario(&scenario, 5, |_| false);
+        assert_eq!((whole.steps.len(), runs), (scenario.steps.len(), 5));
     }
 }
--- a/crates/site/src/check.rs
+++ b/crates/site/src/check.rs
@@ -3,9 +3,9 @@
 use crate::fields::{by, each, number, text, whole, within, yes_or_no, Fields};
 use crate::finding::{Finding, Findings};
 use crate::model::*;
+use crate::partner_protocol;
 use crate::peers;
-use crate::speech;
-use crate::units::{rate, size, span};
+use crate::units::{parse_duration, parse_rate, parse_size};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -21,7 +21,7 @@
 /// First parts of paths that the listener keeps for itself.
 const RESERVED: [&str; 2] = ["healthz", "v1"];
 /// Bytes that the path of a Unix socket has at most (`sun_path` of unix(7), less the closing zero).
-pub const LONGEST_SOCKET_PATH: usize = 107;
+pub const MAX_SOCKET_PATH_BYTES: usize = 107;
 /// Descriptors for all but clients and calls.
 const OTHER_DESCRIPTORS: u64 = 64;
 /// What the journal of messages needs at least.
@@ -50,7 +50,7 @@
     let mut head = top.table("site", found);
     let name = head.or("name", "foldtrack".to_string(), found, |v| text(v).map(str::to_string));
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let listen = head.need("listen", nowhere, "\"127.0.0.1:8080\"", found, by(address));
+    let listen = head.need("listen", nowhere, "\"127.0.0.1:8080\"", found, by(parse_address));
     let state_place = head.place("state");
     let state = head.need("state", PathBuf::new(), "\"/var/lib/foldtrack\"", found, by(folder));
     let state_name = head.name("state");
@@ -68,19 +68,19 @@
             "connection-idle",
             15 * SECOND,
             found,
-            within(SECOND..=DAY, "\"1s\" to \"24h\"", by(span)),
+            within(SECOND..=DAY, "\"1s\" to \"24h\"", by(parse_duration)),
         ),
         connect_timeout: table.or(
             "connect-timeout",
             SECOND,
             found,
-            within(10_000..=60 * SECOND, "\"10ms\" to \"60s\"", by(span)),
+            within(10_000..=60 * SECOND, "\"10ms\" to \"60s\"", by(parse_duration)),
         ),
         connection_age: table.or(
             "connection-age",
             600 * SECOND,
             found,
-            within(SECOND..=DAY, "\"1s\" to \"24h\"", by(span)),
+            within(SECOND..=DAY, "\"1s\" to \"24h\"", by(parse_duration)),
         ),
         open_ahead: table.or("open-ahead", true, found, yes_or_no),
     };
@@ -103,14 +103,14 @@
         found.add(&(0..0), "class", problem);
     }
 
-    let mut kinds = vec![Kind { name: "partner".into(), routes_apart: false }];
+    let mut kinds = vec![PartnerKind { name: "partner".into(), routes_apart: false }];
     for (name, place, mut fields) in top.tables("kind", found) {
         check_name(&name, &place, fields.name("").trim_end_matches('.'), found);
         let routes_apart = fields.or("routes-apart", false, found, yes_or_no);
         fields.done(found);
         match kinds.iter_mut().find(|k| k.name == name) {
             Some(kind) => kind.routes_apart = routes_apart,
-            None => kinds.push(Kind { name, routes_apart }),
+            None => kinds.push(PartnerKind { name, routes_apart }),
         }
     }
 
@@ -131,8 +131,8 @@
     }
 
     let count: usize = partners.iter().map(|p| p.endpoints.len() + 1).sum();
-    if count > MOST_ENDPOINTS {
-        let problem = format!("{count} partners and endpoints; a site has {MOST_ENDPOINTS} at most");
+    if count > MAX_ENDPOINTS {
+        let problem = format!("{count} partners and endpoints; a site has {MAX_ENDPOINTS} at most");
         found.add(&(0..0), "partner", problem);
     }
 
@@ -150,18 +150,18 @@
         kinds,
         partners,
     };
-    if site.control_socket().as_os_str().len() > LONGEST_SOCKET_PATH {
+    if site.control_socket().as_os_str().len() > MAX_SOCKET_PATH_BYTES {
         let problem = format!(
-            "is too long: the control line's socket in it may have a path of {LONGEST_SOCKET_PATH} bytes at most"
+            "is too long: the control line's socket in it may have a path of {MAX_SOCKET_PATH_BYTES} bytes at most"
         );
         found.add(&state_place, &state_name, problem);
     }
-    if site.journal_room() < LEAST_JOURNAL {
+    if site.journal_capacity() < LEAST_JOURNAL {
         let problem = format!(
-            "is too little: of limits.disk the ends take {} bytes and the membership log {MEMBERSHIP_ROOM}{}, and \
+            "is too little: of limits.disk the ends take {} bytes and the membership log {MEMBERSHIP_LOG_BYTES}{}, and \
              messages need {LEAST_JOURNAL}",
             site.ends.size,
-            if site.peers.is_some() { format!(", what forwarders tell each other {PEERS_ROOM}") } else { String::new() }
+            if site.peers.is_some() { format!(", what forwarders tell each other {PEER_STORE_BYTES}") } else { String::new() }
         );
         found.add(&disk_place, "limits.disk", problem);
     }
@@ -169,8 +169,8 @@
 }
 
 fn limits(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Limits {
-    let memory = within(16 * MIB..=1 << 40, "\"16MiB\" to \"1TiB\"", by(size));
-    let disk = within(4 * MIB..=1 << 44, "\"4MiB\" to \"16TiB\"", by(size));
+    let memory = within(16 * MIB..=1 << 40, "\"16MiB\" to \"1TiB\"", by(parse_size));
+    let disk = within(4 * MIB..=1 << 44, "\"4MiB\" to \"16TiB\"", by(parse_size));
     let limits = Limits {
         memory: table.or("memory", 256 * MIB, found, memory),
         descriptors: table.or("descriptors", 1024, found, within(96..=1 << 20, "96 to 1048576", whole))
@@ -183,7 +183,7 @@
             "longest-wait",
             10 * SECOND,
             found,
-            within(0..=DAY, "\"0s\" to \"24h\"", by(span)),
+            within(0..=DAY, "\"0s\" to \"24h\"", by(parse_duration)),
         ),
     };
     // A call takes a descriptor, and a client one for what it hands in meanwhile.
@@ -208,7 +208,7 @@
     let rate = || within(0.1..=1e6, "0.1 to 1000000", number);
     let bits = |most: u64, shown: &'static str| within(0..=most, shown, whole);
     let admission = Admission {
-        known: table.or("known", Vec::new(), found, each(network)),
+        known: table.or("known", Vec::new(), found, each(parse_network)),
         reserve: table.or("reserve", 0.5, found, within(0.0..=1.0, "0 to 1, a share of the places", number)),
         per_address: table.or("per-address", None, found, count()),
         per_known: table.or("per-known", None, found, count()),
@@ -228,7 +228,7 @@
 ///
 /// # Errors
 /// What would be right.
-pub fn network(text: &str) -> Result<IpNet, String> {
+pub fn parse_network(text: &str) -> Result<IpNet, String> {
     let single = || text.parse::<IpAddr>().map(|address| IpNet::from(address.to_canonical()));
     let read = text.parse::<IpNet>().map(|net| net.trunc()).or_else(|_| single());
     read.map_err(|_| {
@@ -238,16 +238,16 @@
     })
 }
 
-fn ends(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Ends {
-    let size_range = within(64 * KIB..=1 << 32, "\"64KiB\" to \"4GiB\"", by(size));
-    let ends = Ends {
+fn ends(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> OutcomeRetention {
+    let size_range = within(64 * KIB..=1 << 32, "\"64KiB\" to \"4GiB\"", by(parse_size));
+    let ends = OutcomeRetention {
         count: table.or("count", 100_000, found, within(10..=100_000_000, "10 to 100000000", whole)),
         size: table.or("size", 32 * MIB, found, size_range),
         age: table.or(
             "age",
             7 * DAY,
             found,
-            within(60 * SECOND..=3660 * DAY, "\"1m\" to \"10years\"", by(span)),
+            within(60 * SECOND..=3660 * DAY, "\"1m\" to \"10years\"", by(parse_duration)),
         ),
     };
     table.done(found);
@@ -257,7 +257,7 @@
 fn class(name: String, mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Class {
     let effect = table.need("effect", Effect::Repeatable, "\"once\"", found, by(effect));
     let ordered = table.or("ordered", false, found, yes_or_no);
-    let lasting = || within(1_000..=7 * DAY, "\"1ms\" to \"7days\"", by(span));
+    let lasting = || within(1_000..=7 * DAY, "\"1ms\" to \"7days\"", by(parse_duration));
     let remembered = table.read("remembered", found, lasting());
     let remembered = match (remembered, effect) {
         (Some(None), Effect::Keyed) => {
@@ -329,7 +329,7 @@
 }
 
 fn partner(
-    name: String, mut table: Fields<'_, '_>, (kinds, classes): (&[Kind], &[Class]), calls: u32,
+    name: String, mut table: Fields<'_, '_>, (kinds, classes): (&[PartnerKind], &[Class]), calls: u32,
     seen: &mut Seen, found: &mut Findings<'_>,
 ) -> Partner {
     let known = |text: &str| {
@@ -342,21 +342,21 @@
         })
     };
     let kind = table.or("kind", 0, found, by(known));
-    let rate = table.or("rate", None, found, by(|t| rate(t).map(Some)));
+    let rate = table.or("rate", None, found, by(|t| parse_rate(t).map(Some)));
     let slots = within(1..=100_000, "1 to 100000", whole);
     let slots = table.or("slots", None, found, |v| slots(v).map(|n| Some(n as u32)));
     if slots.is_some_and(|slots| slots > calls) {
         let problem = format!("are more than the {calls} calls that limits.calls allows in all");
         found.add(&table.place("slots"), &table.name("slots"), problem);
     }
-    let (dialect, proof) = speech::dialect(&mut table, classes, found);
-    let tls = speech::tls(&mut table, &dialect, proof.is_some(), found);
+    let (dialect, proof) = partner_protocol::dialect(&mut table, classes, found);
+    let tls = partner_protocol::tls(&mut table, &dialect, proof.is_some(), found);
     let mut endpoints = Vec::new();
     for (endpoint, place, mut fields) in table.tables("endpoint", found) {
         let shown = fields.name("").trim_end_matches('.').to_string();
         check_name(&endpoint, &place, &shown, found);
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let address = fields.need("address", nowhere, "\"127.0.0.1:9001\"", found, by(address));
+        let address = fields.need("address", nowhere, "\"127.0.0.1:9001\"", found, by(parse_address));
         if let Some(other) = seen.endpoints.insert(endpoint.clone(), name.clone()) {
             let problem = format!("is the name of an endpoint of {other} too; orders need a name for each");
             found.add(&place, &shown, problem);
@@ -378,7 +378,7 @@
 ///
 /// # Errors
 /// What would be right.
-pub fn name(text: &str) -> Result<(), String> {
+pub fn validate_name(text: &str) -> Result<(), String> {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let sound = text.len() <= LONGEST_NAME && text.starts_with(|c: char| c.is_ascii_alphanumeric());
     if sound && text.chars().all(plain) {
@@ -390,7 +390,7 @@
 }
 
 pub(crate) fn check_name(text: &str, place: &std::ops::Range<usize>, shown: &str, found: &mut Findings<'_>) {
-    if let Err(problem) = name(text) {
+    if let Err(problem) = validate_name(text) {
         found.add(place, shown, format!("is {problem}"));
     }
 }
@@ -399,7 +399,7 @@
 ///
 /// # Errors
 /// What would be right.
-pub fn address(text: &str) -> Result<SocketAddr, String> {
+pub fn parse_address(text: &str) -> Result<SocketAddr, String> {
     let read = text.parse::<SocketAddr>().ok().filter(|a| a.port() != 0);
     read.ok_or_else(|| {
         format!("{text:?} is no address; one is \"192.0.2.7:8443\" or \"[2001:db8::7]:8443\", names are not looked up")
--- a/crates/site/src/finding.rs
+++ b/crates/site/src/finding.rs
@@ -10,7 +10,7 @@
     /// The file as it was named.
     pub file: PathBuf,
     /// Line and column in characters, both from 1; none if it is about the whole file.
-    pub place: Option<(usize, usize)>,
+    pub position: Option<(usize, usize)>,
     /// The field's full name, such as `partner.NAME.rate`; empty if none is meant.
     pub field: String,
     /// What is wrong, and what would be right.
@@ -19,15 +19,15 @@
 
 impl Finding {
     /// A finding about a file as a whole.
-    pub fn of_file(file: &Path, problem: String) -> Finding {
-        Finding { file: file.to_path_buf(), place: None, field: String::new(), problem }
+    pub fn for_file(file: &Path, problem: String) -> Finding {
+        Finding { file: file.to_path_buf(), position: None, field: String::new(), problem }
     }
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:", self.file.display())?;
-        if let Some((line, column)) = self.place {
+        if let Some((line, column)) = self.position {
             write!(f, "{line}:{column}:")?;
         }
         if !self.field.is_empty() {
@@ -53,7 +53,7 @@
     pub fn add(&mut self, span: &Range<usize>, field: &str, problem: impl Into<String>) {
         let finding = Finding {
             file: self.file.to_path_buf(),
-            place: Some(place(self.text, span.start)),
+            position: Some(place(self.text, span.start)),
             field: field.to_string(),
             problem: problem.into(),
         };
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -9,8 +9,8 @@
 mod fields;
 pub mod finding;
 pub mod model;
+mod partner_protocol;
 mod peers;
-mod speech;
 pub mod template;
 pub mod units;
 
@@ -23,24 +23,24 @@
 use std::path::Path;
 
 /// Bytes that a site file has at most: some ten thousand endpoints.
-pub const LONGEST: u64 = 1 << 20;
+pub const MAX_SITE_FILE_BYTES: u64 = 1 << 20;
 
 /// Reads and checks a site file.
 ///
 /// # Errors
 /// All findings, in the order of their places; one without a place if the file can't be read at all, is no regular
-/// file, is longer than [`LONGEST`] or is not UTF-8.
+/// file, is longer than [`MAX_SITE_FILE_BYTES`] or is not UTF-8.
 pub fn load(path: &Path) -> Result<Site, Vec<Finding>> {
-    let whole = |problem: String| vec![Finding::of_file(path, problem)];
+    let whole = |problem: String| vec![Finding::for_file(path, problem)];
     let kind = std::fs::metadata(path).map_err(|e| whole(e.to_string()))?;
     if !kind.is_file() {
         return Err(whole("not a file; a site file is a TOML text, `foldtrack init` writes one".into()));
     }
     let mut bytes = Vec::new();
     let file = File::open(path).map_err(|e| whole(e.to_string()))?;
-    file.take(LONGEST + 1).read_to_end(&mut bytes).map_err(|e| whole(e.to_string()))?;
-    if bytes.len() as u64 > LONGEST {
-        return Err(whole(format!("{} bytes; a site file has {LONGEST} at most", kind.len())));
+    file.take(MAX_SITE_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|e| whole(e.to_string()))?;
+    if bytes.len() as u64 > MAX_SITE_FILE_BYTES {
+        return Err(whole(format!("{} bytes; a site file has {MAX_SITE_FILE_BYTES} at most", kind.len())));
     }
     let text = String::from_utf8(bytes).map_err(|e| {
         let at = e.utf8_error().valid_up_to();
--- a/crates/site/src/model.rs
+++ b/crates/site/src/model.rs
@@ -52,7 +52,7 @@
 
 /// A kind of partner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kind {
+pub struct PartnerKind {
     /// As partners name it.
     pub name: String,
     /// Endpoints are routes apart, each with a limit and outages of its own.
@@ -84,7 +84,7 @@
     /// How it is spoken to.
     pub dialect: Dialect,
     /// How it is proven to it who calls; none if it asks for nothing.
-    pub proof: Option<Proof>,
+    pub proof: Option<Authentication>,
     /// Its connections are encrypted; none for plain ones.
     pub tls: Option<Tls>,
 }
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tls {
     /// Name, pins and versions.
-    pub plan: TlsSettings,
+    pub settings: TlsSettings,
     /// Whom to trust; none for those whom the system trusts.
     pub roots: Option<PathBuf>,
     /// The certificate that is shown, and its key.
@@ -102,11 +102,11 @@
 
 /// Proof to a partner of who calls. The secret itself is in no site file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Proof {
+pub struct Authentication {
     /// How.
-    pub kind: AuthScheme,
+    pub scheme: AuthScheme,
     /// The file of its secret.
-    pub file: PathBuf,
+    pub secret_file: PathBuf,
 }
 
 /// What the process may use.
@@ -157,7 +157,7 @@
 
 /// How long the ends of messages are kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ends {
+pub struct OutcomeRetention {
     /// So many at most.
     pub count: u64,
     /// Bytes on disk at most.
@@ -190,7 +190,7 @@
 
 /// The forwarders of the site, which tell each other what they know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Peers {
+pub struct PeerSettings {
     /// This one's name.
     pub name: String,
     /// Where it takes datagrams.
@@ -223,17 +223,17 @@
     /// Bounds.
     pub limits: Limits,
     /// Bounds of the kept ends.
-    pub ends: Ends,
+    pub ends: OutcomeRetention,
     /// Who is let in.
     pub admission: Admission,
     /// How calls are made.
     pub calls: Calls,
     /// The other forwarders; none where it is alone.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerSettings>,
     /// Classes, in the order of their names.
     pub classes: Vec<Class>,
     /// Kinds of partner; the first is that of partners which name none.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<PartnerKind>,
     /// Partners, in the order of their names.
     pub partners: Vec<Partner>,
 }
@@ -253,17 +253,17 @@
     }
 
     /// Bytes of the disk limit that are left for messages, once ends and membership have their part.
-    pub fn journal_room(&self) -> u64 {
-        let peers = if self.peers.is_some() { PEERS_ROOM } else { 0 };
-        self.limits.disk.saturating_sub(self.ends.size + MEMBERSHIP_ROOM + peers)
+    pub fn journal_capacity(&self) -> u64 {
+        let peers = if self.peers.is_some() { PEER_STORE_BYTES } else { 0 };
+        self.limits.disk.saturating_sub(self.ends.size + MEMBERSHIP_LOG_BYTES + peers)
     }
 }
 
 /// Name of the control line's socket in the state folder.
 pub const CONTROL_SOCKET: &str = "control.sock";
 /// Bytes that the membership log may take, a compaction of it included.
-pub const MEMBERSHIP_ROOM: u64 = 2 << 20;
+pub const MEMBERSHIP_LOG_BYTES: u64 = 2 << 20;
 /// Bytes that the store of what forwarders tell each other may take.
-pub const PEERS_ROOM: u64 = 24 << 20;
+pub const PEER_STORE_BYTES: u64 = 24 << 20;
 /// Endpoints of a site at most: so many fit the membership log's room twice, as a compaction needs it.
-pub const MOST_ENDPOINTS: usize = 2000;
+pub const MAX_ENDPOINTS: usize = 2000;
--- a/crates/site/src/speech.rs
+++ b/crates/site/src/partner_protocol.rs
@@ -2,7 +2,7 @@
 
 use crate::fields::{by, each, number, text, within, Fields};
 use crate::finding::Findings;
-use crate::model::{Class, Effect, Proof, Tls};
+use crate::model::{Authentication, Class, Effect, Tls};
 use foldtrack_dialect::{header_name, Dialect, StatusTable, Template};
 use foldtrack_proof::AuthScheme;
 use foldtrack_tls::{Pin, TlsSettings, MAX_PINS};
@@ -58,7 +58,7 @@
 /// Reads how a partner is spoken to. Every class may be sent to every partner: what one of them lacks is told here.
 pub(crate) fn dialect(
     table: &mut Fields<'_, '_>, classes: &[Class], found: &mut Findings<'_>,
-) -> (Dialect, Option<Proof>) {
+) -> (Dialect, Option<Authentication>) {
     let (usual, speaks) = table.or("speaks", (Dialect::foldtrack(), "foldtrack"), found, by(preset));
     let proof = proof(table, speaks, found);
     let window = within(0.001..=3600.0, "0.001 to 3600, in seconds", number);
@@ -85,7 +85,8 @@
 }
 
 fn headers(
-    table: &mut Fields<'_, '_>, dialect: &mut Dialect, proof: Option<&Proof>, found: &mut Findings<'_>,
+    table: &mut Fields<'_, '_>, dialect: &mut Dialect, proof: Option<&Authentication>,
+    found: &mut Findings<'_>,
 ) {
     let mut own = table.table("headers", found);
     let entries = own.texts(found);
@@ -160,7 +161,7 @@
     }
 }
 
-fn proof(table: &mut Fields<'_, '_>, speaks: &str, found: &mut Findings<'_>) -> Option<Proof> {
+fn proof(table: &mut Fields<'_, '_>, speaks: &str, found: &mut Findings<'_>) -> Option<Authentication> {
     let mut own = table.table("proof", found);
     if !own.is_there() {
         if speaks == "webhook" {
@@ -194,7 +195,7 @@
         let problem = "stands with kind = \"basic\", and only there";
         found.add(&own.place("user"), &own.name("user"), problem);
     }
-    let file = own.need("secret-file", PathBuf::new(), "\"/etc/foldtrack/pay.token\"", found, |v| {
+    let secret_file = own.need("secret-file", PathBuf::new(), "\"/etc/foldtrack/pay.token\"", found, |v| {
         text(v).and_then(|path| match path.trim() {
             "" => {
                 Err("is empty: the secret stands in a file of its own, which its owner alone may read".into())
@@ -203,12 +204,12 @@
         })
     });
     own.done(found);
-    let kind = match (kind, user) {
+    let scheme = match (kind, user) {
         ("basic", user) => AuthScheme::Basic { user: user.unwrap_or_default() },
         ("webhook", _) => AuthScheme::Webhook,
         _ => AuthScheme::Bearer,
     };
-    Some(Proof { kind, file })
+    Some(Authentication { scheme, secret_file })
 }
 
 /// Reads whether and how connections to a partner are encrypted.
@@ -261,8 +262,8 @@
         found.add(&own.span, &own.name(lacks), "is missing: a certificate and its key stand together");
     }
     own.done(found);
-    let plan = TlsSettings { server_name: name?, pins, require_tls13 };
-    Some(Tls { plan, roots, client: chain.zip(key) })
+    let settings = TlsSettings { server_name: name?, pins, require_tls13 };
+    Some(Tls { settings, roots, client: chain.zip(key) })
 }
 
 /// Whether every endpoint of a partner is on this machine.
--- a/crates/site/src/peers.rs
+++ b/crates/site/src/peers.rs
@@ -1,10 +1,10 @@
 //! `[peers]`: the other forwarders of the site.
 
-use crate::check::{address, check_name, path, DAY, SECOND};
+use crate::check::{check_name, parse_address, path, DAY, SECOND};
 use crate::fields::{by, within, yes_or_no, Fields};
 use crate::finding::Findings;
-use crate::model::{Member, Peers};
-use crate::units::{size, span};
+use crate::model::{Member, PeerSettings};
+use crate::units::{parse_duration, parse_size};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 const KIB: u64 = 1 << 10;
 
 /// Reads the table, if there is one.
-pub(crate) fn peers(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Option<Peers> {
+pub(crate) fn peers(mut table: Fields<'_, '_>, found: &mut Findings<'_>) -> Option<PeerSettings> {
     if !table.is_there() {
         return None;
     }
@@ -24,13 +24,13 @@
     if !name.is_empty() {
         check_name(&name, &name_place, "peers.name", found);
     }
-    let listen = table.need("listen", nowhere, "\"10.0.0.1:7400\"", found, by(address));
+    let listen = table.need("listen", nowhere, "\"10.0.0.1:7400\"", found, by(parse_address));
     let example = "\"/etc/foldtrack/peers.secret\"";
     let secret = table.need("secret-file", PathBuf::new(), example, found, by(path));
-    let horizon = within(60 * SECOND..=365 * DAY, "\"1min\" to \"365days\"", by(span));
-    let ready = within(0..=600 * SECOND, "\"0s\" to \"10min\"", by(span));
-    let catch_up = within(16 * KIB..=1 << 30, "\"16KiB\" to \"1GiB\"", by(size));
-    let mut read = Peers {
+    let horizon = within(60 * SECOND..=365 * DAY, "\"1min\" to \"365days\"", by(parse_duration));
+    let ready = within(0..=600 * SECOND, "\"0s\" to \"10min\"", by(parse_duration));
+    let catch_up = within(16 * KIB..=1 << 30, "\"16KiB\" to \"1GiB\"", by(parse_size));
+    let mut read = PeerSettings {
         name,
         listen,
         secret,
@@ -44,7 +44,7 @@
         let shown = format!("peers.member.{name}");
         check_name(&name, &place, &shown, found);
         let at = fields.place("address");
-        let address = fields.need("address", nowhere, "\"10.0.0.2:7400\"", found, by(address));
+        let address = fields.need("address", nowhere, "\"10.0.0.2:7400\"", found, by(parse_address));
         fields.done(found);
         if name == read.name {
             found.add(&place, &shown, "is this forwarder's own name; the table has the others");
--- a/crates/site/src/units.rs
+++ b/crates/site/src/units.rs
@@ -6,7 +6,7 @@
 ///
 /// # Errors
 /// What would be right.
-pub fn span(text: &str) -> Result<u64, String> {
+pub fn parse_duration(text: &str) -> Result<u64, String> {
     let right = || format!("{text:?} is no span; one is a number with a unit: \"250ms\", \"3s\", \"1h 30m\"");
     let span = humantime::parse_duration(text).map_err(|_| right())?;
     u64::try_from(span.as_micros()).map_err(|_| right())
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// What would be right.
-pub fn size(text: &str) -> Result<u64, String> {
+pub fn parse_size(text: &str) -> Result<u64, String> {
     let right =
         || format!("{text:?} is no size; one is a number with a unit: \"64KiB\", \"256MiB\", \"2GB\"");
     let sized = Config::new().with_byte_suffix(ByteSuffix::Require);
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// What would be right.
-pub fn rate(text: &str) -> Result<f64, String> {
+pub fn parse_rate(text: &str) -> Result<f64, String> {
     let right = || format!("{text:?} is no rate; one is \"250 msgs/s\", \"30 msgs/min\" or \"500 msgs/h\"");
     let (number, unit) = text.split_once("msgs/").ok_or_else(right)?;
     let seconds = match unit.trim() {
@@ -50,28 +50,28 @@
 
     #[test]
     fn spans_sizes_and_rates_need_their_units_and_mean_what_they_say() {
-        assert_eq!(span("3s"), Ok(3_000_000));
-        assert_eq!(span("1h 30m"), Ok(5_400_000_000));
-        assert_eq!(span("250ms"), Ok(250_000));
-        assert_eq!(size("64KiB"), Ok(65_536));
-        assert_eq!(size("2 MB"), Ok(2_000_000));
-        assert_eq!(rate("250 msgs/s"), Ok(250.0));
-        assert_eq!(rate("30 msgs/min"), Ok(0.5));
+        assert_eq!(parse_duration("3s"), Ok(3_000_000));
+        assert_eq!(parse_duration("1h 30m"), Ok(5_400_000_000));
+        assert_eq!(parse_duration("250ms"), Ok(250_000));
+        assert_eq!(parse_size("64KiB"), Ok(65_536));
+        assert_eq!(parse_size("2 MB"), Ok(2_000_000));
+        assert_eq!(parse_rate("250 msgs/s"), Ok(250.0));
+        assert_eq!(parse_rate("30 msgs/min"), Ok(0.5));
         for text in ["", "3", "s", "-3s", "3 parsecs", "9999999999999999y"] {
-            assert!(span(text).unwrap_err().contains("3s"), "{text}");
+            assert!(parse_duration(text).unwrap_err().contains("3s"), "{text}");
         }
         for text in ["", "64", "-1KiB", "KiB", "64 kilos"] {
-            assert!(size(text).unwrap_err().contains("KiB"), "{text}");
+            assert!(parse_size(text).unwrap_err().contains("KiB"), "{text}");
         }
         for text in ["", "250", "250/s", "x msgs/s", "0 msgs/s", "-1 msgs/s", "NaN msgs/s", "1e9 msgs/s"] {
-            assert!(rate(text).unwrap_err().contains("msgs/s"), "{text}");
+            assert!(parse_rate(text).unwrap_err().contains("msgs/s"), "{text}");
         }
     }
 
     proptest! {
         #[test]
         fn no_text_brings_a_parser_down(text in ".{0,40}") {
-            let _ = (span(&text), size(&text), rate(&text));
+            let _ = (parse_duration(&text), parse_size(&text), parse_rate(&text));
         }
     }
 }
--- a/crates/site/tests/files.rs
+++ b/crates/site/tests/files.rs
@@ -64,7 +64,7 @@
     assert_eq!(pay.dialect.answers.meaning(409), foldtrack_dialect::Meaning::Delivered);
     assert_eq!(pay.dialect.headers.len(), 1);
     assert_eq!(
-        pay.proof.as_ref().unwrap().kind,
+        pay.proof.as_ref().unwrap().scheme,
         foldtrack_proof::AuthScheme::Basic { user: "hradec".into() }
     );
     for (lines, proof, told) in [
@@ -238,7 +238,7 @@
         while !TEMPLATE.is_char_boundary(to) { to += 1; }
         let text = format!("{}{put}{}", &TEMPLATE[..from], &TEMPLATE[to..]);
         if let Err(found) = parse(Path::new("site.toml"), &text) {
-            prop_assert!(!found.is_empty() && found.iter().all(|f| f.place.is_some()));
+            prop_assert!(!found.is_empty() && found.iter().all(|f| f.position.is_some()));
         }
     }
 }
--- a/src/bin/foldtrack/blocks.rs
+++ b/src/bin/foldtrack/blocks.rs
@@ -5,7 +5,7 @@
 use crate::client_connections::ClientConnections;
 use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::Event;
-use foldtrack_control::{self as control, ClientLine, Clients, Holding, KernelSockets};
+use foldtrack_control::{self as control, ClientStats, Clients, DescriptorUsage, KernelSockets};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::io::{self, Write};
@@ -253,7 +253,7 @@
 
     /// Statistics for the control socket, with at most `most` of the busiest addresses.
     pub fn clients(&self, most: usize) -> Clients {
-        let client = |stats: foldtrack_admission::ClientStats| ClientLine {
+        let client = |stats: foldtrack_admission::ClientStats| ClientStats {
             address: stats.address.to_string(),
             known: match (stats.named, stats.known) {
                 (true, _) => "by name",
@@ -273,7 +273,11 @@
         };
         let users = ["clients", "calls", "control"].into_iter().zip(self.connections.descriptors().usage());
         let descriptors = users
-            .map(|(user, (held, most))| Holding { party: user.into(), held: held as u32, most: most as u32 })
+            .map(|(user, (held, most))| DescriptorUsage {
+                party: user.into(),
+                held: held as u32,
+                most: most as u32,
+            })
             .collect();
         let blocks = self.active().into_iter();
         Clients {
--- a/src/bin/foldtrack/cli/demo.rs
+++ b/src/bin/foldtrack/cli/demo.rs
@@ -4,9 +4,9 @@
 use super::{fleet, say, show, Ended, Failure, FAILED};
 use crate::lock::lock_ignoring_poison;
 use clap::Args;
-use foldtrack_control::{Ask, Client, Partner as Shown, Status, Told};
-use foldtrack_load::exchange::{post, Exchange};
-use foldtrack_load::forwarder::{Forwarder, Listed};
+use foldtrack_control::{Client, ControlCommand, ControlResponse, Partner as PartnerStats, Status};
+use foldtrack_load::forwarder::{Forwarder, ListedPartner};
+use foldtrack_load::http_client::{post_request, HttpClient};
 use foldtrack_rig::run::RunConfig;
 use foldtrack_rig::scenario::{Action, Scenario};
 use foldtrack_standin::call_records::{check_rules, CallOutcome, CallRecords};
@@ -111,9 +111,9 @@
         .enumerate()
         .map(|(n, (name, ..))| (*name, Partner::start(demo.seed + n as u64, conduct(name))))
         .collect();
-    let listed: Vec<Listed> = partners
+    let listed: Vec<ListedPartner> = partners
         .iter()
-        .map(|(name, p)| Listed {
+        .map(|(name, p)| ListedPartner {
             name: name.to_string(),
             address: p.address(),
             rate: (*name == "limited").then_some(60.0),
@@ -167,7 +167,7 @@
 /// order, and each goes to one partner.
 fn hand_in(worker: u64, demo: &Demo, listen: SocketAddr, start: Instant, sent: &Sent) {
     let mut random = fastrand::Rng::with_seed(demo.seed.wrapping_add(1000 + worker));
-    let mut kept = Exchange::new(listen, PATIENCE);
+    let mut kept = HttpClient::new(listen, PATIENCE);
     let mut turns: BTreeMap<String, u64> = BTreeMap::new();
     for n in (worker..demo.messages).step_by(CLIENTS) {
         let due = start + Duration::from_secs_f64(n as f64 / demo.rate as f64);
@@ -189,8 +189,9 @@
             (format!("/{class}"), format!("class={class};"))
         };
         let id = format!("demo-{n}");
-        let request = post(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
-        match kept.ask(&request, true).map(|answer| answer.status) {
+        let request =
+            post_request(&path, &format!("X-Partner: {partner}\r\nIdempotency-Key: {id}\r\n"), &id, &body);
+        match kept.send(&request, true).map(|answer| answer.status) {
             Some(202) => drop(lock_ignoring_poison(&sent.taken).insert(id, class)),
             Some(503) => drop(sent.refused.fetch_add(1, Ordering::SeqCst)),
             _ => drop(sent.failed.fetch_add(1, Ordering::SeqCst)),
@@ -199,12 +200,12 @@
 }
 
 /// Shows what happens until everything has ended.
-fn watch(client: &mut Client, sent: &Sent, messages: u64) -> Result<(Status, Vec<Shown>), Failure> {
+fn watch(client: &mut Client, sent: &Sent, messages: u64) -> Result<(Status, Vec<PartnerStats>), Failure> {
     let live = std::io::stdout().is_terminal();
     let mut first = true;
     loop {
-        let (Told::Status(status), Told::Partners(partners)) =
-            (client.ask(Ask::Status)?, client.ask(Ask::Partners)?)
+        let (ControlResponse::Status(status), ControlResponse::Partners(partners)) =
+            (client.request(ControlCommand::Status)?, client.request(ControlCommand::Partners)?)
         else {
             return Err(Failure(FAILED, "the forwarder answers something else than it was asked".into()));
         };
@@ -243,8 +244,8 @@
 
 /// The table at the end: what the forwarder says, and what the partners' books say of it.
 fn conclude(
-    status: &Status, partners: &[Shown], ends: &BTreeMap<String, Vec<String>>, books: &[(&str, CallRecords)],
-    sent: &Sent, took: Duration,
+    status: &Status, partners: &[PartnerStats], ends: &BTreeMap<String, Vec<String>>,
+    books: &[(&str, CallRecords)], sent: &Sent, took: Duration,
 ) -> Ended {
     let taken = lock_ignoring_poison(&sent.taken);
     let verdict = check_rules(books.iter().map(|(_, b)| b));
--- a/src/bin/foldtrack/cli/emulate.rs
+++ b/src/bin/foldtrack/cli/emulate.rs
@@ -6,7 +6,7 @@
 use foldtrack_delivery::emulator_policy::SchedulerFactory;
 use foldtrack_emulator::baselines::Baseline;
 use foldtrack_emulator::matrix::{mean, rows, Row};
-use foldtrack_emulator::policy::Maker;
+use foldtrack_emulator::policy::PolicyFactory;
 use foldtrack_emulator::world::World;
 use std::path::PathBuf;
 
@@ -37,9 +37,9 @@
     template: bool,
 }
 
-fn policy(name: &str) -> Result<&'static dyn Maker, Failure> {
-    let all: Vec<&'static dyn Maker> = std::iter::once(&SchedulerFactory as &dyn Maker)
-        .chain(Baseline::ALL.iter().map(|b| b as &dyn Maker))
+fn policy(name: &str) -> Result<&'static dyn PolicyFactory, Failure> {
+    let all: Vec<&'static dyn PolicyFactory> = std::iter::once(&SchedulerFactory as &dyn PolicyFactory)
+        .chain(Baseline::ALL.iter().map(|b| b as &dyn PolicyFactory))
         .collect();
     let names: Vec<&str> = all.iter().map(|p| p.name()).collect();
     let told = || Failure(WRONG, format!("there is no policy {name:?}; there are {}", names.join(", ")));
@@ -74,7 +74,7 @@
         let line = |r: &Row| {
             serde_json::json!({
                 "policy": r.policy, "seed": r.seed, "served": r.served, "goal": r.goal, "in_time": r.in_time, "late": r.late,
-                "refused": r.refused, "attempts": r.attempts, "full": r.full, "first_s": r.first, "broken": r.broken,
+                "refused": r.refused, "attempts": r.attempts, "full": r.rejected, "first_s": r.first_call_s, "broken": r.violations,
             })
         };
         return say(&all.iter().map(|r| format!("{}\n", line(r))).collect::<String>());
@@ -91,10 +91,11 @@
         report(&all, &words.policies)
     );
     say(&text)?;
-    match all.iter().find(|r| r.policy == "module" && r.broken > 0) {
-        Some(row) => {
-            Err(Failure(FAILED, format!("the module broke a rule {} times on seed {}", row.broken, row.seed)))
-        }
+    match all.iter().find(|r| r.policy == "module" && r.violations > 0) {
+        Some(row) => Err(Failure(
+            FAILED,
+            format!("the module broke a rule {} times on seed {}", row.violations, row.seed),
+        )),
         None => Ok(()),
     }
 }
@@ -121,9 +122,9 @@
             column(|r| r.late),
             column(|r| r.refused),
             column(|r| r.attempts),
-            column(|r| r.full),
-            column(|r| r.first),
-            rows.iter().map(|r| r.broken).sum::<u64>().to_string(),
+            column(|r| r.rejected),
+            column(|r| r.first_call_s),
+            rows.iter().map(|r| r.violations).sum::<u64>().to_string(),
         ]
     };
     let head = [
--- a/src/bin/foldtrack/cli/keys.rs
+++ b/src/bin/foldtrack/cli/keys.rs
@@ -20,21 +20,21 @@
             rows.push(vec![partner.name.clone(), what.into(), file, told]);
         };
         if let Some(proof) = &partner.proof {
-            let kind = match &proof.kind {
+            let kind = match &proof.scheme {
                 AuthScheme::Bearer => "bearer token".to_string(),
                 AuthScheme::Basic { user } => format!("password of {user}"),
                 AuthScheme::Webhook => "signing secret".to_string(),
             };
-            let read = crate::partner_protocol::read_protected_file(&proof.file)
-                .and_then(|(text, _)| Secrets::parse(&proof.kind, &text));
-            row(&kind, proof.file.display().to_string(), read.map(|secrets| format!("{secrets:?}")));
+            let read = crate::partner_protocol::read_protected_file(&proof.secret_file)
+                .and_then(|(text, _)| Secrets::parse(&proof.scheme, &text));
+            row(&kind, proof.secret_file.display().to_string(), read.map(|secrets| format!("{secrets:?}")));
         }
         let Some(tls) = &partner.tls else { continue };
         match &tls.roots {
             Some(file) => row("trusted", file.display().to_string(), certificates(file, unix)),
             None => row("trusted", "the system's".into(), Ok("whom the system trusts".into())),
         }
-        for pin in &tls.plan.pins {
+        for pin in &tls.settings.pins {
             row("pinned", String::new(), Ok(pin.to_string()));
         }
         if let Some((chain, key)) = &tls.client {
--- a/src/bin/foldtrack/cli/load.rs
+++ b/src/bin/foldtrack/cli/load.rs
@@ -2,7 +2,7 @@
 
 use super::{say, show, Ended, Failure, FAILED, WRONG};
 use clap::{Args, Subcommand};
-use foldtrack_load::report::HEAD;
+use foldtrack_load::report::TABLE_HEADER;
 use foldtrack_load::{run, Plan, Report};
 use std::path::PathBuf;
 
@@ -46,14 +46,15 @@
             });
         }
         let rows: Vec<Vec<String>> = reports.iter().map(Report::row).collect();
-        say(&show::table(&HEAD, &rows, "no run"))
+        say(&show::table(&TABLE_HEADER, &rows, "no run"))
     }
 }
 
 pub(super) fn load(load: &Load) -> Ended {
     match load {
         Load::Run(words) => {
-            let report = run::through(&words.program()?, &words.plan()?).map_err(|e| Failure(FAILED, e))?;
+            let report =
+                run::run_forwarder(&words.program()?, &words.plan()?).map_err(|e| Failure(FAILED, e))?;
             words.tell(&[report])
         }
         Load::Sweep(words) => {
--- a/src/bin/foldtrack/cli/mod.rs
+++ b/src/bin/foldtrack/cli/mod.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::serve;
 use clap::{Args, Parser, Subcommand};
-use foldtrack_control::{Ask, Client, Told, Trouble};
+use foldtrack_control::{Client, ClientError, ControlCommand, ControlResponse};
 use foldtrack_site::{template::TEMPLATE, Site, CONTROL_SOCKET};
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -232,12 +232,12 @@
 
 type Ended = Result<(), Failure>;
 
-impl From<Trouble> for Failure {
-    fn from(trouble: Trouble) -> Self {
+impl From<ClientError> for Failure {
+    fn from(trouble: ClientError) -> Self {
         let code = match trouble {
-            Trouble::NotRunning(_) => NOT_RUNNING,
-            Trouble::Refused(_) => REFUSED,
-            Trouble::Line(_) => FAILED,
+            ClientError::NotRunning(_) => NOT_RUNNING,
+            ClientError::Refused(_) => REFUSED,
+            ClientError::Connection(_) => FAILED,
         };
         Failure(code, trouble.to_string())
     }
@@ -253,12 +253,12 @@
     }
 
     /// Asks once, and shows the answer.
-    fn show(&self, ask: Ask) -> Ended {
-        let told = self.connect()?.ask(ask)?;
+    fn show(&self, ask: ControlCommand) -> Ended {
+        let told = self.connect()?.request(ask)?;
         self.print(&told)
     }
 
-    fn print(&self, told: &Told) -> Ended {
+    fn print(&self, told: &ControlResponse) -> Ended {
         if self.json {
             let text = serde_json::to_string(told).map_err(|e| Failure(FAILED, e.to_string()))?;
             return say(&format!("{text}\n"));
@@ -323,24 +323,24 @@
         Command::Keys { site } => keys::keys(&site),
         Command::Partner(words) => partner::partner(&words),
         Command::Init { file } => init(&file),
-        Command::Status(asked) => asked.show(Ask::Status),
-        Command::Partners(asked) => asked.show(Ask::Partners),
-        Command::Endpoints(asked) => asked.show(Ask::Endpoints),
-        Command::Queues { partner, asked } => asked.show(Ask::Queues { partner, most: None }),
-        Command::Failures { most, asked } => asked.show(Ask::Failures { most: Some(most) }),
-        Command::Message { id, asked } => asked.show(Ask::Message { message: id }),
+        Command::Status(asked) => asked.show(ControlCommand::Status),
+        Command::Partners(asked) => asked.show(ControlCommand::Partners),
+        Command::Endpoints(asked) => asked.show(ControlCommand::Endpoints),
+        Command::Queues { partner, asked } => asked.show(ControlCommand::Queues { partner, most: None }),
+        Command::Failures { most, asked } => asked.show(ControlCommand::Failures { most: Some(most) }),
+        Command::Message { id, asked } => asked.show(ControlCommand::Message { message: id }),
         Command::Drain { endpoint, wait, asked } => orders::drain(&asked, &endpoint, wait),
         Command::Resume { name, partner, asked } => orders::resume(&asked, &name, partner),
-        Command::Pause { partner, asked } => orders::order(&asked, Ask::Pause { partner }),
+        Command::Pause { partner, asked } => orders::order(&asked, ControlCommand::Pause { partner }),
         Command::Add { partner, endpoint, address, asked } => {
-            orders::order(&asked, Ask::Add { partner, endpoint, address })
+            orders::order(&asked, ControlCommand::Add { partner, endpoint, address })
         }
-        Command::Remove { endpoint, asked } => orders::order(&asked, Ask::Remove { endpoint }),
-        Command::Clients { most, asked } => asked.show(Ask::Clients { most: Some(most) }),
+        Command::Remove { endpoint, asked } => orders::order(&asked, ControlCommand::Remove { endpoint }),
+        Command::Clients { most, asked } => asked.show(ControlCommand::Clients { most: Some(most) }),
         Command::Block { network, span, asked } => {
-            orders::order(&asked, Ask::Block { network, for_ms: span.as_millis() as u64 })
+            orders::order(&asked, ControlCommand::Block { network, for_ms: span.as_millis() as u64 })
         }
-        Command::Unblock { network, asked } => orders::order(&asked, Ask::Unblock { network }),
+        Command::Unblock { network, asked } => orders::order(&asked, ControlCommand::Unblock { network }),
         Command::Send(words) => send::send(&words),
         Command::Ends(words) => ends::ends(&words),
         Command::Journal(words) => journal::journal(&words),
@@ -348,7 +348,7 @@
         Command::Load(words) => load::load(&words),
         Command::Fleet(words) => fleet::fleet(&words),
         Command::Emulate(words) => emulate::emulate(&words),
-        Command::Peers(asked) => asked.show(Ask::Peers),
+        Command::Peers(asked) => asked.show(ControlCommand::Peers),
         Command::State(words) => peers::state(&words),
         Command::Stop(asked) => orders::stop(&asked),
     }
--- a/src/bin/foldtrack/cli/peers.rs
+++ b/src/bin/foldtrack/cli/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{load, say, show, Asked, Ended, Failure, FAILED, WRONG};
 use clap::Subcommand;
-use foldtrack_control::{Ask, Client, SiteState, Statement, Told};
+use foldtrack_control::{Client, ControlCommand, ControlResponse, SiteState, Statement};
 use foldtrack_site::CONTROL_SOCKET;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
 
 pub(super) fn state(words: &State) -> Ended {
     match words {
-        State::Show(asked) => asked.show(Ask::State),
+        State::Show(asked) => asked.show(ControlCommand::State),
         State::Diff { one, other, json } => diff(one, other, *json),
     }
 }
@@ -37,13 +37,13 @@
         let told = |e: &dyn std::fmt::Display| Failure(WRONG, format!("{}: {e}", path.display()));
         let text = std::fs::read(path).map_err(|e| told(&e))?;
         return match serde_json::from_slice(&text).map_err(|e| told(&e))? {
-            Told::State(state) => Ok(*state),
+            ControlResponse::State(state) => Ok(*state),
             _ => Err(told(&"this is not what `state show --json` writes")),
         };
     }
     let socket = if path.is_dir() { path.join(CONTROL_SOCKET) } else { load(path)?.control_socket() };
-    match Client::connect(&socket)?.ask(Ask::State)? {
-        Told::State(state) => Ok(*state),
+    match Client::connect(&socket)?.request(ControlCommand::State)? {
+        ControlResponse::State(state) => Ok(*state),
         _ => Err(Failure(FAILED, "the forwarder answers something else than it was asked".into())),
     }
 }
--- a/src/bin/foldtrack/cli/show.rs
+++ b/src/bin/foldtrack/cli/show.rs
@@ -2,26 +2,26 @@
 //! bring into a terminal.
 
 use foldtrack_control::{
-    ClientLine, Clients, Done, Endpoint, Failure, Message, Partner, Peer, Peers, Queue, SiteState, Statement,
-    Status, Told,
+    ClientStats, Clients, ControlResponse, Endpoint, Failure, Message, OrderResult, Partner, Peer, Peers,
+    Queue, SiteState, Statement, Status,
 };
 use std::time::{Duration, UNIX_EPOCH};
 
-pub(super) fn text(told: &Told) -> String {
+pub(super) fn text(told: &ControlResponse) -> String {
     match told {
-        Told::Status(status) => self::status(status),
-        Told::Partners(partners) => self::partners(partners),
-        Told::Endpoints(endpoints) => self::endpoints(endpoints),
-        Told::Queues(queues) => self::queues(queues),
-        Told::Failures(failures) => self::failures(failures),
-        Told::Message(message) => self::message(message),
-        Told::Clients(clients) => self::clients(clients),
-        Told::Done(done) => self::done(done),
-        Told::Peers(peers) => self::peers(peers),
-        Told::State(state) => self::state(state),
-        Told::Changed { status, .. } => self::status(status),
-        Told::Event(event) => format!("{}\n", plain(&event.text)),
-        Told::Error(error) => format!("{}\n", plain(&error.text)),
+        ControlResponse::Status(status) => self::status(status),
+        ControlResponse::Partners(partners) => self::partners(partners),
+        ControlResponse::Endpoints(endpoints) => self::endpoints(endpoints),
+        ControlResponse::Queues(queues) => self::queues(queues),
+        ControlResponse::Failures(failures) => self::failures(failures),
+        ControlResponse::Message(message) => self::message(message),
+        ControlResponse::Clients(clients) => self::clients(clients),
+        ControlResponse::Done(done) => self::done(done),
+        ControlResponse::Peers(peers) => self::peers(peers),
+        ControlResponse::State(state) => self::state(state),
+        ControlResponse::Changed { status, .. } => self::status(status),
+        ControlResponse::Event(event) => format!("{}\n", plain(&event.text)),
+        ControlResponse::Error(error) => format!("{}\n", plain(&error.text)),
     }
 }
 
@@ -235,7 +235,7 @@
 }
 
 fn clients(all: &Clients) -> String {
-    let row = |c: &ClientLine| {
+    let row = |c: &ClientStats| {
         vec![
             c.address.clone(),
             if c.floods { format!("{}, floods", c.known) } else { c.known.clone() },
@@ -339,7 +339,7 @@
     text
 }
 
-fn done(d: &Done) -> String {
+fn done(d: &OrderResult) -> String {
     let what = if d.changed { "done" } else { "it was so already" };
     let copies = match (d.copies, d.others) {
         (_, 0) => String::new(),
--- a/src/bin/foldtrack/control.rs
+++ b/src/bin/foldtrack/control.rs
@@ -6,9 +6,11 @@
 use crate::events::{EventSender, LoopEvent, SiteRequest, Snapshot};
 use crate::lock::lock_ignoring_poison;
 use foldtrack_admission::DescriptorUser;
-use foldtrack_control::lines::{Lines, Unreadable, LONGEST};
-use foldtrack_control::protocol::read;
-use foldtrack_control::{Ask, Error, Event, Reply, Request, Told, MOST_LINES, VERSION};
+use foldtrack_control::framing::{LineDecoder, LineError, MAX_LINE_BYTES};
+use foldtrack_control::protocol::parse_request;
+use foldtrack_control::{
+    ControlCommand, ControlResponse, Error, Event, Reply, Request, MAX_LIST_ENTRIES, VERSION,
+};
 use foldtrack_membership::Order;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -217,7 +219,7 @@
 }
 
 async fn serve(mut stream: UnixStream, number: u64, line: &Line) -> io::Result<()> {
-    let mut lines = Lines::new(LONGEST);
+    let mut lines = LineDecoder::new(MAX_LINE_BYTES);
     let mut bytes = vec![0; 16 * 1024];
     let mut due = Instant::now();
     loop {
@@ -232,25 +234,25 @@
             due = due.max(now - BURST * PACE) + PACE;
             sleep_until(due - PACE).await;
             let request = match read_line {
-                Ok(text) => read(&text),
-                Err(Unreadable::NotText) => {
+                Ok(text) => parse_request(&text),
+                Err(LineError::NotUtf8) => {
                     Err(Box::new(Reply::error(Value::Null, "unreadable", "the line is not UTF-8")))
                 }
-                Err(Unreadable::TooLong) => {
-                    let text = format!("a line has {LONGEST} bytes at most");
+                Err(LineError::TooLong) => {
+                    let text = format!("a line has {MAX_LINE_BYTES} bytes at most");
                     write(&mut stream, &Reply::error(Value::Null, "too_long", text)).await?;
                     return Ok(());
                 }
             };
             match request {
-                Ok(Request { id, ask: Ask::Subscribe { every_ms, events }, .. }) => {
+                Ok(Request { id, command: ControlCommand::Subscribe { every_ms, events }, .. }) => {
                     let every = every_ms.unwrap_or(USUAL_PUSH).max(LEAST_PUSH);
                     let events = events.then(|| line.blocks.events());
                     return push(stream, id, Duration::from_millis(every.into()), events, line).await;
                 }
-                Ok(Request { id, ask, .. }) => {
-                    let told = answer(ask, line).await;
-                    write(&mut stream, &Reply { v: VERSION, id, told }).await?;
+                Ok(Request { id, command, .. }) => {
+                    let told = answer(command, line).await;
+                    write(&mut stream, &Reply { v: VERSION, id, response: told }).await?;
                 }
                 Err(refusal) => write(&mut stream, &refusal).await?,
             }
@@ -259,7 +261,7 @@
 }
 
 async fn write(stream: &mut UnixStream, reply: &Reply) -> io::Result<()> {
-    timeout(SLOW, stream.write_all(reply.line().as_bytes())).await?
+    timeout(SLOW, stream.write_all(reply.to_line().as_bytes())).await?
 }
 
 /// Pushes what has changed until the reader goes. A slow one gets fewer pushes, each the latest.
@@ -281,12 +283,12 @@
             still(p) == still(&picture) && p.partners == picture.partners && p.endpoints == picture.endpoints
         };
         if !last.as_ref().is_some_and(same) {
-            let told = Told::Changed {
+            let told = ControlResponse::Changed {
                 status: Box::new(picture.status.clone()),
                 partners: picture.partners.clone(),
                 endpoints: picture.endpoints.clone(),
             };
-            write(&mut stream, &Reply { v: VERSION, id: id.clone(), told }).await?;
+            write(&mut stream, &Reply { v: VERSION, id: id.clone(), response: told }).await?;
             last = Some(picture);
         }
         let due = sleep(every);
@@ -304,7 +306,8 @@
                     break;
                 }
             };
-            write(&mut stream, &Reply { v: VERSION, id: id.clone(), told: Told::Event(told) }).await?;
+            write(&mut stream, &Reply { v: VERSION, id: id.clone(), response: ControlResponse::Event(told) })
+                .await?;
         }
     }
 }
@@ -324,77 +327,85 @@
     pending().await
 }
 
-fn error(code: &str, text: &str) -> Told {
-    Told::Error(Error { code: code.into(), text: text.into() })
+fn error(code: &str, text: &str) -> ControlResponse {
+    ControlResponse::Error(Error { code: code.into(), text: text.into() })
 }
 
 /// Answers one request.
-async fn answer(ask: Ask, line: &Line) -> Told {
+async fn answer(ask: ControlCommand, line: &Line) -> ControlResponse {
     let order = match ask {
-        Ask::Status | Ask::Partners | Ask::Endpoints | Ask::Failures { .. } | Ask::Queues { .. } => {
+        ControlCommand::Status
+        | ControlCommand::Partners
+        | ControlCommand::Endpoints
+        | ControlCommand::Failures { .. }
+        | ControlCommand::Queues { .. } => {
             let Some(picture) = line.picture().await else { return ending() };
             return show(ask, &picture);
         }
-        Ask::Message { message } => {
+        ControlCommand::Message { message } => {
             let id = message.clone();
             return match line.ask(|reply| SiteRequest::Message { id, reply }).await {
-                Some(Some(message)) => Told::Message(Box::new(message)),
+                Some(Some(message)) => ControlResponse::Message(Box::new(message)),
                 Some(None) => error("unknown_message", &format!("nothing is known of {message:?}")),
                 None => ending(),
             };
         }
-        Ask::Peers => {
+        ControlCommand::Peers => {
             let told = line.ask(|reply| SiteRequest::Peers { reply }).await;
-            return of_peers(told, |peers| Told::Peers(Box::new(peers)));
+            return of_peers(told, |peers| ControlResponse::Peers(Box::new(peers)));
         }
-        Ask::State => {
+        ControlCommand::State => {
             let told = line.ask(|reply| SiteRequest::State { reply }).await;
-            return of_peers(told, |state| Told::State(Box::new(state)));
+            return of_peers(told, |state| ControlResponse::State(Box::new(state)));
         }
-        Ask::Clients { most } => {
-            let most = most.unwrap_or(MOST_LINES).min(MOST_LINES) as usize;
-            return Told::Clients(Box::new(line.blocks.clients(most)));
+        ControlCommand::Clients { most } => {
+            let most = most.unwrap_or(MAX_LIST_ENTRIES).min(MAX_LIST_ENTRIES) as usize;
+            return ControlResponse::Clients(Box::new(line.blocks.clients(most)));
         }
-        Ask::Block { network, for_ms } => return block(line, &network, Some(for_ms)).await,
-        Ask::Unblock { network } => return block(line, &network, None).await,
-        Ask::Stop => {
+        ControlCommand::Block { network, for_ms } => return block(line, &network, Some(for_ms)).await,
+        ControlCommand::Unblock { network } => return block(line, &network, None).await,
+        ControlCommand::Stop => {
             line.events.send(LoopEvent::Terminate);
             let version = line.picture().await.map_or(0, |p| p.status.membership);
-            return Told::Done(foldtrack_control::Done { changed: true, version, ..Default::default() });
+            return ControlResponse::Done(foldtrack_control::OrderResult {
+                changed: true,
+                version,
+                ..Default::default()
+            });
         }
-        Ask::Add { partner, endpoint, address } => {
-            let read = foldtrack_site::check::name(&endpoint)
-                .and_then(|()| foldtrack_site::check::address(&address));
+        ControlCommand::Add { partner, endpoint, address } => {
+            let read = foldtrack_site::check::validate_name(&endpoint)
+                .and_then(|()| foldtrack_site::check::parse_address(&address));
             match read {
                 Ok(address) => Order::Add { partner, endpoint, address },
                 Err(problem) => return error("refused", &problem),
             }
         }
-        Ask::Drain { endpoint } => Order::Drain { endpoint },
-        Ask::Remove { endpoint } => Order::Remove { endpoint },
-        Ask::Pause { partner } => Order::PausePartner { partner },
-        Ask::Resume { endpoint: Some(endpoint), partner: None } => Order::Resume { endpoint },
-        Ask::Resume { endpoint: None, partner: Some(partner) } => Order::ResumePartner { partner },
-        Ask::Resume { .. } => {
+        ControlCommand::Drain { endpoint } => Order::Drain { endpoint },
+        ControlCommand::Remove { endpoint } => Order::Remove { endpoint },
+        ControlCommand::Pause { partner } => Order::PausePartner { partner },
+        ControlCommand::Resume { endpoint: Some(endpoint), partner: None } => Order::Resume { endpoint },
+        ControlCommand::Resume { endpoint: None, partner: Some(partner) } => Order::ResumePartner { partner },
+        ControlCommand::Resume { .. } => {
             return error("unreadable", "resume names an endpoint or a partner, one of the two")
         }
-        Ask::Subscribe { .. } => return error("unreadable", "already read elsewhere"),
+        ControlCommand::Subscribe { .. } => return error("unreadable", "already read elsewhere"),
     };
     let told = match line.ask(|reply| SiteRequest::Order { order, reply }).await {
-        Some(Ok(done)) => Told::Done(done),
-        Some(Err(refused)) => Told::Error(refused),
+        Some(Ok(done)) => ControlResponse::Done(done),
+        Some(Err(refused)) => ControlResponse::Error(refused),
         None => ending(),
     };
     *lock_ignoring_poison(&line.ordered) = Some(Instant::now());
     told
 }
 
-fn ending() -> Told {
+fn ending() -> ControlResponse {
     error("busy", "the forwarder is ending")
 }
 
 /// What is shown of the others, where there are any.
-fn of_peers<T>(told: Option<Option<T>>, show: impl Fn(T) -> Told) -> Told {
+fn of_peers<T>(told: Option<Option<T>>, show: impl Fn(T) -> ControlResponse) -> ControlResponse {
     match told {
         Some(Some(told)) => show(told),
         Some(None) => error("refused", NO_PEERS),
@@ -404,8 +415,8 @@
 
 /// Blocks a network, or ends a block. Here, not in the loop: the file that keeps it may take its time. A block holds here
 /// whatever the others say; it ends once a majority of them has told what it knows.
-async fn block(line: &Line, network: &str, for_ms: Option<u64>) -> Told {
-    let network = match foldtrack_site::check::network(network) {
+async fn block(line: &Line, network: &str, for_ms: Option<u64>) -> ControlResponse {
+    let network = match foldtrack_site::check::parse_network(network) {
         Ok(network) => network,
         Err(problem) => return error("refused", &problem),
     };
@@ -416,29 +427,31 @@
     let name = network.to_string();
     let done = match line.ask(|reply| SiteRequest::Network { network: name, for_ms, reply }).await {
         Some(Ok(done)) => done,
-        Some(Err(refused)) => return Told::Error(refused),
+        Some(Err(refused)) => return ControlResponse::Error(refused),
         None => return ending(),
     };
     let changed = kept.map_or_else(|| line.blocks.unblock(&network), |kept| kept.map(|()| true));
     match changed {
-        Ok(changed) => Told::Done(foldtrack_control::Done { changed: changed || done.changed, ..done }),
+        Ok(changed) => {
+            ControlResponse::Done(foldtrack_control::OrderResult { changed: changed || done.changed, ..done })
+        }
         Err(problem) => error("not_kept", &problem),
     }
 }
 
-fn show(ask: Ask, picture: &Snapshot) -> Told {
-    let most = |most: Option<u32>| most.unwrap_or(MOST_LINES).min(MOST_LINES) as usize;
+fn show(ask: ControlCommand, picture: &Snapshot) -> ControlResponse {
+    let most = |most: Option<u32>| most.unwrap_or(MAX_LIST_ENTRIES).min(MAX_LIST_ENTRIES) as usize;
     match ask {
-        Ask::Status => Told::Status(Box::new(picture.status.clone())),
-        Ask::Partners => Told::Partners(picture.partners.clone()),
-        Ask::Endpoints => Told::Endpoints(picture.endpoints.clone()),
-        Ask::Failures { most: lines } => {
-            Told::Failures(picture.failures.iter().take(most(lines)).cloned().collect())
+        ControlCommand::Status => ControlResponse::Status(Box::new(picture.status.clone())),
+        ControlCommand::Partners => ControlResponse::Partners(picture.partners.clone()),
+        ControlCommand::Endpoints => ControlResponse::Endpoints(picture.endpoints.clone()),
+        ControlCommand::Failures { most: lines } => {
+            ControlResponse::Failures(picture.failures.iter().take(most(lines)).cloned().collect())
         }
-        Ask::Queues { partner, most: lines } => {
+        ControlCommand::Queues { partner, most: lines } => {
             let queues = picture.queues.iter();
             let of = |q: &&foldtrack_control::Queue| partner.as_ref().is_none_or(|p| *p == q.partner);
-            Told::Queues(queues.filter(of).take(most(lines)).cloned().collect())
+            ControlResponse::Queues(queues.filter(of).take(most(lines)).cloned().collect())
         }
         _ => error("unreadable", "nothing to show"),
     }
--- a/src/bin/foldtrack/events.rs
+++ b/src/bin/foldtrack/events.rs
@@ -5,7 +5,9 @@
 use crate::connections::Connection;
 use crate::list::ServerList;
 use crate::message;
-use foldtrack_control::{Done, Endpoint, Error, Failure, Message, Partner, Peers, Queue, SiteState, Status};
+use foldtrack_control::{
+    Endpoint, Error, Failure, Message, OrderResult, Partner, Peers, Queue, SiteState, Status,
+};
 use foldtrack_delivery::{LimitReport, Micros, Outcome, TargetId};
 use foldtrack_ends::Fetched;
 use foldtrack_journal::journal::SyncJob;
@@ -108,10 +110,10 @@
     /// The facts about orders, and whether each is in effect.
     State { reply: oneshot::Sender<Option<SiteState>> },
     /// An order. The reply is sent once it is stored.
-    Order { order: Order, reply: oneshot::Sender<Result<Done, Error>> },
+    Order { order: Order, reply: oneshot::Sender<Result<OrderResult, Error>> },
     /// A network is to be blocked for this long, or unblocked, at the peers. A block already holds
     /// here; an unblock takes effect here if no peer objects.
-    Network { network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<Done, Error>> },
+    Network { network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<OrderResult, Error>> },
 }
 
 /// Snapshot of the forwarder's state for operators.
--- a/src/bin/foldtrack/node/orders.rs
+++ b/src/bin/foldtrack/node/orders.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::events::SiteRequest;
-use foldtrack_control::{Done, Error};
+use foldtrack_control::{Error, OrderResult};
 use foldtrack_delivery::ListKind;
 use foldtrack_ends::Fetched;
 use foldtrack_membership::{Change, Order, OrderError};
@@ -41,7 +41,7 @@
     /// Carries out an order: it is written to the log, and then applied to the scheduler's list of
     /// targets in the same iteration, so that no later decision ignores it. The reply waits for the
     /// sync, which runs outside the event loop.
-    fn handle_order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
+    fn handle_order(&mut self, order: Order, reply: oneshot::Sender<Result<OrderResult, Error>>) {
         let now = self.clock.unix_time(self.clock.now());
         let error = |code: &str, text: String| Error { code: code.into(), text };
         if let Order::Add { partner, address, .. } = &order {
@@ -95,7 +95,7 @@
     }
 
     /// The reply to an order that was carried out.
-    pub(super) fn order_reply(&self, order: &Order, change: Change) -> Done {
+    pub(super) fn order_reply(&self, order: &Order, change: Change) -> OrderResult {
         let none = std::collections::BTreeMap::new();
         let state = self.membership.state();
         let endpoints = state.map_or(&none, |s| s.endpoints());
@@ -111,12 +111,12 @@
         };
         let number = partner.and_then(|p| state?.partners().get(p)).map(|p| p.number);
         let held = self.messages.values().filter(|h| Some(h.message.destination) == number).count() as u32;
-        Done {
+        OrderResult {
             changed: change == Change::Applied,
             version: state.map_or(0, |s| s.version()),
             calls,
             held,
-            ..Done::default()
+            ..OrderResult::default()
         }
     }
 }
--- a/src/bin/foldtrack/node/peers.rs
+++ b/src/bin/foldtrack/node/peers.rs
@@ -7,7 +7,7 @@
 use crate::list::ServerList;
 use crate::message::Message;
 use crate::peers::PeerIo;
-use foldtrack_control::{Done, Error, Peer, Peers as PeersView, SiteState, Statement};
+use foldtrack_control::{Error, OrderResult, Peer, Peers as PeersView, SiteState, Statement};
 use foldtrack_delivery::ListKind;
 use foldtrack_ends::{FinalStatus, MessageOutcome};
 use foldtrack_membership::{Change, EndpointState, Order, OrderError};
@@ -55,7 +55,7 @@
 struct PendingOrder {
     /// None for a network: blocks are not part of the membership.
     order: Option<(Order, Change)>,
-    reply: oneshot::Sender<Result<Done, Error>>,
+    reply: oneshot::Sender<Result<OrderResult, Error>>,
 }
 
 impl PeerState {
@@ -254,7 +254,7 @@
     /// Handles an operator's order. An order that closes something takes effect at once; one that
     /// opens something takes effect once a majority has reported what it knows. The reply is sent
     /// when the order is stored here and at one other peer, or after a timeout.
-    pub(super) fn publish_order(&mut self, order: Order, reply: oneshot::Sender<Result<Done, Error>>) {
+    pub(super) fn publish_order(&mut self, order: Order, reply: oneshot::Sender<Result<OrderResult, Error>>) {
         let validated = self.membership.validate(&order);
         let change = match validated {
             Ok(change) => change,
@@ -271,7 +271,7 @@
     /// because blocks are not part of the membership.
     fn publish_fact(
         &mut self, subject: Subject, action: FactAction, order: Option<(Order, Change)>,
-        reply: oneshot::Sender<Result<Done, Error>>,
+        reply: oneshot::Sender<Result<OrderResult, Error>>,
     ) {
         let (now, at) = (self.now_ms(), self.clock.unix_time(self.clock.now()));
         let Some(peer_state) = &mut self.peers else { return };
@@ -302,14 +302,14 @@
 
     /// Publishes the block of a network, or its end, to the peers. A block already holds here.
     pub(super) fn publish_block(
-        &mut self, network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<Done, Error>>,
+        &mut self, network: String, for_ms: Option<u64>, reply: oneshot::Sender<Result<OrderResult, Error>>,
     ) {
-        let Some(peer_state) = &self.peers else { return drop(reply.send(Ok(Done::default()))) };
+        let Some(peer_state) = &self.peers else { return drop(reply.send(Ok(OrderResult::default()))) };
         let subject = Subject::Network(network);
         let action = match for_ms {
             Some(for_ms) => FactAction::Close { for_ms },
             None if peer_state.peers.subject_state(&subject).closed.is_none() => {
-                return drop(reply.send(Ok(Done::default())));
+                return drop(reply.send(Ok(OrderResult::default())));
             }
             None => FactAction::Open,
         };
@@ -319,7 +319,7 @@
     /// Blocks a network here for as long as the peers do, or unblocks it.
     fn apply_network_facts(&mut self, subject: &Subject) {
         let Some(peer_state) = &self.peers else { return };
-        let Ok(network) = foldtrack_site::check::network(subject.name()) else { return };
+        let Ok(network) = foldtrack_site::check::parse_network(subject.name()) else { return };
         let effective = peer_state.peers.subject_state(subject);
         if effective.closed.is_none() {
             if effective.opened && peer_state.io.blocks.remove(&network) {
@@ -352,9 +352,9 @@
             Ok(Settled { copies, others, .. }) => {
                 let done = match &pending.order {
                     Some((order, change)) => self.order_reply(order, *change),
-                    None => Done { changed: true, ..Done::default() },
+                    None => OrderResult { changed: true, ..OrderResult::default() },
                 };
-                Ok(Done { copies: copies as u32, others: others as u32, ..done })
+                Ok(OrderResult { copies: copies as u32, others: others as u32, ..done })
             }
             Err(refusal) => Err(refused(&refusal)),
         };
--- a/src/bin/foldtrack/node/site_runtime.rs
+++ b/src/bin/foldtrack/node/site_runtime.rs
@@ -115,7 +115,7 @@
             failures: VecDeque::new(),
             closed: HashMap::new(),
             longest_iteration: Duration::ZERO,
-            max_journal_bytes: site.journal_room(),
+            max_journal_bytes: site.journal_capacity(),
             name: site.name,
             state: site.state,
         }
--- a/src/bin/foldtrack/node/snapshot.rs
+++ b/src/bin/foldtrack/node/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::connections::ConnectionStats;
 use crate::events::{Snapshot, Stage};
 use crate::message_view::{attempt_view, message_view};
-use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MOST_LINES};
+use foldtrack_control::{Endpoint, Message, Partner, Queue, Status, MAX_LIST_ENTRIES};
 use foldtrack_delivery::status::{DestinationStatus, Health, RouteStatus};
 use foldtrack_delivery::{Micros, TargetId};
 use foldtrack_membership::MembershipState;
@@ -298,7 +298,7 @@
         let order = |(partner, held, number): &(u32, HeldSummary, u64)| {
             (std::cmp::Reverse(held.held), held.oldest, *partner, *number)
         };
-        let most = MOST_LINES as usize;
+        let most = MAX_LIST_ENTRIES as usize;
         if all.len() > most {
             all.select_nth_unstable_by_key(most - 1, order);
             all.truncate(most);
--- a/src/bin/foldtrack/partner_protocol.rs
+++ b/src/bin/foldtrack/partner_protocol.rs
@@ -5,7 +5,7 @@
 use crate::connections::Encryption;
 use foldtrack_dialect::{CallContext, Dialect, Unsendable};
 use foldtrack_proof::{headers, AuthScheme, Secrets, SignedCall};
-use foldtrack_site::{Proof, Site, Tls};
+use foldtrack_site::{Authentication, Site, Tls};
 use foldtrack_tls::{certificate, expiry, PemFiles};
 use http::request::Parts;
 use secrecy::zeroize::Zeroize;
@@ -176,15 +176,17 @@
 type Credentials = (AuthScheme, watch::Receiver<Arc<Secrets>>);
 
 /// Loads the credentials of a partner.
-fn proof(partner: &str, settings: &Proof, watched: &mut Vec<WatchedFiles>) -> Result<Credentials, String> {
-    let kind = settings.kind.clone();
-    let file = settings.file.display().to_string();
+fn proof(
+    partner: &str, settings: &Authentication, watched: &mut Vec<WatchedFiles>,
+) -> Result<Credentials, String> {
+    let kind = settings.scheme.clone();
+    let file = settings.secret_file.display().to_string();
     let make = move |texts: &[Vec<u8>]| {
         let read = Secrets::parse(&kind, texts.first().map_or(&[][..], Vec::as_slice));
         read.map(Arc::new).map_err(|problem| format!("{file}: {problem}"))
     };
-    let secrets = watch_files(partner, "proof", vec![settings.file.clone()], None, watched, make)?;
-    Ok((settings.kind.clone(), secrets))
+    let secrets = watch_files(partner, "proof", vec![settings.secret_file.clone()], None, watched, make)?;
+    Ok((settings.scheme.clone(), secrets))
 }
 
 /// Loads the TLS configuration of a partner.
@@ -192,7 +194,7 @@
     let client = settings.client.iter().flat_map(|(chain, key)| [chain, key]);
     let files: Vec<PathBuf> = settings.roots.iter().chain(client).cloned().collect();
     let certificate = settings.client.as_ref().map(|_| files.len() - 2);
-    let (plan, with_roots) = (settings.plan.clone(), settings.roots.is_some());
+    let (plan, with_roots) = (settings.settings.clone(), settings.roots.is_some());
     let make = move |texts: &[Vec<u8>]| {
         let (roots, client) = texts.split_at(usize::from(with_roots));
         let client = match client {
@@ -202,7 +204,7 @@
         foldtrack_tls::client_config(&plan, &PemFiles { roots: roots.first().cloned(), client })
     };
     let config = watch_files(partner, "tls", files, certificate, watched, make)?;
-    Ok(Encryption { name: settings.plan.server_name.clone(), config })
+    Ok(Encryption { name: settings.settings.server_name.clone(), config })
 }
 
 fn stamp(file: &File) -> std::io::Result<Stamp> {
--- a/src/bin/foldtrack/peers.rs
+++ b/src/bin/foldtrack/peers.rs
@@ -7,7 +7,7 @@
 use foldtrack_peers::seal::{Sealer, MAX_DATAGRAM};
 use foldtrack_peers::store::{ClaimLog, Opened, OpenedClaims, Store};
 use foldtrack_peers::{Peers, Record, Restored, Settings};
-use foldtrack_site::Peers as PeersConfig;
+use foldtrack_site::PeerSettings as PeersConfig;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/src/bin/foldtrack/serve.rs
+++ b/src/bin/foldtrack/serve.rs
@@ -18,7 +18,7 @@
 use foldtrack_ends::OutcomeStore;
 use foldtrack_journal::Budget;
 use foldtrack_membership::{ListedEndpoint, MembershipLog, SiteFile};
-use foldtrack_site::{Durability, Effect, Site, MOST_ENDPOINTS};
+use foldtrack_site::{Durability, Effect, Site, MAX_ENDPOINTS};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::hash::{BuildHasher, RandomState};
 use std::io::{Read, Write};
@@ -41,7 +41,7 @@
         .map_err(|e| format!("{}: {e}", site.state.display()))?;
     let _lock = lock(&site.state)?;
     let unix = Clock::new().unix_now();
-    let mut log = MembershipLog::open(&site.state, MOST_ENDPOINTS).map_err(|e| e.to_string())?;
+    let mut log = MembershipLog::open(&site.state, MAX_ENDPOINTS).map_err(|e| e.to_string())?;
     for told in log.apply_site_file(unix, &site_list(&site)).map_err(|e| e.to_string())? {
         eprintln!("membership: {told}");
     }
@@ -81,7 +81,7 @@
         client_connections: client_connections.clone(),
         descriptors: ledger.clone(),
         memory_bytes: site.limits.memory as usize,
-        disk_bytes: site.journal_room(),
+        disk_bytes: site.journal_capacity(),
         disk_budget: budget,
         settings: settings(&site),
         partner_protocols,
--- a/src/emulator_policy.rs
+++ b/src/emulator_policy.rs
@@ -4,7 +4,9 @@
     Action, Class, DeliveryScheduler, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind,
     ListedRate, Outcome, Rules, Settings,
 };
-use foldtrack_emulator::policy::{Deed, Effect as Told, Ending, Maker, News, Policy, Site};
+use foldtrack_emulator::policy::{
+    AttemptOutcome, Command, Effect as ClassEffect, Policy, PolicyEvent, PolicyFactory, Site,
+};
 use foldtrack_emulator::{Micros, SECOND};
 
 /// A forwarder handles what has come in once in so long.
@@ -18,12 +20,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SchedulerFactory;
 
-impl Maker for SchedulerFactory {
+impl PolicyFactory for SchedulerFactory {
     fn name(&self) -> &str {
         "module"
     }
 
-    fn make(&self, site: &Site) -> Box<dyn Policy> {
+    fn create(&self, site: &Site) -> Box<dyn Policy> {
         let brain = DeliveryScheduler::new(0, site.seed, settings(site));
         Box::new(Module { brain, version: 0, actions: Vec::new() })
     }
@@ -36,12 +38,12 @@
         worth: c.worth,
         late_value: c.late,
         effect: match c.effect {
-            Told::Repeatable => Effect::Repeatable,
-            Told::Keyed(_) => Effect::Keyed,
-            Told::Once => Effect::Once,
+            ClassEffect::Repeatable => Effect::Repeatable,
+            ClassEffect::Keyed(_) => Effect::Keyed,
+            ClassEffect::Once => Effect::Once,
         },
         dedup_window: match c.effect {
-            Told::Keyed(window) => window,
+            ClassEffect::Keyed(window) => window,
             _ => 0,
         },
         in_order: c.in_order,
@@ -50,15 +52,15 @@
     Settings {
         senders: site.forwarders,
         slots: site.slots,
-        max_held: site.held,
-        max_attempts: site.attempts,
+        max_held: site.max_held,
+        max_attempts: site.max_attempts,
         classes: site.classes.iter().map(class).collect(),
         rules: Rules {
             drain_grace: DRAIN_GRACE,
-            cold_capacity_share: site.cold.from,
-            slow_start_time: site.cold.warm_after,
-            overload_factor: site.cold.tip,
-            overload_duration: site.cold.tip_after,
+            cold_capacity_share: site.slow_start.initial_share,
+            slow_start_time: site.slow_start.duration,
+            overload_factor: site.slow_start.overload_factor,
+            overload_duration: site.slow_start.overload_duration,
             uncertain_key_pause: ORDER_PAUSE,
             ..Rules::default()
         },
@@ -74,23 +76,23 @@
     actions: Vec<Action>,
 }
 
-fn outcome(ending: Ending) -> Outcome {
-    match ending {
-        Ending::Done => Outcome::Ok,
-        Ending::Failed => Outcome::Error,
-        Ending::Full => Outcome::Rejected,
-        Ending::TimedOut => Outcome::TimedOut,
-        Ending::Reset => Outcome::Reset,
-        Ending::NotSent => Outcome::NotSent,
+fn scheduler_outcome(outcome: AttemptOutcome) -> Outcome {
+    match outcome {
+        AttemptOutcome::Delivered => Outcome::Ok,
+        AttemptOutcome::Failed => Outcome::Error,
+        AttemptOutcome::Rejected => Outcome::Rejected,
+        AttemptOutcome::TimedOut => Outcome::TimedOut,
+        AttemptOutcome::Reset => Outcome::Reset,
+        AttemptOutcome::NotSent => Outcome::NotSent,
     }
 }
 
 impl Policy for Module {
-    fn hear(&mut self, now: Micros, news: News, deeds: &mut Vec<Deed>) {
-        let event = match news {
-            News::List(lines) => {
+    fn handle_event(&mut self, now: Micros, event: PolicyEvent, commands: &mut Vec<Command>) {
+        let event = match event {
+            PolicyEvent::List(lines) => {
                 self.version += 1;
-                let endpoint = |line: foldtrack_emulator::policy::Line| Endpoint {
+                let endpoint = |line: foldtrack_emulator::policy::ListedEndpoint| Endpoint {
                     target: line.target,
                     destination: line.partner,
                     state: EndpointState::Ready,
@@ -100,38 +102,48 @@
                 let endpoints = lines.into_iter().map(endpoint).collect();
                 Event::List { kind: ListKind::Full, version: self.version, endpoints }
             }
-            News::Message { id, class, partner, key, expires } => {
+            PolicyEvent::Message { id, class, partner, key, expires } => {
                 Event::Request { id, class, destination: partner, order_key: key, expires }
             }
-            News::Ended { id, attempt, target, ending, took, over, wait, told } => Event::Outcome {
+            PolicyEvent::AttemptEnded {
+                id,
+                attempt,
+                target,
+                outcome,
+                took,
+                finished,
+                wait,
+                limit_report,
+            } => Event::Outcome {
                 id,
                 attempt,
                 target,
-                outcome: outcome(ending),
+                outcome: scheduler_outcome(outcome),
                 took,
-                ended: over,
+                ended: finished,
                 wait,
-                report: told.map(|told| LimitReport { share_left: told.left, rate: told.rate }),
+                report: limit_report
+                    .map(|report| LimitReport { share_left: report.share_left, rate: report.rate }),
             },
-            News::Wake { token } => Event::Timer { token },
+            PolicyEvent::Wake { token } => Event::Timer { token },
         };
         self.brain.handle(now, event, &mut self.actions);
-        self.tell(deeds);
+        self.tell(commands);
     }
 
-    fn decide(&mut self, now: Micros, deeds: &mut Vec<Deed>) {
+    fn decide(&mut self, now: Micros, commands: &mut Vec<Command>) {
         self.brain.decide(now, &mut self.actions);
-        self.tell(deeds);
+        self.tell(commands);
     }
 }
 
 impl Module {
-    fn tell(&mut self, deeds: &mut Vec<Deed>) {
-        deeds.extend(self.actions.drain(..).filter_map(|action| match action {
-            Action::Send { id, target, until } => Some(Deed::Send { id, target, until }),
-            Action::Refuse { id, retry_after } => Some(Deed::Refuse { id, again_after: retry_after }),
-            Action::Fail { id } => Some(Deed::Fail { id }),
-            Action::Timer { after, token } => Some(Deed::Wake { after, token }),
+    fn tell(&mut self, commands: &mut Vec<Command>) {
+        commands.extend(self.actions.drain(..).filter_map(|action| match action {
+            Action::Send { id, target, until } => Some(Command::Send { id, target, until }),
+            Action::Refuse { id, retry_after } => Some(Command::Refuse { id, retry_after }),
+            Action::Fail { id } => Some(Command::Fail { id }),
+            Action::Timer { after, token } => Some(Command::Wake { after, token }),
             // Probes, lists and calls that are called off are none of this world's.
             _ => None,
         }));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
     Action, Class, DeliveryScheduler, Effect, Endpoint, EndpointState, Event, LimitReport, ListKind,
     ListedRate, Micros, Outcome, Rules, Settings,
 };
-use foldtrack_emulator::figures::Second;
+use foldtrack_emulator::metrics::Second;
 use foldtrack_emulator::world::World;
 use std::collections::BTreeMap;
 
@@ -99,8 +99,9 @@
          effect = \"repeatable\"\n[[partner]]\nname = \"p\"\nshare = 1.0\nlimit = 49.0\nwindow = \"1s\"\nrefused-use-up = true\n\
          tells = 0.5\nreport = \"1us\"\nfixed = \"1us\"\n{troubles}"
     );
-    let figures = foldtrack_emulator::play::play(&World::read(&text).unwrap(), &SchedulerFactory, 7);
-    assert!(figures.is_clean(), "{:?}", figures.breaches);
+    let figures =
+        foldtrack_emulator::simulation::simulate(&World::read(&text).unwrap(), &SchedulerFactory, 7);
+    assert!(figures.is_clean(), "{:?}", figures.violations);
     figures.seconds
 }
 
@@ -110,7 +111,8 @@
 fn a_burst_over_the_limit_does_not_keep_a_fleet_above_it() {
     let burst = "[[trouble]]\nat = \"0s\"\nfor = \"4s\"\nwhat = \"burst\"\ntimes = 6.0";
     let told = play(25.0, burst);
-    let served = |range: std::ops::Range<usize>| told[range].iter().map(|s| s.calls - s.full).sum::<u64>();
+    let served =
+        |range: std::ops::Range<usize>| told[range].iter().map(|s| s.calls - s.rejected).sum::<u64>();
     let calls = |range: std::ops::Range<usize>| told[range].iter().map(|s| s.calls).sum::<u64>();
     // Seconds 2 to 12 have a backlog: most of the limit is used, and few calls go for nothing.
     assert!(served(2..12) > 10 * 49 * 6 / 10, "{told:?}");
@@ -123,8 +125,8 @@
     let mut world = World::read(&format!("{text}{trouble}")).unwrap();
     (world.traffic.rate, world.traffic.uneven) = (rate, uneven);
     let played = |seed| {
-        let figures = foldtrack_emulator::play::play(&world, &SchedulerFactory, seed);
-        assert!(figures.is_clean(), "{:?}", figures.breaches);
+        let figures = foldtrack_emulator::simulation::simulate(&world, &SchedulerFactory, seed);
+        assert!(figures.is_clean(), "{:?}", figures.violations);
         figures.served()
     };
     (1..=6).map(played).sum::<f64>() / 6.0
@@ -346,7 +348,7 @@
 fn a_fleet_below_the_limit_is_not_held_up() {
     let told = play(33.0, "");
     let (came, served): (u64, u64) =
-        told[5..].iter().fold((0, 0), |(c, s), second| (c + second.came, s + second.done));
+        told[5..].iter().fold((0, 0), |(c, s), second| (c + second.arrived, s + second.delivered));
     assert!(served + 33 > came, "{told:?}");
 }
 
@@ -375,8 +377,9 @@
             for (partner, limit) in world.partners.iter_mut().zip([33.0, 24.0, 19.0, 15.0, 12.0]) {
                 partner.limit = limit * part;
             }
-            let figures = foldtrack_emulator::play::play(world, &SchedulerFactory, u64::from(forwarders));
-            assert!(figures.is_clean(), "{forwarders}: {:?}", figures.breaches);
+            let figures =
+                foldtrack_emulator::simulation::simulate(world, &SchedulerFactory, u64::from(forwarders));
+            assert!(figures.is_clean(), "{forwarders}: {:?}", figures.violations);
             assert!(figures.served() > 0.3, "{forwarders}: {}", figures.served());
         }
     }
@@ -393,8 +396,11 @@
              effect = \"repeatable\"\n[[partner]]\nname = \"p\"\nshare = 1.0\ntakes = [\"5ms\", \"20ms\"]\nrefuses = {refuses:?}\n"
         );
         for seed in 1..=3 {
-            let figures =
-                foldtrack_emulator::play::play(&World::read(&text).unwrap(), &SchedulerFactory, seed);
+            let figures = foldtrack_emulator::simulation::simulate(
+                &World::read(&text).unwrap(),
+                &SchedulerFactory,
+                seed,
+            );
             let in_time = figures.in_time as f64 / figures.messages as f64;
             assert!(in_time > 0.95 && figures.is_clean(), "{refuses}, seed {seed}: {in_time}");
         }
--- a/tests/peers/main.rs
+++ b/tests/peers/main.rs
@@ -3,7 +3,7 @@
 //! `FOLDTRACK_SEEDS=N cargo test --release --test peers` runs each scenario with N seeds,
 //! `FOLDTRACK_KILLS=N` sets the number of kills.
 
-use foldtrack_control::{Ask, Told};
+use foldtrack_control::{ControlCommand, ControlResponse};
 use foldtrack_rig::fleet::{Fleet, FleetConfig, PartnerEntry, StateFolder};
 use foldtrack_rig::run::{run_scenario, Progress, RunConfig};
 use foldtrack_rig::scenario::{Action, Scenario};
@@ -75,12 +75,12 @@
     (fleet, partner)
 }
 
-fn drain(name: &str) -> Ask {
-    Ask::Drain { endpoint: name.into() }
+fn drain(name: &str) -> ControlCommand {
+    ControlCommand::Drain { endpoint: name.into() }
 }
 
-fn resume(name: &str) -> Ask {
-    Ask::Resume { endpoint: Some(name.into()), partner: None }
+fn resume(name: &str) -> ControlCommand {
+    ControlCommand::Resume { endpoint: Some(name.into()), partner: None }
 }
 
 fn state_of(fleet: &Fleet, forwarder: usize, endpoint: &str) -> String {
@@ -98,7 +98,7 @@
     for round in 0..number("FOLDTRACK_KILLS", 12) as usize {
         let author = round % 3;
         let acknowledged = fleet.forwarders[author].ask(drain("p-1"));
-        let Ok(Told::Done(done)) = acknowledged else { panic!("round {round}: {acknowledged:?}") };
+        let Ok(ControlResponse::Done(done)) = acknowledged else { panic!("round {round}: {acknowledged:?}") };
         assert!(done.copies >= 1 && done.others == 2, "round {round}: {done:?}");
         std::thread::sleep(Duration::from_micros(random.u64(0..50_000)));
         fleet.forwarders[author].kill();
@@ -135,8 +135,8 @@
     assert!(refused.contains("majority") && refused.contains("1 of the 2"), "{refused}");
     // Drained again where the others can't hear it: the order is accepted and reports that no other
     // forwarder has it.
-    fleet.forwarders[0].ask(Ask::Pause { partner: "p".into() }).unwrap();
-    let Told::Done(alone) = fleet.forwarders[0].ask(drain("p-2")).unwrap() else { panic!() };
+    fleet.forwarders[0].ask(ControlCommand::Pause { partner: "p".into() }).unwrap();
+    let ControlResponse::Done(alone) = fleet.forwarders[0].ask(drain("p-2")).unwrap() else { panic!() };
     assert_eq!((alone.copies, alone.others), (0, 2));
     fleet.forwarders[1].ask(resume("p-1")).unwrap();
     assert_eq!(
@@ -201,15 +201,16 @@
 fn a_block_applies_and_ends_at_all_forwarders() {
     let (mut fleet, _partner) = started(3);
     let network = || "203.0.113.0/24".to_string();
-    let blocked = |fleet: &Fleet, n: usize| match fleet.forwarders[n].ask(Ask::Clients { most: None }) {
-        Ok(Told::Clients(clients)) => {
-            clients.blocks.iter().find(|(name, _)| *name == network()).map(|(_, ms)| *ms)
-        }
-        other => panic!("{other:?}"),
-    };
+    let blocked =
+        |fleet: &Fleet, n: usize| match fleet.forwarders[n].ask(ControlCommand::Clients { most: None }) {
+            Ok(ControlResponse::Clients(clients)) => {
+                clients.blocks.iter().find(|(name, _)| *name == network()).map(|(_, ms)| *ms)
+            }
+            other => panic!("{other:?}"),
+        };
     fleet.forwarders[2].kill();
-    let block = Ask::Block { network: network(), for_ms: 3_600_000 };
-    let Ok(Told::Done(done)) = fleet.forwarders[0].ask(block) else { panic!() };
+    let block = ControlCommand::Block { network: network(), for_ms: 3_600_000 };
+    let Ok(ControlResponse::Done(done)) = fleet.forwarders[0].ask(block) else { panic!() };
     assert!(done.changed && done.copies >= 1 && done.others == 2, "{done:?}");
     eventually("another forwarder has the block", || blocked(&fleet, 1).is_some());
     fleet.start(2, StateFolder::Existing).unwrap();
@@ -220,10 +221,10 @@
     fleet.forwarders[1].kill();
     fleet.start(1, StateFolder::Existing).unwrap();
     assert!(blocked(&fleet, 1).is_some_and(|ms| ms <= 3_600_000));
-    fleet.forwarders[1].ask(Ask::Unblock { network: network() }).unwrap();
+    fleet.forwarders[1].ask(ControlCommand::Unblock { network: network() }).unwrap();
     eventually("all unblock the network", || (0..3).all(|n| blocked(&fleet, n).is_none()));
     // A block with a duration.
-    fleet.forwarders[0].ask(Ask::Block { network: network(), for_ms: 2_000 }).unwrap();
+    fleet.forwarders[0].ask(ControlCommand::Block { network: network(), for_ms: 2_000 }).unwrap();
     eventually("all have the order", || (0..3).all(|n| blocked(&fleet, n).is_some()));
     eventually("the block ends", || (0..3).all(|n| blocked(&fleet, n).is_none()));
     let open = |n: usize| {
@@ -380,7 +381,7 @@
     assert_eq!(own.count(), 0);
     let state = fleet.folder().join("a/state");
     assert!(!state.join("peers.redb").exists());
-    let refused = forwarder.ask(Ask::Peers).unwrap_err();
+    let refused = forwarder.ask(ControlCommand::Peers).unwrap_err();
     assert!(refused.contains("no [peers]"), "{refused}");
 }
 
--- a/tests/site/admission.rs
+++ b/tests/site/admission.rs
@@ -1,9 +1,9 @@
 //! Floods of every kind before the real process, while known clients hand in at their usual rate from another address.
 //! `FOLDTRACK_FLOOD=10000` has the full number of connections; the clients then run for longer.
 
-use super::floods::{flood, from, hand_in, hand_in_to, p99};
-use super::world::*;
-use foldtrack_control::{Ask, Clients, Told};
+use super::flood_clients::{flood, from, p99, submit, submit_to};
+use super::site_process::*;
+use foldtrack_control::{Clients, ControlCommand, ControlResponse};
 use foldtrack_standin::{Partner, PartnerBehavior};
 use std::io::{Read, Write};
 use std::process::Command;
@@ -11,9 +11,9 @@
 use std::thread::{scope, sleep};
 use std::time::Duration;
 
-fn clients(site: &Site) -> Clients {
-    match site.ask(Ask::Clients { most: None }).unwrap() {
-        Told::Clients(clients) => *clients,
+fn clients(site: &SiteProcess) -> Clients {
+    match site.request(ControlCommand::Clients { most: None }).unwrap() {
+        ControlResponse::Clients(clients) => *clients,
         told => panic!("{told:?}"),
     }
 }
@@ -24,11 +24,11 @@
 
 fn flooded(what: &str, addresses: &[String], admission: &'static str) {
     let partner = Partner::start(3, PartnerBehavior::default());
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.limits = "descriptors = 400\ncalls = 64";
     plan.admission = admission;
-    let site = Site::start(&plan);
-    let (quiet, lost) = hand_in(site.listen, "127.0.9.4", 60);
+    let site = SiteProcess::start(&plan);
+    let (quiet, lost) = submit(site.listen, "127.0.9.4", 60);
     assert_eq!(lost, 0);
     let stop = AtomicBool::new(false);
     let messages = if flood_size() > 1_000 { 1_000 } else { 150 };
@@ -39,7 +39,7 @@
             .map(|n| {
                 scope.spawn({
                     let listen = site.listen;
-                    move || hand_in(listen, &format!("127.0.9.{n}"), messages)
+                    move || submit(listen, &format!("127.0.9.{n}"), messages)
                 })
             })
             .collect();
@@ -87,11 +87,11 @@
 #[test]
 fn a_flood_is_seen_blocked_and_let_in_again() {
     let partner = Partner::start(3, PartnerBehavior::default());
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.admission = "new-per-second = 5\nburst = 20";
-    let mut site = Site::start(&plan);
+    let mut site = SiteProcess::start(&plan);
     let (stop, opened) = (AtomicBool::new(false), AtomicUsize::new(0));
-    let mut watching = Raw::connect(&site);
+    let mut watching = RawControlClient::connect(&site);
     watching.write(b"{\"v\":1,\"ask\":\"subscribe\",\"every_ms\":200,\"events\":true}\n");
     scope(|scope| {
         scope.spawn(|| {
@@ -109,18 +109,18 @@
     assert_eq!(told.floods.len(), 1, "one line: {:?}", told.floods);
     let line = told.clients.iter().find(|c| c.address == "127.0.8.7").unwrap();
     assert!(line.turned_away > 20 && line.known == "no", "{line:?}");
-    let shown = site.run(&["block", "127.0.8.0/24", "--for", "1h"]);
+    let shown = site.run_command(&["block", "127.0.8.0/24", "--for", "1h"]);
     assert!(shown.status.success(), "{}", String::from_utf8_lossy(&shown.stderr));
-    let in_again = |site: &Site, address: &str| hand_in(site.listen, address, 1).1 == 0;
+    let in_again = |site: &SiteProcess, address: &str| submit(site.listen, address, 1).1 == 0;
     assert!(!in_again(&site, "127.0.8.9") && in_again(&site, "127.0.7.1"));
     site.kill();
-    site.start_again();
+    site.restart();
     assert!(!in_again(&site, "127.0.8.9"), "it outlives the process");
-    let text = String::from_utf8_lossy(&site.run(&["clients"]).stdout).into_owned();
+    let text = String::from_utf8_lossy(&site.run_command(&["clients"]).stdout).into_owned();
     assert!(text.contains("blocked  127.0.8.0/24  for "), "{text}");
-    assert!(site.run(&["unblock", "127.0.8.0/24"]).status.success());
+    assert!(site.run_command(&["unblock", "127.0.8.0/24"]).status.success());
     assert!(in_again(&site, "127.0.8.9"));
-    assert_eq!(site.run(&["block", "somewhere"]).status.code(), Some(4));
+    assert_eq!(site.run_command(&["block", "somewhere"]).status.code(), Some(4));
 }
 
 /// Descriptors run out with forwards in flight: these end, the control line answers, and accepting is what waits.
@@ -132,12 +132,12 @@
     };
     let partner = Partner::start(3, conduct);
     let quick = Partner::start(4, PartnerBehavior::default());
-    let mut plan = Plan::of(&[("p", "a", partner.address()), ("q", "b", quick.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address()), ("q", "b", quick.address())]);
     plan.limits = "descriptors = 400\ncalls = 64\ndisk = \"10MiB\"";
     plan.admission = "known = [\"127.0.9.0/24\"]";
     plan.ends = "size = \"1MiB\"";
-    let site = Site::start(&plan);
-    let (_, lost) = hand_in(site.listen, "127.0.9.1", 40);
+    let site = SiteProcess::start(&plan);
+    let (_, lost) = submit(site.listen, "127.0.9.1", 40);
     assert_eq!(lost, 0);
     let idle: Vec<_> = (0..100).filter_map(|_| from("127.0.9.2", site.listen).ok()).collect();
     // Lowered while it runs, below what is open.
@@ -156,7 +156,7 @@
     busy.set_read_timeout(Some(PATIENCE)).unwrap();
     let (body, mut answer) = ("x".repeat(20_000), [0; 512]);
     for n in 0..300 {
-        busy.write_all(&letter("q", "note", "", &format!("c{n}"), &body)).unwrap();
+        busy.write_all(&message_request("q", "note", "", &format!("c{n}"), &body)).unwrap();
         let count = busy.read(&mut answer).unwrap();
         assert!(answer[..count].starts_with(b"HTTP/1.1 202"), "{n}: {}", String::from_utf8_lossy(&answer));
         if answer[..count].windows(5).any(|w| w == b"close") {
@@ -167,16 +167,16 @@
     eventually("what was taken on has ended", || site.status().held == 0);
     assert_eq!(site.status().delivered, 340);
     limit(400);
-    eventually("clients are let in", || hand_in(site.listen, "127.0.9.3", 1).1 == 0);
+    eventually("clients are let in", || submit(site.listen, "127.0.9.3", 1).1 == 0);
 }
 
 #[test]
 fn a_limit_that_is_too_small_is_told_before_anything_is_taken_on() {
     let partner = Partner::start(3, PartnerBehavior::default());
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.limits = "descriptors = 400\ncalls = 64";
-    let site = Site::prepared(&plan);
-    let script = format!("ulimit -n 80; exec {PROGRAM} serve --site {}", site.file().display());
+    let site = SiteProcess::prepared(&plan);
+    let script = format!("ulimit -n 80; exec {PROGRAM} serve --site {}", site.site_file().display());
     let output = Command::new("sh").args(["-c", &script]).output().unwrap();
     let told = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
@@ -195,18 +195,18 @@
         ..PartnerBehavior::default()
     };
     let (p, q) = (Partner::start(3, conduct.clone()), Partner::start(4, conduct));
-    let mut plan = Plan::of(&[("p", "a", p.address()), ("q", "b", q.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", p.address()), ("q", "b", q.address())]);
     plan.limits = "descriptors = 104\ncalls = 20";
     plan.admission = "known = [\"127.0.9.0/24\"]\nper-known = 36\nrequests = 36";
-    let site = Site::start(&plan);
+    let site = SiteProcess::start(&plan);
     let open = || std::fs::read_dir(format!("/proc/{}/fd", site.pid())).unwrap().count();
     let house = open();
-    let readers: Vec<_> = (0..40).map(|_| Raw::connect(&site)).collect();
+    let readers: Vec<_> = (0..40).map(|_| RawControlClient::connect(&site)).collect();
     let highest = scope(|scope| {
         let known: Vec<_> = [("p", 1), ("p", 2), ("q", 3), ("q", 4)]
             .map(|(partner, n)| {
                 let listen = site.listen;
-                scope.spawn(move || hand_in_to(partner, listen, &format!("127.0.9.{n}"), 250).1)
+                scope.spawn(move || submit_to(partner, listen, &format!("127.0.9.{n}"), 250).1)
             })
             .into();
         let (mut highest, mut idle) = (0, Vec::new());
@@ -234,10 +234,10 @@
 #[test]
 fn who_sips_at_its_answers_is_let_go() {
     let partner = Partner::start(3, PartnerBehavior::default());
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.admission = "known = [\"127.0.9.0/24\"]";
-    let site = Site::start(&plan);
-    let (_, lost) = hand_in(site.listen, "127.0.9.1", 50);
+    let site = SiteProcess::start(&plan);
+    let (_, lost) = submit(site.listen, "127.0.9.1", 50);
     eventually("the ends", || lost == 0 && site.status().delivered == 50);
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
@@ -267,11 +267,11 @@
 #[test]
 fn who_asks_again_at_once_holds_up_nobody() {
     let partner = Partner::start(3, PartnerBehavior::default());
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.limits = "descriptors = 400\ncalls = 64";
     plan.admission =
         "known = [\"127.0.9.0/24\"]\nrequests = 1\nper-address = 100\nper-prefix = 100\nburst = 100";
-    let site = Site::start(&plan);
+    let site = SiteProcess::start(&plan);
     let stop = AtomicBool::new(false);
     scope(|scope| {
         let asking: Vec<_> = (0..100).filter_map(|_| from("127.0.8.1", site.listen).ok()).collect();
@@ -281,7 +281,7 @@
                 stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
                 while !stop.load(Ordering::Relaxed) {
                     // Half a body keeps the one request that its address may have open.
-                    let asked = stream.write_all(&letter("p", "note", "", "same", "x"));
+                    let asked = stream.write_all(&message_request("p", "note", "", "same", "x"));
                     if asked.is_err() || !matches!(stream.read(&mut [0; 512]), Ok(1..)) {
                         break;
                     }
@@ -289,7 +289,7 @@
             });
         }
         sleep(Duration::from_millis(200));
-        let (took, lost) = hand_in(site.listen, "127.0.9.1", 100);
+        let (took, lost) = submit(site.listen, "127.0.9.1", 100);
         let pause = Duration::from_micros(site.status().longest_round_us);
         stop.store(true, Ordering::Relaxed);
         println!("p99 {:?}, longest round {pause:?}", p99(&took));
--- a/tests/site/connections.rs
+++ b/tests/site/connections.rs
@@ -1,8 +1,8 @@
 //! Connections to partners: used again only while that is safe, opened before they are needed, and none for an endpoint that
 //! is drained.
 
-use super::world::*;
-use foldtrack_control::Ask;
+use super::site_process::*;
+use foldtrack_control::ControlCommand;
 use foldtrack_standin::http::{IdleClose, Reply, Server, OK};
 use foldtrack_standin::tls::{Authority, TlsFrontend};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 
 /// Hands payments in, with gaps around a partner's idle time, the worst there can be: 0.5 to 1.25 of it, and now and then a
 /// tenth. Gives how many were written to a connection that it had dropped.
-fn around(site: &Site, server: &Server, name: &str, idle: u64, closing: IdleClose) -> usize {
+fn around(site: &SiteProcess, server: &Server, name: &str, idle: u64, closing: IdleClose) -> usize {
     server.drop_idle(Some((MS(idle), closing)));
     let before = server.late_requests.load(Ordering::SeqCst);
     for call in 0..calls() {
@@ -37,9 +37,9 @@
 #[test]
 fn connections_that_the_partner_drops_are_not_written_to() {
     let server = Server::start(|_| OK);
-    let mut plan = Plan::of(&[("p", "a", server.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
     plan.calls = "open-ahead = false";
-    let site = Site::start(&plan);
+    let site = SiteProcess::start(&plan);
     let told = around(&site, &server, "told", 60, IdleClose::Fin);
     let sooner = around(&site, &server, "sooner", 30, IdleClose::Fin);
     // Nobody sees these but by a message: a few are lost to learn it.
@@ -82,11 +82,11 @@
     Far { server, front, _folder: folder, lines }
 }
 
-fn site_of(far: &Far, calls: &'static str) -> Site {
-    let mut plan = Plan::of(&[("p", "a", far.front.address)]);
+fn site_of(far: &Far, calls: &'static str) -> SiteProcess {
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", far.front.address)]);
     plan.partner = far.lines.clone();
     plan.calls = calls;
-    Site::start(&plan)
+    SiteProcess::start(&plan)
 }
 
 /// Told to drain while connections are being made, for calls and ahead of them: nothing new is written, however long they
@@ -99,13 +99,13 @@
         assert_eq!(site.post("fee", "", &format!("m{n}"), "x").0, 202);
     }
     sleep(MS(300));
-    site.order(Ask::Drain { endpoint: "a".into() });
+    site.order(ControlCommand::Drain { endpoint: "a".into() });
     sleep(MS(3_000));
     assert!(far.server.seen().is_empty(), "a call began after the drain");
     let endpoint = &site.endpoints()["a"];
     assert_eq!((endpoint.calls, endpoint.idle, endpoint.dialling), (0, 0, 0), "{endpoint:?}");
     assert_eq!(site.status().held, 3);
-    site.order(Ask::Resume { endpoint: Some("a".into()), partner: None });
+    site.order(ControlCommand::Resume { endpoint: Some("a".into()), partner: None });
     eventually("they go", || site.status().delivered == 3);
     assert_eq!(far.server.seen().len(), 3);
 }
@@ -158,7 +158,7 @@
     println!("{endpoint:?}");
     assert!(endpoint.ready > 0.8 && endpoint.handshake_ms > 90.0, "{endpoint:?}");
     assert!(endpoint.idle > 0 && endpoint.idle <= 64, "{endpoint:?}");
-    site.order(Ask::Drain { endpoint: "a".into() });
+    site.order(ControlCommand::Drain { endpoint: "a".into() });
     eventually("none stays open", || site.endpoints()["a"].idle == 0);
     sleep(MS(1_500));
     assert_eq!((site.endpoints()["a"].idle, site.endpoints()["a"].dialling), (0, 0));
--- a/tests/site/encrypted.rs
+++ b/tests/site/encrypted.rs
@@ -1,7 +1,7 @@
 //! Partners behind TLS: certificates that are wrong in every way, keys that change under load, handshakes that stand still.
 
-use super::world::*;
-use foldtrack_control::{Ask, Told};
+use super::site_process::*;
+use foldtrack_control::{ControlCommand, ControlResponse};
 use foldtrack_standin::http::{Reply, Server, OK};
 use foldtrack_standin::tls::{Authority, Issued, TlsFrontend};
 use std::fs::{self, Permissions};
@@ -45,8 +45,8 @@
         fs::rename(&new, self.path(name)).unwrap();
     }
 
-    fn plan(&self, more: &str) -> Plan {
-        let mut plan = Plan::of(&[("p", "a", self.front.address)]);
+    fn plan(&self, more: &str) -> SiteConfig {
+        let mut plan = SiteConfig::with_endpoints(&[("p", "a", self.front.address)]);
         let roots = self.path("roots.pem").display().to_string();
         // What is opened ahead has the keys of its time, and may be used as long as it is open.
         plan.calls = "open-ahead = false";
@@ -54,8 +54,8 @@
         plan
     }
 
-    fn site(&self, more: &str) -> Site {
-        Site::start(&self.plan(more))
+    fn site(&self, more: &str) -> SiteProcess {
+        SiteProcess::start(&self.plan(more))
     }
 }
 
@@ -63,12 +63,12 @@
     authority.issue(&[NAME.into()], (2020, 2090))
 }
 
-fn hand_in(site: &Site, id: &str) {
+fn submit(site: &SiteProcess, id: &str) {
     assert_eq!(site.post("fee", "", id, "x").0, 202, "{id}");
 }
 
 /// A message in a moment in which no attempt is out: one without an end may have run, rightly.
-fn between_attempts(site: &Site, id: &str) -> foldtrack_control::Message {
+fn between_attempts(site: &SiteProcess, id: &str) -> foldtrack_control::Message {
     let mut seen = None;
     eventually("no attempt is out", || {
         seen = site.message(id).filter(|m| m.attempts.iter().all(|a| a.until > 0));
@@ -77,9 +77,9 @@
     seen.unwrap()
 }
 
-fn causes(site: &Site) -> Vec<String> {
-    match site.ask(Ask::Failures { most: None }).unwrap() {
-        Told::Failures(all) => all.into_iter().map(|f| f.cause).collect(),
+fn causes(site: &SiteProcess) -> Vec<String> {
+    match site.request(ControlCommand::Failures { most: None }).unwrap() {
+        ControlResponse::Failures(all) => all.into_iter().map(|f| f.cause).collect(),
         told => panic!("{told:?}"),
     }
 }
@@ -89,7 +89,7 @@
     let pay = Pay::start(sound);
     let site = pay.site("least-version = \"1.3\"\n");
     for n in 0..20 {
-        hand_in(&site, &format!("m{n}"));
+        submit(&site, &format!("m{n}"));
     }
     eventually("all are delivered", || site.status().delivered == 20);
     assert_eq!(pay.server.seen().len(), 20);
@@ -98,7 +98,7 @@
     let (full, before) = (pay.front.full.load(Ordering::SeqCst), pay.server.seen().len());
     pay.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
     for n in 0..5 {
-        hand_in(&site, &format!("n{n}"));
+        submit(&site, &format!("n{n}"));
         eventually("it is delivered", || pay.server.seen().len() == before + n + 1);
         sleep(MS(50));
     }
@@ -126,14 +126,14 @@
         pay.front.change(Authority::server(&issued, None));
         let site = pay.site("");
         let id = format!("m{n}");
-        hand_in(&site, &id);
+        submit(&site, &id);
         eventually(cause, || causes(&site).iter().any(|told| told.contains(cause)));
         let message = between_attempts(&site, &id);
         assert!(message.attempts.iter().all(|a| !a.may_have_run), "{message:?}");
-        let shown = String::from_utf8_lossy(&site.run(&["failures"]).stdout).into_owned();
+        let shown = String::from_utf8_lossy(&site.run_command(&["failures"]).stdout).into_owned();
         assert!(shown.contains(cause), "{shown}");
         pay.front.change(Authority::server(&sound(&pay.authority), None));
-        eventually("it goes once the certificate is right", || site.state_of(&id) == "delivered");
+        eventually("it goes once the certificate is right", || site.message_state(&id) == "delivered");
     }
     assert_eq!(pay.server.seen().len(), 4, "each once");
     // One of 40 KB is only large.
@@ -141,8 +141,8 @@
     names.push(NAME.into());
     pay.front.change(Authority::server(&pay.authority.issue(&names, (2020, 2090)), None));
     let site = pay.site("");
-    hand_in(&site, "large");
-    eventually("it goes", || site.state_of("large") == "delivered");
+    submit(&site, "large");
+    eventually("it goes", || site.message_state("large") == "delivered");
 }
 
 /// A pin that the partner's key does not have is as good as no certificate; the next pin stands beside it during a change.
@@ -155,18 +155,18 @@
         foldtrack_tls::certificate::parse_pem(issued.certificate_pem().as_bytes()).unwrap()[0].pin
     };
     let plan = pay.plan(&format!("pins = [\"{}\", \"{}\"]\n", pin(&now), pin(&next)));
-    let site = Site::start(&plan);
-    hand_in(&site, "now");
-    eventually("by the first", || site.state_of("now") == "delivered");
+    let site = SiteProcess::start(&plan);
+    submit(&site, "now");
+    eventually("by the first", || site.message_state("now") == "delivered");
     pay.front.change(Authority::server(&next, None));
     pay.server.behave(|_| Reply::Status(200, "Connection: close\r\n"));
-    hand_in(&site, "next");
-    eventually("by the second", || site.state_of("next") == "delivered");
+    submit(&site, "next");
+    eventually("by the second", || site.message_state("next") == "delivered");
     pay.front.change(Authority::server(&sound(&pay.authority), None));
     pay.server.behave(|_| OK);
     sleep(MS(100));
-    hand_in(&site, "other");
-    hand_in(&site, "another");
+    submit(&site, "other");
+    submit(&site, "another");
     eventually("it is told", || causes(&site).iter().any(|c| c.contains("none of those that are pinned")));
     assert_eq!(pay.server.seen().len(), 2);
 }
@@ -179,12 +179,12 @@
         pay.front.stall_after(Some(bytes));
         let site = pay.site("");
         let id = format!("m{n}");
-        hand_in(&site, &id);
+        submit(&site, &id);
         eventually("it is told", || causes(&site).iter().any(|c| c.contains("no connection in time")));
         let first = site.message(&id).unwrap().attempts.remove(0);
         assert!(!first.may_have_run && first.until - first.at < 3_000_000, "{first:?}");
         pay.front.stall_after(None);
-        eventually("it goes", || site.state_of(&id) == "delivered");
+        eventually("it goes", || site.message_state(&id) == "delivered");
     }
 }
 
@@ -205,7 +205,7 @@
     let mut go_on = |span: Duration| {
         let from = Instant::now();
         while from.elapsed() < span {
-            hand_in(&site, &format!("m{sent}"));
+            submit(&site, &format!("m{sent}"));
             sent += 1;
             sleep(MS(2));
         }
@@ -228,7 +228,7 @@
     // With none at all it is refused, behind the client's part of the handshake and when its request is written already: that
     // is told, and has not run.
     let without = pay.site("");
-    hand_in(&without, "w");
+    submit(&without, "w");
     eventually("it is told", || causes(&without).iter().any(|c| c.contains("CertificateRequired")));
     assert!(between_attempts(&without, "w").attempts.iter().all(|a| !a.may_have_run));
     assert_eq!(pay.server.seen().len() as u64, sent);
@@ -242,7 +242,7 @@
     pay.write("client.key", &client.key_pem(), 0o600);
     let (chain, key) = (pay.path("client.pem"), pay.path("client.key"));
     let site = pay.site(&format!("client-certificate = {chain:?}\nclient-key = {key:?}\n"));
-    let shown = site.run(&["keys", site.file().to_str().unwrap()]);
+    let shown = site.run_command(&["keys", site.site_file().to_str().unwrap()]);
     let text = String::from_utf8_lossy(&shown.stdout).into_owned();
     assert!(shown.status.success(), "{}", String::from_utf8_lossy(&shown.stderr));
     for part in ["hradec", "2090-01-01", "client.pem", "sha256/", "roots.pem"] {
@@ -251,21 +251,23 @@
     assert!(!text.contains("PRIVATE"), "{text}");
     // One that others may read is told before anything is taken on.
     pay.write("client.key", &client.key_pem(), 0o644);
-    let other = Site::prepared(&pay.plan(&format!("client-certificate = {chain:?}\nclient-key = {key:?}\n")));
-    let told = other.run(&["serve", "--site", other.file().to_str().unwrap()]);
+    let other =
+        SiteProcess::prepared(&pay.plan(&format!("client-certificate = {chain:?}\nclient-key = {key:?}\n")));
+    let told = other.run_command(&["serve", "--site", other.site_file().to_str().unwrap()]);
     let told = String::from_utf8_lossy(&told.stderr).into_owned();
     assert!(told.contains("partner.p.tls") && told.contains("chmod 600"), "{told}");
     // A secret over a wire that others may listen on.
     let token = pay.path("token");
     pay.write("token", "t\n", 0o600);
-    let mut plan = Plan::of(&[("p", "a", pay.server.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", pay.server.address)]);
     plan.partner = format!("speaks = \"http\"\npath = \"/\"\n[partner.p.proof]\nsecret-file = {token:?}\n");
-    let plain = Site::start(&plan);
-    let far = Ask::Add { partner: "p".into(), endpoint: "far".into(), address: "192.0.2.7:80".into() };
-    assert!(plain.ask(far).unwrap_err().to_string().contains("in plain text"));
+    let plain = SiteProcess::start(&plan);
+    let far =
+        ControlCommand::Add { partner: "p".into(), endpoint: "far".into(), address: "192.0.2.7:80".into() };
+    assert!(plain.request(far).unwrap_err().to_string().contains("in plain text"));
     plan.endpoints[0].2 = "192.0.2.7:80".parse().unwrap();
-    let other = Site::prepared(&plan);
-    let told = other.run(&["check", other.file().to_str().unwrap()]);
+    let other = SiteProcess::prepared(&plan);
+    let told = other.run_command(&["check", other.site_file().to_str().unwrap()]);
     assert!(String::from_utf8_lossy(&told.stderr).contains("partner.p.tls: is missing"));
 }
 
@@ -275,16 +277,17 @@
     let pay = Pay::start(sound);
     pay.write("token", "hidden-token\n", 0o600);
     let (roots, token) = (pay.path("roots.pem"), pay.path("token"));
-    let mut plan = Plan::of(&[("p", "a", pay.front.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", pay.front.address)]);
     plan.partner = format!(
         "speaks = \"http\"\npath = \"/v1/{{class}}/{{id}}\"\n[partner.p.proof]\nsecret-file = {token:?}\n\
          [partner.p.tls]\nserver-name = \"{NAME}\"\nroots = {roots:?}\n"
     );
-    let site = Site::prepared(&plan);
+    let site = SiteProcess::prepared(&plan);
     let tried = |more: &[&str]| {
-        let file = site.file().display().to_string();
-        let output = site
-            .run(&[&["partner", "try", "p", "--site", &file, "--class", "fee", "--id", "t1"], more].concat());
+        let file = site.site_file().display().to_string();
+        let output = site.run_command(
+            &[&["partner", "try", "p", "--site", &file, "--class", "fee", "--id", "t1"], more].concat(),
+        );
         let text = [output.stdout, output.stderr].concat();
         (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     };
--- a/tests/site/floods.rs
+++ b/tests/site/flood_clients.rs
@@ -1,7 +1,7 @@
 //! Floods and the clients beside them, for the tests of admission and the benchmark `flood`.
 #![allow(dead_code)]
 
-use super::world::letter;
+use super::site_process::message_request;
 use foldtrack_standin::PATIENCE;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
@@ -72,18 +72,18 @@
 
 /// Hands in one after another on a new connection each, from its own address; gives how long each took, and how many
 /// were not taken on.
-pub fn hand_in(listen: SocketAddr, address: &str, messages: usize) -> (Vec<Duration>, usize) {
-    hand_in_to("p", listen, address, messages)
+pub fn submit(listen: SocketAddr, address: &str, messages: usize) -> (Vec<Duration>, usize) {
+    submit_to("p", listen, address, messages)
 }
 
 /// The same for a partner.
-pub fn hand_in_to(
+pub fn submit_to(
     partner: &str, listen: SocketAddr, address: &str, messages: usize,
 ) -> (Vec<Duration>, usize) {
     let (mut took, mut lost) = (Vec::new(), 0);
     for n in 0..messages {
         let start = Instant::now();
-        let request = letter(partner, "note", "", &format!("{address}-{n}"), "x");
+        let request = message_request(partner, "note", "", &format!("{address}-{n}"), "x");
         let answer = from(address, listen).and_then(|mut stream| {
             stream.set_read_timeout(Some(PATIENCE))?;
             stream.write_all(&request)?;
--- a/tests/site/kills.rs
+++ b/tests/site/kills.rs
@@ -1,8 +1,8 @@
 //! Kills at bad moments. `FOLDTRACK_KILLS` says how many; by hand it is some hundreds, and the figures stand in
 //! `docs/design/site.md`.
 
-use super::world::*;
-use foldtrack_control::{Ask, Client};
+use super::site_process::*;
+use foldtrack_control::{Client, ControlCommand};
 use foldtrack_standin::call_records::{check_rules, CallOutcome};
 use foldtrack_standin::http::{Server, OK};
 use foldtrack_standin::{Partner, PartnerBehavior};
@@ -21,7 +21,10 @@
 #[test]
 fn a_drain_that_was_acknowledged_outlives_a_kill() {
     let (drained, other) = (Server::start(|_| OK), Server::start(|_| OK));
-    let mut site = Site::start(&Plan::of(&[("p", "a", drained.address), ("p", "b", other.address)]));
+    let mut site = SiteProcess::start(&SiteConfig::with_endpoints(&[
+        ("p", "a", drained.address),
+        ("p", "b", other.address),
+    ]));
     let mut acknowledged = 0;
     for round in 0..kills(8) {
         let (stop, told) = (AtomicBool::new(false), Mutex::new(None));
@@ -40,7 +43,7 @@
                 sleep(Duration::from_millis(20));
                 // The line may break in the middle of it.
                 let ordered = Client::connect(&site.socket())
-                    .and_then(|mut c| c.ask(Ask::Drain { endpoint: "a".into() }));
+                    .and_then(|mut c| c.request(ControlCommand::Drain { endpoint: "a".into() }));
                 if ordered.is_ok() {
                     *told.lock().unwrap() = Some(Instant::now());
                 }
@@ -54,7 +57,7 @@
             stop.store(true, Ordering::SeqCst);
         });
         site.kill();
-        site.start_again();
+        site.restart();
         let state = site.endpoints()["a"].state.clone();
         if let Some(told) = *told.lock().unwrap() {
             acknowledged += 1;
@@ -65,7 +68,7 @@
             assert_eq!(late, 0, "round {round}");
         }
         if state == "draining" {
-            site.order(Ask::Resume { endpoint: Some("a".into()), partner: None });
+            site.order(ControlCommand::Resume { endpoint: Some("a".into()), partner: None });
         }
     }
     println!("{acknowledged} drains were acknowledged before the kill");
@@ -92,7 +95,7 @@
             feed.fetch(site, 50);
         }
         site.kill();
-        site.start_again();
+        site.restart();
     });
 }
 
@@ -114,7 +117,7 @@
     let refused = under_load(site, partner, kills(8), 3_000, |site, feed, round| {
         sleep(Duration::from_millis(fastrand::u64(20..150)));
         // From nothing at all up to two segments more than there is.
-        site.set_budget(site.taken() + fastrand::u64(0..250_000) * u64::from(round % 3 != 0));
+        site.set_disk_limit(site.disk_usage() + fastrand::u64(0..250_000) * u64::from(round % 3 != 0));
         let mut tries = 0;
         eventually("the full disk refuses", || {
             tries += 1;
@@ -124,10 +127,10 @@
         refusals.fetch_add(1, Ordering::SeqCst);
         if round % 4 == 1 {
             site.kill();
-            site.start_again();
+            site.restart();
         }
         feed.fetch(site, 200);
-        site.set_budget(u64::MAX >> 1);
+        site.set_disk_limit(u64::MAX >> 1);
         let mut tries = 0;
         eventually("it takes messages on again", || {
             tries += 1;
@@ -138,18 +141,18 @@
 }
 
 /// A site whose journal compacts all the time, with a partner that fails some calls.
-fn small_site(durability: &'static str, budget: bool) -> (Site, Partner) {
+fn small_site(durability: &'static str, budget: bool) -> (SiteProcess, Partner) {
     let partner =
         Partner::start(7, PartnerBehavior { resets: 0.02, errors: 0.02, ..PartnerBehavior::default() });
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.limits = "messages = 2000\ndisk = \"16MiB\"";
     plan.ends = "size = \"8MiB\"";
     plan.durability = durability;
-    let mut site = Site::prepared(&plan);
+    let mut site = SiteProcess::prepared(&plan);
     if budget {
-        site.set_budget(u64::MAX >> 1);
+        site.set_disk_limit(u64::MAX >> 1);
     }
-    site.start_again();
+    site.restart();
     (site, partner)
 }
 
@@ -162,7 +165,7 @@
 
 impl Feed {
     /// Fetches and acknowledges some ends, as a client does; what comes twice must be the same.
-    fn fetch(&mut self, site: &Site, most: u32) -> usize {
+    fn fetch(&mut self, site: &SiteProcess, most: u32) -> usize {
         let (status, told) = site.get(&format!("/v1/ends?after={}&most={most}&wait_ms=0", self.after));
         if status != 200 {
             return 0;
@@ -181,8 +184,8 @@
 /// Four clients hand messages in while trouble comes in rounds; then every message that was taken on must have one end
 /// and a true one. Gives how many were refused with a wait.
 fn under_load(
-    mut site: Site, partner: Partner, rounds: usize, filler: usize,
-    mut trouble: impl FnMut(&mut Site, &mut Feed, usize),
+    mut site: SiteProcess, partner: Partner, rounds: usize, filler: usize,
+    mut trouble: impl FnMut(&mut SiteProcess, &mut Feed, usize),
 ) -> usize {
     let (taken, stop, next) = (Mutex::new(BTreeSet::new()), AtomicBool::new(false), AtomicUsize::new(0));
     let (mut feed, listen, refused) = (Feed::default(), site.listen, AtomicUsize::new(0));
@@ -199,7 +202,7 @@
                         format!("key={key};seq={n};class=update;")
                     };
                     let body = body + &"x".repeat(filler);
-                    let bytes = letter("p", class, &key, &format!("m{n}"), &body);
+                    let bytes = message_request("p", class, &key, &format!("m{n}"), &body);
                     let answer = exchange(listen, &bytes).unwrap_or_default().to_lowercase();
                     if answer.starts_with("http/1.1 202") {
                         taken.lock().unwrap().insert(format!("m{n}"));
--- a/tests/site/load.rs
+++ b/tests/site/load.rs
@@ -1,6 +1,6 @@
 //! `foldtrack load`: what it reports is what the partners' books say.
 
-use super::world::PROGRAM;
+use super::site_process::PROGRAM;
 use serde_json::Value;
 use std::process::{Command, Output};
 
