--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -3,16 +3,17 @@
 mod admission;
 mod connections;
 mod encrypted;
-mod floods;
+mod flood_clients;
 mod kills;
 mod load;
 mod partners;
-mod world;
+mod site_process;
 
-use foldtrack_control::{Ask, Told, Trouble};
+use foldtrack_control::{ClientError, ControlCommand, ControlResponse};
 use foldtrack_standin::call_records::check_rules;
 use foldtrack_standin::http::{Reply, Server, OK};
 use foldtrack_standin::{Partner, PartnerBehavior};
+use site_process::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -20,36 +21,35 @@
 use std::sync::Arc;
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
-use world::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 /// One endpoint `a` of the partner `p`, and a site that has it.
 fn one_endpoint(
     behaviour: impl Fn(&foldtrack_standin::http::Request) -> Reply + Send + Sync + 'static,
-) -> (Arc<Server>, Site) {
+) -> (Arc<Server>, SiteProcess) {
     let server = Server::start(behaviour);
-    let site = Site::start(&Plan::of(&[("p", "a", server.address)]));
+    let site = SiteProcess::start(&SiteConfig::with_endpoints(&[("p", "a", server.address)]));
     (server, site)
 }
 
-fn drain(name: &str) -> Ask {
-    Ask::Drain { endpoint: name.into() }
+fn drain(name: &str) -> ControlCommand {
+    ControlCommand::Drain { endpoint: name.into() }
 }
 
-fn add(name: &str, address: SocketAddr) -> Ask {
-    Ask::Add { partner: "p".into(), endpoint: name.into(), address: address.to_string() }
+fn add(name: &str, address: SocketAddr) -> ControlCommand {
+    ControlCommand::Add { partner: "p".into(), endpoint: name.into(), address: address.to_string() }
 }
 
-fn remove(name: &str) -> Ask {
-    Ask::Remove { endpoint: name.into() }
+fn remove(name: &str) -> ControlCommand {
+    ControlCommand::Remove { endpoint: name.into() }
 }
 
 #[test]
 fn a_message_goes_to_its_partner_and_its_end_is_told() {
     let (server, site) = one_endpoint(|_| OK);
     assert_eq!(site.post("fee", "", "m1", "x").0, 202);
-    eventually("the end", || site.state_of("m1") == "delivered");
+    eventually("the end", || site.message_state("m1") == "delivered");
     assert_eq!(server.ids(), ["m1"]);
     let (status, ends) = site.get("/v1/ends");
     assert_eq!(
@@ -61,7 +61,7 @@
     // A copy of one that was delivered is known over a restart, as it was not before there were ends.
     let mut site = site;
     site.kill();
-    site.start_again();
+    site.restart();
     assert_eq!(site.post("fee", "", "m1", "x").0, 202);
     assert_eq!(site.get("/v1/messages/m1").1["state"], "delivered");
     assert_eq!(site.get("/v1/messages/m2"), (404, serde_json::json!({"id": "m2", "state": "unknown"})));
@@ -87,7 +87,7 @@
     }
     eventually("all ends", || site.status().ends == 5);
     site.kill();
-    site.start_again();
+    site.restart();
     let all = site.get("/v1/ends").1;
     assert_eq!(all["ends"].as_array().unwrap().len(), 5, "nothing was acknowledged");
     let cursor = all["ends"][2]["cursor"].as_u64().unwrap();
@@ -96,16 +96,16 @@
     site.get(&format!("/v1/ends?after={cursor}"));
     eventually("they count as fetched", || site.status().ends_unfetched == 2);
     site.kill();
-    site.start_again();
+    site.restart();
     assert_eq!(site.get("/v1/ends").1["ends"].as_array().unwrap().len(), 2);
 }
 
 #[test]
 fn a_client_that_never_fetches_is_refused_with_a_wait_until_it_does() {
     let server = Server::start(|_| OK);
-    let mut plan = Plan::of(&[("p", "a", server.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
     plan.ends = "count = 20\nsize = \"64KiB\"";
-    let site = Site::start(&plan);
+    let site = SiteProcess::start(&plan);
     let mut taken = 0;
     let refused = loop {
         let (status, head) = site.post("note", "", &format!("m{taken}"), "x");
@@ -132,12 +132,15 @@
     let new = Server::start(|_| OK);
     let deliver = |id: &str| {
         assert_eq!(site.post("note", "", id, "x").0, 202);
-        eventually("the end", || site.state_of(id) == "delivered");
+        eventually("the end", || site.message_state(id) == "delivered");
     };
     deliver("m1");
     let first = old.seen()[0].connection;
-    assert!(matches!(site.ask(add("a", new.address)), Err(Trouble::Refused(_))), "the name is taken");
-    assert!(matches!(site.ask(add("b", old.address)), Err(Trouble::Refused(_))), "the address is taken");
+    assert!(matches!(site.request(add("a", new.address)), Err(ClientError::Refused(_))), "the name is taken");
+    assert!(
+        matches!(site.request(add("b", old.address)), Err(ClientError::Refused(_))),
+        "the address is taken"
+    );
     site.order(remove("a"));
     site.order(add("b", old.address));
     deliver("m2");
@@ -161,34 +164,38 @@
     let done = site.order(remove("a"));
     assert_eq!(done.calls, 1);
     // No endpoint is left: what is held waits, and what is new is taken on as long as the partner is remembered.
-    eventually("the call ends", || site.state_of("m1") == "delivered");
+    eventually("the call ends", || site.message_state("m1") == "delivered");
     sleep(MS(300));
-    assert_eq!((server.ids().len(), site.state_of("m2")), (1, "held".into()));
+    assert_eq!((server.ids().len(), site.message_state("m2")), (1, "held".into()));
     site.kill();
-    site.start_again();
-    assert_eq!(site.state_of("m2"), "held");
+    site.restart();
+    assert_eq!(site.message_state("m2"), "held");
     assert_eq!(site.post("update", "k", "m3", "x").0, 503, "after a restart there is nothing to send it to");
     let next = Server::start(|_| OK);
     site.order(add("b", next.address));
-    eventually("the queue goes on", || site.state_of("m2") == "delivered");
+    eventually("the queue goes on", || site.message_state("m2") == "delivered");
     assert_eq!(next.ids(), ["m2"]);
 }
 
 #[test]
 fn a_paused_partner_gets_nothing_and_loses_nothing_over_a_restart() {
     let (server, mut site) = one_endpoint(|_| OK);
-    site.order(Ask::Pause { partner: "p".into() });
+    site.order(ControlCommand::Pause { partner: "p".into() });
     for n in 0..5 {
         assert_eq!(site.post("update", "k", &format!("m{n}"), "x").0, 202);
     }
     site.kill();
-    site.start_again();
+    site.restart();
     sleep(MS(500));
     assert_eq!((server.ids().len(), site.status().held), (0, 5));
-    let Told::Queues(queues) = site.ask(Ask::Queues { partner: None, most: None }).unwrap() else { panic!() };
+    let ControlResponse::Queues(queues) =
+        site.request(ControlCommand::Queues { partner: None, most: None }).unwrap()
+    else {
+        panic!()
+    };
     assert_eq!((queues[0].key.as_str(), queues[0].held), ("k", 5));
     assert_eq!(site.endpoints()["a"].state, "paused");
-    let done = site.order(Ask::Resume { endpoint: None, partner: Some("p".into()) });
+    let done = site.order(ControlCommand::Resume { endpoint: None, partner: Some("p".into()) });
     assert_eq!((done.changed, done.held), (true, 5));
     eventually("all go", || server.ids().len() == 5);
     assert_eq!(server.ids(), ["m0", "m1", "m2", "m3", "m4"]);
@@ -205,22 +212,22 @@
                 let mut client = site.client();
                 for (n, address) in ports.iter().enumerate() {
                     // Both add every endpoint; each drains its half.
-                    client.ask(add(&format!("e{n}"), *address)).unwrap();
+                    client.request(add(&format!("e{n}"), *address)).unwrap();
                     if n % 2 == half {
-                        client.ask(drain(&format!("e{n}"))).unwrap();
+                        client.request(drain(&format!("e{n}"))).unwrap();
                     }
                 }
             });
         }
     });
-    let check = |site: &Site| {
+    let check = |site: &SiteProcess| {
         let endpoints = site.endpoints();
         let draining = endpoints.values().filter(|e| e.state == "draining").count();
         assert_eq!((endpoints.len(), draining, site.status().membership), (21, 20, 1 + 20 + 20));
     };
     check(&site);
     site.kill();
-    site.start_again();
+    site.restart();
     check(&site);
     assert_eq!(site.post("note", "", "m1", "x").0, 202);
     eventually("the one that is left", || server.ids() == ["m1"]);
@@ -230,21 +237,24 @@
 #[test]
 fn a_site_file_that_contradicts_the_orders_wins_only_where_it_has_changed() {
     let servers: Vec<_> = (0..4).map(|_| Server::start(|_| OK)).collect();
-    let plan = Plan::of(&[("p", "a", servers[0].address), ("p", "b", servers[1].address)]);
-    let mut site = Site::start(&plan);
+    let plan = SiteConfig::with_endpoints(&[("p", "a", servers[0].address), ("p", "b", servers[1].address)]);
+    let mut site = SiteProcess::start(&plan);
     site.order(drain("a"));
     site.order(remove("b"));
     site.order(add("c", servers[2].address));
     site.kill();
-    site.start_again();
-    let names = |site: &Site| site.endpoints().into_keys().collect::<Vec<_>>();
+    site.restart();
+    let names = |site: &SiteProcess| site.endpoints().into_keys().collect::<Vec<_>>();
     assert_eq!(
         (names(&site), site.endpoints()["a"].state.as_str()),
         (vec!["a".into(), "c".into()], "draining")
     );
     site.kill();
-    site.write(&Plan::of(&[("p", "a", servers[3].address), ("p", "b", servers[1].address)]));
-    site.start_again();
+    site.write_site_file(&SiteConfig::with_endpoints(&[
+        ("p", "a", servers[3].address),
+        ("p", "b", servers[1].address),
+    ]));
+    site.restart();
     let endpoints = site.endpoints();
     assert_eq!(
         (endpoints["a"].state.as_str(), &endpoints["a"].address),
@@ -257,11 +267,11 @@
 #[test]
 fn control_clients_that_send_nonsense_or_nothing_harm_nobody() {
     let (_server, mut site) = one_endpoint(|_| OK);
-    let mut half = Raw::connect(&site);
+    let mut half = RawControlClient::connect(&site);
     half.write(br#"{"v":1,"ask":"sta"#);
-    let silent = Raw::connect(&site);
-    let mut odd = Raw::connect(&site);
-    let code = |raw: &mut Raw, line: &[u8]| {
+    let silent = RawControlClient::connect(&site);
+    let mut odd = RawControlClient::connect(&site);
+    let code = |raw: &mut RawControlClient, line: &[u8]| {
         raw.write(line);
         raw.line().unwrap()["error"]["code"].as_str().unwrap().to_string()
     };
@@ -273,7 +283,7 @@
     odd.write(b"{\"v\":1,\"id\":5,\"ask\":\"status\"}\n");
     let answer = odd.line().unwrap();
     assert!(answer["id"] == 5 && answer["status"]["pid"] == site.pid(), "{answer}");
-    let mut long = Raw::connect(&site);
+    let mut long = RawControlClient::connect(&site);
     // It is cut off long before the end: what it has not read may come as a reset instead of the answer.
     let whole = long.write(&vec![b'x'; 10 << 20]);
     assert!(!whole || long.line().is_none_or(|l| l["error"]["code"] == "too_long"));
@@ -281,9 +291,9 @@
     assert!(half.line().unwrap()["status"].is_object());
     drop(silent);
     // More silent ones than there are places: an operator still gets in.
-    let crowd: Vec<Raw> = (0..100)
+    let crowd: Vec<RawControlClient> = (0..100)
         .map(|_| {
-            let mut raw = Raw::connect(&site);
+            let mut raw = RawControlClient::connect(&site);
             // It may be let go in the middle of it.
             let _ = (0..50).all(|_| raw.write(b"{\"v\":1,\"ask\":\"endpoints\"}\n"));
             raw
@@ -292,7 +302,7 @@
     let start = Instant::now();
     assert_eq!(site.status().taken, 0);
     assert_eq!(site.post("note", "", "m1", "x").0, 202);
-    eventually("the end", || site.state_of("m1") == "delivered");
+    eventually("the end", || site.message_state("m1") == "delivered");
     // Wide for slow machines.
     assert!(start.elapsed() < MS(20_000), "took {:?}", start.elapsed());
     drop(crowd);
@@ -302,7 +312,7 @@
 #[test]
 fn a_subscription_pushes_what_changes() {
     let (_server, site) = one_endpoint(|_| OK);
-    let mut raw = Raw::connect(&site);
+    let mut raw = RawControlClient::connect(&site);
     raw.write(b"{\"v\":1,\"id\":\"s\",\"ask\":\"subscribe\",\"every_ms\":200}\n");
     let first = raw.line().unwrap();
     assert!(first["id"] == "s" && first["changed"]["endpoints"][0]["state"] == "active", "{first}");
@@ -314,17 +324,17 @@
 #[test]
 fn a_state_folder_belongs_to_one_process_and_a_dead_ones_socket_is_taken_over() {
     let (_server, mut site) = one_endpoint(|_| OK);
-    let before = std::fs::read(site.state().join("membership")).unwrap();
-    let second = site.run(&["serve", "--site", site.file().to_str().unwrap()]);
+    let before = std::fs::read(site.state_dir().join("membership")).unwrap();
+    let second = site.run_command(&["serve", "--site", site.site_file().to_str().unwrap()]);
     let told = String::from_utf8_lossy(&second.stderr).into_owned();
     assert_eq!(second.status.code(), Some(1), "{told}");
     assert!(told.contains(&format!("process {}", site.pid())), "{told}");
-    assert_eq!(std::fs::read(site.state().join("membership")).unwrap(), before);
+    assert_eq!(std::fs::read(site.state_dir().join("membership")).unwrap(), before);
     assert_eq!(site.status().pid, site.pid(), "the first one goes on");
     site.kill();
     assert!(site.socket().exists(), "a killed process leaves its socket");
-    assert_eq!(site.run(&["status"]).status.code(), Some(3));
-    site.start_again();
+    assert_eq!(site.run_command(&["status"]).status.code(), Some(3));
+    site.restart();
     assert_eq!(site.status().pid, site.pid());
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(std::fs::metadata(site.socket()).unwrap().permissions().mode() & 0o777, 0o600);
@@ -334,9 +344,9 @@
 fn commands_show_order_and_end_with_the_documented_codes() {
     let (server, mut site) = one_endpoint(|_| Reply::Status(500, ""));
     assert_eq!(site.post("fee", "", "m1", "x").0, 202);
-    eventually("the end", || site.state_of("m1") == "in_doubt");
+    eventually("the end", || site.message_state("m1") == "in_doubt");
     let text = |words: &[&str]| {
-        let run = site.run(words);
+        let run = site.run_command(words);
         let told = String::from_utf8_lossy(&run.stderr).into_owned();
         (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned() + &told)
     };
@@ -396,9 +406,9 @@
 #[test]
 fn a_full_house_tells_when_to_come_again() {
     let server = Server::start(|_| Reply::Silence);
-    let mut plan = Plan::of(&[("p", "a", server.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
     plan.limits = "messages = 10";
-    let site = Site::start(&plan);
+    let site = SiteProcess::start(&plan);
     let answers: Vec<(u16, String)> = (0..12).map(|n| site.post("note", "", &format!("m{n}"), "x")).collect();
     let taken = answers.iter().take_while(|a| a.0 == 202).count();
     assert!((4..10).contains(&taken), "some room is left for partners without a backlog: {answers:?}");
@@ -406,11 +416,11 @@
         answers[taken..].iter().all(|(status, head)| *status == 503 && head.contains("retry-after:")),
         "{answers:?}"
     );
-    assert!((0..taken).all(|n| site.state_of(&format!("m{n}")) == "held"), "what was taken on stays");
+    assert!((0..taken).all(|n| site.message_state(&format!("m{n}")) == "held"), "what was taken on stays");
     assert_eq!(site.status().handed_back, 0);
     // A refused one is unknown, and comes under its id once there is room.
     let id = format!("m{taken}");
-    assert_eq!(site.state_of(&id), "unknown");
+    assert_eq!(site.message_state(&id), "unknown");
     server.behave(|_| OK);
     eventually("there is room", || site.post("note", "", &id, "x").0 == 202);
 }
@@ -428,14 +438,14 @@
             "u1" => Reply::Close,
             _ => OK,
         });
-        let mut plan = Plan::of(&[("p", "a", server.address)]);
+        let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
         plan.update_deadline = "2s";
         plan.remembered = remembered.into();
-        let mut site = Site::start(&plan);
+        let mut site = SiteProcess::start(&plan);
         assert_eq!(site.post("update", "k", "u1", "x").0, 202);
         eventually("it has been called", || server.ids().contains(&"u1".to_string()));
-        site.order(Ask::Pause { partner: "p".into() });
-        eventually("its time is up", || site.state_of("u1") != "held");
+        site.order(ControlCommand::Pause { partner: "p".into() });
+        eventually("its time is up", || site.message_state("u1") != "held");
         let end = site.get("/v1/messages/u1").1;
         if late && end["state"] == "in_doubt" {
             // The machine was so slow that no time was left: it may not come again either.
@@ -450,16 +460,16 @@
             sleep(Duration::from_micros(memory));
         }
         site.kill();
-        site.start_again();
-        site.order(Ask::Resume { partner: Some("p".into()), endpoint: None });
+        site.restart();
+        site.order(ControlCommand::Resume { partner: Some("p".into()), endpoint: None });
         eventually("the house is empty", || site.status().held == 0);
         withdrawn.store(true, Ordering::SeqCst);
         assert_eq!(site.post("update", "k", "u1", "x").0, if late { 409 } else { 202 });
         if !late {
             assert!(site.message("u1").unwrap().expires <= until, "it goes out no later than that");
             // Withdrawn there: this attempt has not run, but the first hand-in's may have.
-            eventually("it is withdrawn", || site.state_of("u1") != "held");
-            assert_eq!(site.state_of("u1"), "in_doubt");
+            eventually("it is withdrawn", || site.message_state("u1") != "held");
+            assert_eq!(site.message_state("u1"), "in_doubt");
         }
     }
 }
@@ -486,17 +496,17 @@
         ..PartnerBehavior::default()
     };
     let partner = Partner::start(5, conduct);
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.update_deadline = "2s";
     plan.remembered = format!("{memory}s");
-    let mut site = Site::start(&plan);
+    let mut site = SiteProcess::start(&plan);
     assert_eq!(site.post("update", "k", "u1", "class=update;").0, 202);
-    eventually("it is over", || site.state_of("u1") != "held");
+    eventually("it is over", || site.message_state("u1") != "held");
     let end = site.get("/v1/messages/u1").1;
     partner.update_behavior(|c| c.failing = 0.0);
     sleep(wait);
     site.kill();
-    site.start_again();
+    site.restart();
     let answer = site.post("update", "k", "u1", "class=update;").0;
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as u64;
     match end["harmless_until"].as_u64() {
@@ -505,7 +515,7 @@
         // A slow machine: there was no time left for it at its end.
         None => assert!(answer == 409 && end["state"] == "in_doubt", "{wait:?}: {answer}, {end}"),
     }
-    eventually("it is over again", || site.state_of("u1") != "held");
+    eventually("it is over again", || site.message_state("u1") != "held");
     let verdict = check_rules([&partner.call_records()]);
     assert_eq!(
         (verdict.effects, verdict.twice.len()),
@@ -520,7 +530,7 @@
 #[test]
 fn a_file_is_handed_in_once_however_often_it_is_interrupted() {
     let partner = Partner::start(3, PartnerBehavior::default());
-    let mut site = Site::start(&Plan::of(&[("p", "a", partner.address())]));
+    let mut site = SiteProcess::start(&SiteConfig::with_endpoints(&[("p", "a", partner.address())]));
     let file = site.folder.path().join("in.jsonl");
     let line = |n: usize| match n % 3 {
         0 => format!(
@@ -533,7 +543,7 @@
     std::fs::write(&file, (0..count).map(line).collect::<String>()).unwrap();
     let start = || {
         let mut command = Command::new(PROGRAM);
-        command.arg("send").arg(&file).args(["--partner", "p"]).env("FOLDTRACK_SITE", site.file());
+        command.arg("send").arg(&file).args(["--partner", "p"]).env("FOLDTRACK_SITE", site.site_file());
         command.stderr(Stdio::null()).stdout(Stdio::piped()).spawn().unwrap()
     };
     let mut first = start();
@@ -546,7 +556,7 @@
         partner.calls() > before + 100 || second.try_wait().unwrap().is_some()
     });
     site.kill();
-    site.start_again();
+    site.restart();
     let ended = second.wait_with_output().unwrap();
     let table = String::from_utf8_lossy(&ended.stdout).into_owned();
     eventually("all have ended", || site.status().held == 0);
@@ -555,7 +565,7 @@
     assert!(verdict.twice.is_empty() && verdict.out_of_order.is_empty(), "{verdict:?}");
     // What was out when the forwarder was killed may be in doubt, and may never have come; all else is delivered.
     let ids: BTreeSet<&str> = books.calls.iter().map(|c| c.id.as_str()).collect();
-    let told = String::from_utf8(site.run(&["ends"]).stdout).unwrap();
+    let told = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
     let ends: Vec<serde_json::Value> = told.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     let named: BTreeSet<&str> = ends.iter().map(|end| end["id"].as_str().unwrap()).collect();
     assert_eq!((ends.len(), named.len()), (count, count), "each line has one end\n{table}");
@@ -563,7 +573,7 @@
         let id = end["id"].as_str().unwrap();
         assert!(end["state"] == "in_doubt" || end["state"] == "delivered" && ids.contains(id), "{end}");
     }
-    let again = site.run(&["send", file.to_str().unwrap(), "--partner", "p"]);
+    let again = site.run_command(&["send", file.to_str().unwrap(), "--partner", "p"]);
     assert!(String::from_utf8_lossy(&again.stderr).contains(&format!("{count} lines were taken on before")));
     assert_eq!(check_rules([&partner.call_records()]), verdict);
 }
@@ -575,7 +585,7 @@
     let lines = "{\"class\":\"fee\",\"partner\":\"p\"}\n{oops\n\n{\"class\":\"x\",\"partner\":\"p\"}\n\
                  {\"class\":\"fee\",\"partner\":\"q\"}\n{\"class\":\"fee\",\"partner\":\"p\",\"bdy\":1}\n";
     std::fs::write(&file, lines).unwrap();
-    let run = site.run(&["send", file.to_str().unwrap()]);
+    let run = site.run_command(&["send", file.to_str().unwrap()]);
     let told = String::from_utf8_lossy(&run.stderr).into_owned();
     assert_eq!(run.status.code(), Some(1), "{told}");
     for number in [2, 3, 4, 5, 6] {
@@ -584,7 +594,7 @@
     assert_eq!(server.ids().len(), 1);
     // The file has changed since: the ledger is another batch's.
     std::fs::write(&file, "{}\n").unwrap();
-    assert_eq!(site.run(&["send", file.to_str().unwrap()]).status.code(), Some(2));
+    assert_eq!(site.run_command(&["send", file.to_str().unwrap()]).status.code(), Some(2));
 }
 
 #[test]
@@ -600,9 +610,9 @@
 fn what_waits_for_the_disk_is_answered_sent_and_told_all_the_same() {
     let partner =
         Partner::start(5, PartnerBehavior { answers: (MS(0), MS(1)), ..PartnerBehavior::default() });
-    let mut plan = Plan::of(&[("p", "a", partner.address())]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", partner.address())]);
     plan.durability = "machine";
-    let mut site = Site::start(&plan);
+    let mut site = SiteProcess::start(&plan);
     thread::scope(|scope| {
         for worker in 0..16 {
             let site = &site;
@@ -621,17 +631,17 @@
     // On a slow machine some may have been sent again, to a partner that knows their keys.
     let verdict = check_rules([&partner.call_records()]);
     assert!(verdict.effects == 240 && verdict.is_clean(), "{verdict:?}");
-    let told = String::from_utf8(site.run(&["ends"]).stdout).unwrap();
+    let told = String::from_utf8(site.run_command(&["ends"]).stdout).unwrap();
     assert_eq!(told.lines().count(), 240);
     site.kill();
-    site.start_again();
-    assert_eq!((site.status().held, site.state_of("m3-4")), (0, "delivered".into()));
+    site.restart();
+    assert_eq!((site.status().held, site.message_state("m3-4")), (0, "delivered".into()));
     // Nothing goes out against an order that came while its call waited for the disk.
     let calls = partner.calls();
     site.order(drain("a"));
     assert_eq!(site.post("fee", "", "late", "x").0, 202);
     sleep(MS(200));
-    assert_eq!((partner.calls(), site.state_of("late")), (calls, "held".into()));
+    assert_eq!((partner.calls(), site.message_state("late")), (calls, "held".into()));
 }
 
 /// The tools read beside the owner and without it, and tell damage with its place.
@@ -643,7 +653,7 @@
     }
     eventually("the call", || server.ids().len() == 1);
     let text = |words: &[&str]| {
-        let run = site.run(&[&["journal"], words].concat());
+        let run = site.run_command(&[&["journal"], words].concat());
         let told = String::from_utf8_lossy(&run.stderr).into_owned();
         (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned() + &told)
     };
@@ -658,10 +668,10 @@
     check();
     site.kill();
     let text = |words: &[&str]| {
-        let run = site.run(&[&["journal"], words].concat());
+        let run = site.run_command(&[&["journal"], words].concat());
         (run.status.code().unwrap(), String::from_utf8_lossy(&run.stdout).into_owned())
     };
-    let path = site.state().join("journal/00000001");
+    let path = site.state_dir().join("journal/00000001");
     let mut bytes = std::fs::read(&path).unwrap();
     let at = bytes.windows(3).position(|w| w == b"m11").unwrap();
     bytes[at] ^= 1;
--- a/tests/site/partners.rs
+++ b/tests/site/partners.rs
@@ -1,6 +1,6 @@
 //! Partners that were not written for foldtrack: their paths, answers, waits and limits, and proof of who calls.
 
-use super::world::*;
+use super::site_process::*;
 use foldtrack_proof::{headers, AuthScheme, Secrets, SignedCall};
 use foldtrack_standin::http::{Reply, Request, Server, OK};
 use std::fs::{self, Permissions};
@@ -16,20 +16,20 @@
 /// A site whose one partner is spoken to by these lines.
 fn spoken_to(
     lines: &str, behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static,
-) -> (Arc<Server>, Site) {
+) -> (Arc<Server>, SiteProcess) {
     let server = Server::start(behaviour);
-    let mut plan = Plan::of(&[("p", "a", server.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
     plan.partner = lines.to_string();
-    (server, Site::start(&plan))
+    (server, SiteProcess::start(&plan))
 }
 
-fn hand_in(site: &Site, class: &str, key: &str, id: &str) {
+fn submit(site: &SiteProcess, class: &str, key: &str, id: &str) {
     let (status, _) = site.post(class, key, id, "{\"amount\":7}");
     assert_eq!(status, 202, "{id}");
 }
 
-fn ends_as(site: &Site, id: &str, state: &str) {
-    eventually(&format!("{id} is {state}"), || site.state_of(id) == state);
+fn ends_as(site: &SiteProcess, id: &str, state: &str) {
+    eventually(&format!("{id} is {state}"), || site.message_state(id) == state);
 }
 
 fn calls_of<'a>(seen: &'a [Request], id: &str) -> Vec<&'a Request> {
@@ -64,7 +64,7 @@
         ("500-a", "in_doubt"),
     ] {
         // A payment: what may have run can't be repeated, and is in doubt.
-        hand_in(&site, "fee", "", id);
+        submit(&site, "fee", "", id);
         if id != "500-a" {
             ends_as(&site, id, state);
         }
@@ -85,7 +85,7 @@
             false => OK,
         }
     });
-    hand_in(&site, "fee", "", "507-a");
+    submit(&site, "fee", "", "507-a");
     ends_as(&site, "507-a", "delivered");
     assert_eq!(calls_of(&server.seen(), "507-a").len(), 2);
     // Nothing is handed in again that was refused for good.
@@ -98,7 +98,7 @@
     let lines = "speaks = \"http\"\npath = \"/n/{id}\"\n";
     for date in [false, true] {
         let (server, site) = spoken_to(lines, |_| OK);
-        hand_in(&site, "note", "", "warm");
+        submit(&site, "note", "", "warm");
         ends_as(&site, "warm", "delivered");
         let (told, wait) = match date {
             false => ("Retry-After: 1.5\r\n".to_string(), MS(1_400)),
@@ -113,11 +113,11 @@
             true => Reply::Headers(429, told.clone()),
             false => OK,
         });
-        hand_in(&site, "note", "", "told");
+        submit(&site, "note", "", "told");
         eventually("it is told", || server.seen().len() == 2);
         let from = Instant::now();
         for n in 0..5 {
-            hand_in(&site, "fee", "", &format!("f{n}"));
+            submit(&site, "fee", "", &format!("f{n}"));
         }
         eventually("all go", || site.status().delivered == 7);
         let early = server.seen().iter().skip(2).filter(|r| r.at < from + wait).count();
@@ -136,14 +136,14 @@
         ("x%2fy", "/n/x%252fy?c=note"),
         ("q?x=1#f", "/n/q%3Fx%3D1%23f?c=note"),
     ] {
-        hand_in(&site, "note", "", id);
+        submit(&site, "note", "", id);
         eventually("the call", || server.seen().last().is_some_and(|r| r.path == path));
     }
     assert!(server.seen().iter().all(|r| r.headers["x-source"] == "site-note"));
     let before = server.seen().len();
     // A server would take it for a step upwards.
     let begun = Instant::now();
-    hand_in(&site, "note", "", "..");
+    submit(&site, "note", "", "..");
     eventually("it has ended", || site.message("..").is_some_and(|m| m.state == "given_up"));
     assert!(begun.elapsed() < Duration::from_secs(10) && server.seen().len() == before);
 }
@@ -154,10 +154,10 @@
     let lines = "speaks = \"http\"\npath = \"/n/{id}\"\n";
     let told = "RateLimit-Policy: \"all\";q=10;w=1\r\nRateLimit: \"all\";r=5;t=1\r\n";
     let (server, site) = spoken_to(lines, move |_| Reply::Status(200, told));
-    hand_in(&site, "note", "", "first");
+    submit(&site, "note", "", "first");
     ends_as(&site, "first", "delivered");
     for n in 0..40 {
-        hand_in(&site, "note", "", &format!("m{n}"));
+        submit(&site, "note", "", &format!("m{n}"));
     }
     eventually("all are delivered", || site.status().delivered == 41);
     let seen = server.seen();
@@ -166,7 +166,7 @@
     });
     // Ten a second and a little for chance; without the limit all forty go within a moment.
     assert!(busiest.max().unwrap() <= 22, "too fast");
-    let partner = site.run(&["partners"]);
+    let partner = site.run_command(&["partners"]);
     assert!(partner.status.success());
 }
 
@@ -212,7 +212,7 @@
     let mut go_on = |from: Instant, until: &dyn Fn() -> bool| {
         while !until() {
             assert!(from.elapsed() < PATIENCE, "the new token is not used");
-            hand_in(&site, "fee", "", &format!("f{sent}"));
+            submit(&site, "fee", "", &format!("f{sent}"));
             sent += 1;
             sleep(MS(10));
         }
@@ -246,7 +246,7 @@
             false => Reply::Status(204, ""),
         }
     });
-    hand_in(&site, "note", "", "n1");
+    submit(&site, "note", "", "n1");
     ends_as(&site, "n1", "delivered");
     let seen = server.seen();
     assert_eq!(seen.len(), 2);
@@ -264,8 +264,8 @@
         assert_eq!(call.headers["webhook-signature"].split(' ').count(), 2);
     }
     // Its id would be taken for another id and time: it can't be signed, and ends at once.
-    hand_in(&site, "fee", "", "a.b");
-    eventually("it has ended", || site.state_of("a.b") == "given_up");
+    submit(&site, "fee", "", "a.b");
+    eventually("it has ended", || site.message_state("a.b") == "given_up");
     assert_eq!(server.seen().len(), 2);
 }
 
@@ -273,11 +273,11 @@
 fn a_secret_that_cannot_be_used_is_told_before_anything_is_taken_on() {
     let secret = SecretFile::with("hidden-token\n");
     let server = Server::start(|_| OK);
-    let mut plan = Plan::of(&[("p", "a", server.address)]);
+    let mut plan = SiteConfig::with_endpoints(&[("p", "a", server.address)]);
     plan.partner = secret.lines("http", "bearer");
-    let site = Site::prepared(&plan);
+    let site = SiteProcess::prepared(&plan);
     let starts = || {
-        let output = site.run(&["serve", "--site", site.file().to_str().unwrap()]);
+        let output = site.run_command(&["serve", "--site", site.site_file().to_str().unwrap()]);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
     for (text, mode, told) in [
--- a/tests/site/world.rs
+++ b/tests/site/site_process.rs
@@ -1,6 +1,8 @@
 //! A forwarder with a site file of its own as a process, its partners on loopback, its clients and its operators.
 
-use foldtrack_control::{Ask, Client, Done, Endpoint, Message, Status, Told, Trouble};
+use foldtrack_control::{
+    Client, ClientError, ControlCommand, ControlResponse, Endpoint, Message, OrderResult, Status,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,7 +17,7 @@
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_foldtrack");
 
 /// A site file whose partner `p` has these endpoints.
-pub struct Plan {
+pub struct SiteConfig {
     pub endpoints: Vec<(&'static str, &'static str, SocketAddr)>,
     pub limits: &'static str,
     pub admission: &'static str,
@@ -30,9 +32,9 @@
     pub partner: String,
 }
 
-impl Plan {
-    pub fn of(endpoints: &[(&'static str, &'static str, SocketAddr)]) -> Plan {
-        Plan {
+impl SiteConfig {
+    pub fn with_endpoints(endpoints: &[(&'static str, &'static str, SocketAddr)]) -> SiteConfig {
+        SiteConfig {
             endpoints: endpoints.to_vec(),
             limits: "",
             admission: "",
@@ -68,7 +70,7 @@
     }
 }
 
-pub struct Site {
+pub struct SiteProcess {
     pub listen: SocketAddr,
     pub folder: TempDir,
     child: Child,
@@ -83,44 +85,44 @@
     listener.local_addr().unwrap()
 }
 
-impl Site {
-    pub fn start(plan: &Plan) -> Site {
-        let mut site = Site::prepared(plan);
-        site.start_again();
+impl SiteProcess {
+    pub fn start(plan: &SiteConfig) -> SiteProcess {
+        let mut site = SiteProcess::prepared(plan);
+        site.restart();
         site
     }
 
     /// A site that is not running yet.
-    pub fn prepared(plan: &Plan) -> Site {
-        let site = Site { listen: own_address(), child: idle(), folder: tempfile::tempdir().unwrap() };
-        site.write(plan);
+    pub fn prepared(plan: &SiteConfig) -> SiteProcess {
+        let site = SiteProcess { listen: own_address(), child: idle(), folder: tempfile::tempdir().unwrap() };
+        site.write_site_file(plan);
         site
     }
 
-    pub fn write(&self, plan: &Plan) {
-        let state = self.state();
-        std::fs::write(self.file(), plan.text(self.listen, state.to_str().unwrap())).unwrap();
+    pub fn write_site_file(&self, plan: &SiteConfig) {
+        let state = self.state_dir();
+        std::fs::write(self.site_file(), plan.text(self.listen, state.to_str().unwrap())).unwrap();
     }
 
-    pub fn file(&self) -> PathBuf {
+    pub fn site_file(&self) -> PathBuf {
         self.folder.path().join("site.toml")
     }
 
     /// How large the disk is for a site that has been started with this file.
-    pub fn budget_file(&self) -> PathBuf {
+    pub fn disk_limit_file(&self) -> PathBuf {
         self.folder.path().join("disk-budget")
     }
 
     /// The disk is so large from now on.
-    pub fn set_budget(&self, bytes: u64) {
+    pub fn set_disk_limit(&self, bytes: u64) {
         // In one step: half a number would be another.
         let next = self.folder.path().join("disk-budget.next");
         std::fs::write(&next, bytes.to_string()).unwrap();
-        std::fs::rename(next, self.budget_file()).unwrap();
+        std::fs::rename(next, self.disk_limit_file()).unwrap();
     }
 
     /// Bytes that the files of the state folder take, what is set aside for them included.
-    pub fn taken(&self) -> u64 {
+    pub fn disk_usage(&self) -> u64 {
         fn of(folder: &std::path::Path) -> u64 {
             use std::os::unix::fs::MetadataExt;
             let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
@@ -131,15 +133,15 @@
             };
             entries.map(size).sum()
         }
-        of(&self.state())
+        of(&self.state_dir())
     }
 
-    pub fn state(&self) -> PathBuf {
+    pub fn state_dir(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 
     pub fn socket(&self) -> PathBuf {
-        self.state().join("control.sock")
+        self.state_dir().join("control.sock")
     }
 
     pub fn pid(&self) -> u32 {
@@ -150,14 +152,14 @@
         // A benchmark may start another build's program.
         let program = std::env::var_os("FOLDTRACK_PROGRAM").unwrap_or(PROGRAM.into());
         let mut command = Command::new(program);
-        command.args(["serve", "--site"]).arg(self.file()).env_clear().stderr(Stdio::inherit());
-        if self.budget_file().exists() {
-            command.arg("--disk-budget").arg(self.budget_file());
+        command.args(["serve", "--site"]).arg(self.site_file()).env_clear().stderr(Stdio::inherit());
+        if self.disk_limit_file().exists() {
+            command.arg("--disk-budget").arg(self.disk_limit_file());
         }
         self.child = command.spawn().unwrap();
     }
 
-    pub fn start_again(&mut self) {
+    pub fn restart(&mut self) {
         self.spawn();
         let health = "GET /healthz HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n";
         let ready =
@@ -175,49 +177,49 @@
     }
 
     /// Runs a command on this site.
-    pub fn run(&self, words: &[&str]) -> Output {
+    pub fn run_command(&self, words: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
-        command.args(words).env_clear().env("FOLDTRACK_SITE", self.file()).output().unwrap()
+        command.args(words).env_clear().env("FOLDTRACK_SITE", self.site_file()).output().unwrap()
     }
 
     pub fn client(&self) -> Client {
         Client::connect(&self.socket()).unwrap()
     }
 
-    pub fn ask(&self, ask: Ask) -> Result<Told, Trouble> {
-        self.client().ask(ask)
+    pub fn request(&self, ask: ControlCommand) -> Result<ControlResponse, ClientError> {
+        self.client().request(ask)
     }
 
-    pub fn order(&self, ask: Ask) -> Done {
-        match self.ask(ask).unwrap() {
-            Told::Done(done) => done,
+    pub fn order(&self, ask: ControlCommand) -> OrderResult {
+        match self.request(ask).unwrap() {
+            ControlResponse::Done(done) => done,
             told => panic!("{told:?}"),
         }
     }
 
     pub fn status(&self) -> Status {
-        match self.ask(Ask::Status).unwrap() {
-            Told::Status(status) => *status,
+        match self.request(ControlCommand::Status).unwrap() {
+            ControlResponse::Status(status) => *status,
             told => panic!("{told:?}"),
         }
     }
 
     pub fn endpoints(&self) -> BTreeMap<String, Endpoint> {
-        match self.ask(Ask::Endpoints).unwrap() {
-            Told::Endpoints(all) => all.into_iter().map(|e| (e.name.clone(), e)).collect(),
+        match self.request(ControlCommand::Endpoints).unwrap() {
+            ControlResponse::Endpoints(all) => all.into_iter().map(|e| (e.name.clone(), e)).collect(),
             told => panic!("{told:?}"),
         }
     }
 
     pub fn message(&self, id: &str) -> Option<Message> {
-        match self.ask(Ask::Message { message: id.into() }) {
-            Ok(Told::Message(message)) => Some(*message),
+        match self.request(ControlCommand::Message { message: id.into() }) {
+            Ok(ControlResponse::Message(message)) => Some(*message),
             Ok(told) => panic!("{told:?}"),
             Err(_) => None,
         }
     }
 
-    pub fn state_of(&self, id: &str) -> String {
+    pub fn message_state(&self, id: &str) -> String {
         self.message(id).map_or("unknown".into(), |m| m.state)
     }
 
@@ -227,7 +229,8 @@
     }
 
     pub fn post_to(&self, partner: &str, class: &str, key: &str, id: &str, body: &str) -> (u16, String) {
-        let answer = exchange(self.listen, &letter(partner, class, key, id, body)).unwrap_or_default();
+        let answer =
+            exchange(self.listen, &message_request(partner, class, key, id, body)).unwrap_or_default();
         (answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0), answer.to_lowercase())
     }
 
@@ -246,14 +249,14 @@
     Command::new("true").spawn().unwrap()
 }
 
-impl Drop for Site {
+impl Drop for SiteProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-pub fn letter(partner: &str, class: &str, key: &str, id: &str, body: &str) -> Vec<u8> {
+pub fn message_request(partner: &str, class: &str, key: &str, id: &str, body: &str) -> Vec<u8> {
     format!(
         "POST /{class}/{key} HTTP/1.1\r\nHost: f\r\nConnection: close\r\nX-Request-Id: {id}\r\nX-Partner: {partner}\r\n\
          Idempotency-Key: {id}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -273,13 +276,13 @@
 }
 
 /// A raw connection to the control line.
-pub struct Raw(BufReader<std::os::unix::net::UnixStream>);
+pub struct RawControlClient(BufReader<std::os::unix::net::UnixStream>);
 
-impl Raw {
-    pub fn connect(site: &Site) -> Raw {
+impl RawControlClient {
+    pub fn connect(site: &SiteProcess) -> RawControlClient {
         let stream = std::os::unix::net::UnixStream::connect(site.socket()).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Raw(BufReader::new(stream))
+        RawControlClient(BufReader::new(stream))
     }
 
     pub fn write(&mut self, bytes: &[u8]) -> bool {
