--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -1,7 +1,7 @@
-//! What benchmarks see of a process from outside (proc(5)).
+//! Resource usage of a process, read from proc(5), for the benchmarks.
 #![allow(dead_code)]
 
-/// CPU seconds that a process has taken, in ticks of 10 ms; 0 if it is gone.
+/// CPU time of a process in seconds, in ticks of 10 ms; 0 if the process has exited.
 pub fn cpu(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<f64> =
@@ -9,7 +9,7 @@
     fields.iter().skip(11).take(2).sum::<f64>() / 100.0
 }
 
-/// Resident memory in KiB; 0 if it is gone.
+/// Resident memory of a process in KiB; 0 if the process has exited.
 pub fn resident(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap_or("");
--- a/benches/lossy.rs
+++ b/benches/lossy.rs
@@ -1,13 +1,13 @@
-//! Partners that fail some of their calls, in simulated time: `cargo bench --bench lossy`. Sixteen clients hand in one
-//! after another to two partners whose calls take 0 to 30 ms; beside the decisions a plain client with eight connections
-//! to each partner, which tries until it is served.
+//! Partners that fail some of their calls, in simulated time: `cargo bench --bench lossy`. Sixteen clients submit messages one
+//! after another to two partners whose calls take 0 to 30 ms. For comparison, a plain client with eight connections to each
+//! partner retries each call until it succeeds.
 
 #[path = "../tests/lossy/mod.rs"]
 mod lossy;
 
 use lossy::*;
 
-/// What a plain client applies in a second at a share: no journal, no order, no rule on payments.
+/// Messages per second that a plain client applies: no journal, no order keys, no rule on payments.
 fn plain(plan: &Scenario) -> f64 {
     let mut rng = fastrand::Rng::with_seed(plan.seed);
     let mut applied = 0u64;
@@ -30,24 +30,24 @@
 }
 
 fn sweep() {
-    println!("share   applied/s  of 0%   plain/s   attempts/applied  handed back   held to be out");
+    println!("share   applied/s  of 0%   plain/s   attempts/applied  handed back   outages");
     let mut first = 0.0;
     for share in [0.0, 0.055, 0.11, 0.165, 0.22, 0.3, 0.4, 0.5, 0.6] {
-        let (mut rate, mut back, mut tries, mut verdicts, mut taken) = (0.0, 0, 0.0, 0, 0);
+        let (mut rate, mut back, mut tries, mut outages, mut taken) = (0.0, 0, 0.0, 0, 0);
         for seed in 1..=3 {
             let plan = Scenario { seed, failure_share: share, ..Scenario::default() };
-            let day = simulate(&plan);
+            let result = simulate(&plan);
             let span = (plan.duration / SECOND) as usize;
-            rate += day.by_second[..span].iter().sum::<u64>() as f64 / span as f64 / 3.0;
-            tries += day.attempts as f64 / day.applied as f64 / 3.0;
-            (back, verdicts, taken) =
-                (back + day.handed_back, verdicts + day.outages_detected, taken + day.taken);
+            rate += result.by_second[..span].iter().sum::<u64>() as f64 / span as f64 / 3.0;
+            tries += result.attempts as f64 / result.applied as f64 / 3.0;
+            (back, outages, taken) =
+                (back + result.handed_back, outages + result.outages_detected, taken + result.taken);
         }
         first = if first > 0.0 { first } else { rate };
         let plain = plain(&Scenario { failure_share: share, ..Scenario::default() });
         let back = back as f64 / taken as f64;
         println!(
-            "{:>5.1}%  {rate:>9.1}  {:>5.2}  {plain:>8.1}  {tries:>16.2}  {:>10.1}%  {verdicts:>8}",
+            "{:>5.1}%  {rate:>9.1}  {:>5.2}  {plain:>8.1}  {tries:>16.2}  {:>10.1}%  {outages:>8}",
             share * 100.0,
             rate / first,
             back * 100.0
@@ -56,11 +56,11 @@
 }
 
 fn outages() {
-    println!("true outages: time to the verdict and calls spent before it, worst of three days");
+    println!("real outages: time until detection and calls sent before it, worst of three seeds");
     for kind in [FailureKind::Refused, FailureKind::ResetBefore, FailureKind::Error, FailureKind::Silent] {
         let mut line = format!("  {kind:?}:");
         for rate in [5.0, 50.0, 500.0, 5_000.0] {
-            let (mut latest, mut spent) = (0, 0);
+            let (mut latest, mut calls) = (0, 0);
             for seed in 1..=3 {
                 let outage = Some((4 * SECOND, 12 * SECOND, kind));
                 let plan = Scenario {
@@ -72,11 +72,11 @@
                     duration: 8 * SECOND,
                     ..Scenario::default()
                 };
-                let day = simulate(&plan);
-                latest = latest.max(day.detected_after.unwrap_or(Micros::MAX));
-                spent = spent.max(day.calls_before_detection);
+                let result = simulate(&plan);
+                latest = latest.max(result.detected_after.unwrap_or(Micros::MAX));
+                calls = calls.max(result.calls_before_detection);
             }
-            line += &format!("  {rate}/s {} ms, {spent} calls;", latest / MS);
+            line += &format!("  {rate}/s {} ms, {calls} calls;", latest / MS);
         }
         println!("{line}");
     }
--- a/benches/site.rs
+++ b/benches/site.rs
@@ -1,8 +1,8 @@
-//! What a site of its own costs beside the platform's start of the same program, and what its orders and readers do
-//! under load. `cargo bench --bench site`; `-- NAME` runs one of: cost, pause, restore, drains.
+//! Cost of the `serve` command compared with the same program started by the platform, and the effect of orders and readers under
+//! load. `cargo bench --bench site`; `-- NAME` runs one of: cost, pause, restore, drains.
 //!
-//! Figures are ratios of one run: both kinds run at once. `FOLDTRACK_BASE=PATH` adds a third kind, the
-//! platform's start of another build of the program.
+//! The figures are ratios within one run, in which both kinds run concurrently. `FOLDTRACK_BASE=PATH` adds a third kind: another
+//! build of the program, started as by the platform.
 
 use foldtrack_control::{Client, ControlCommand, ControlResponse, Status};
 use foldtrack_standin::http::{Reply, Server, OK};
@@ -17,13 +17,17 @@
 use tempfile::TempDir;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_foldtrack");
+/// Number of partners.
 const PARTNERS: usize = 8;
+/// Number of concurrent clients.
 const CLIENTS: usize = 16;
 
-fn number(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+/// Reads a number from the environment.
+fn number(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
+/// A running forwarder.
 struct Running {
     child: Child,
     listen: SocketAddr,
@@ -38,13 +42,13 @@
     }
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A site whose partner N has endpoints at these addresses.
+/// Starts `serve` with a site file in which partner N has endpoints at these addresses.
 fn site(partners: &[Vec<SocketAddr>], limits: &str) -> Running {
-    let (listen, folder) = (free(), tempfile::tempdir().unwrap());
+    let (listen, folder) = (free_address(), tempfile::tempdir().unwrap());
     let state = folder.path().join("state");
     let mut text = format!(
         "[site]\nlisten = \"{listen}\"\nstate = {state:?}\ndurability = \"process\"\n[limits]\nmemory = \"2GiB\"\ndescriptors = 4096\n\
@@ -60,13 +64,13 @@
     let child =
         Command::new(PROGRAM).args(["serve", "--site"]).arg(folder.path().join("site.toml")).spawn().unwrap();
     let running = Running { child, listen, folder, is_site: true };
-    running.is_ready();
+    running.wait_until_ready();
     running
 }
 
-/// The platform's start, with the same limits and partners.
+/// Starts the program as the platform does, with the same limits and partners.
 fn platform(program: &str, partners: &[Vec<SocketAddr>]) -> Running {
-    let (listen, folder) = (free(), tempfile::tempdir().unwrap());
+    let (listen, folder) = (free_address(), tempfile::tempdir().unwrap());
     let mut servers = Vec::new();
     for (n, addresses) in partners.iter().enumerate() {
         for (e, address) in addresses.iter().enumerate() {
@@ -104,12 +108,13 @@
         .spawn()
         .unwrap();
     let running = Running { child, listen, folder, is_site: false };
-    running.is_ready();
+    running.wait_until_ready();
     running
 }
 
 impl Running {
-    fn is_ready(&self) -> Duration {
+    /// Waits until it accepts connections. Returns how long this took.
+    fn wait_until_ready(&self) -> Duration {
         let start = Instant::now();
         while TcpStream::connect(self.listen).is_err() {
             assert!(start.elapsed() < Duration::from_secs(60), "not ready");
@@ -118,10 +123,11 @@
         start.elapsed()
     }
 
+    /// CPU time in seconds.
     fn cpu(&self) -> f64 {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        let words: Vec<&str> = text.rsplit(')').next().unwrap().split_whitespace().collect();
-        (words[11].parse::<f64>().unwrap() + words[12].parse::<f64>().unwrap()) / 100.0
+        let fields: Vec<&str> = text.rsplit(')').next().unwrap().split_whitespace().collect();
+        (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
     }
 
     fn socket(&self) -> std::path::PathBuf {
@@ -131,12 +137,12 @@
     fn status(&self) -> Status {
         match Client::connect(&self.socket()).unwrap().request(ControlCommand::Status).unwrap() {
             ControlResponse::Status(status) => *status,
-            told => panic!("{told:?}"),
+            response => panic!("{response:?}"),
         }
     }
 
-    /// Hands in one message on a connection that is kept.
-    fn hand_in(&self, stream: &mut BufReader<TcpStream>, id: &str, partner: u64) -> u16 {
+    /// Submits one message on a persistent connection. Returns the status.
+    fn submit(&self, stream: &mut BufReader<TcpStream>, id: &str, partner: u64) -> u16 {
         let to = match self.is_site {
             true => format!("X-Partner: p{partner}"),
             false => format!("X-Deadline: 600000m\r\nX-Consignee: dest={partner}"),
@@ -159,8 +165,7 @@
     }
 }
 
-/// Hands in so many messages in a closed loop; gives messages a second, CPU microseconds per message, and the worst
-/// answer.
+/// Submits messages in a closed loop. Returns messages per second, CPU microseconds per message, and the longest time to a 202.
 fn load(running: &Running, round: usize, messages: u64) -> (f64, f64, Duration) {
     let (cpu, start, worst) = (running.cpu(), Instant::now(), Mutex::new(Duration::ZERO));
     scope(|scope| {
@@ -169,19 +174,19 @@
             scope.spawn(move || {
                 let mut stream = running.connect();
                 for n in (worker..messages).step_by(CLIENTS) {
-                    let begun = Instant::now();
+                    let submitted = Instant::now();
                     let id = format!("m{round}-{n}");
-                    while running.hand_in(&mut stream, &id, n % PARTNERS as u64) != 202 {
+                    while running.submit(&mut stream, &id, n % PARTNERS as u64) != 202 {
                         sleep(Duration::from_millis(1));
                     }
                     let mut worst = worst.lock().unwrap();
-                    *worst = (*worst).max(begun.elapsed());
+                    *worst = (*worst).max(submitted.elapsed());
                 }
             });
         }
     });
-    let taken = start.elapsed().as_secs_f64();
-    // Until it is quiet: what is delivered behind the last answer counts too.
+    let seconds = start.elapsed().as_secs_f64();
+    // Wait until the process is idle, so that deliveries after the last response are included.
     let mut last = running.cpu();
     loop {
         sleep(Duration::from_millis(100));
@@ -193,10 +198,11 @@
     }
     let cpu = running.cpu() - cpu;
     let worst = *worst.lock().unwrap();
-    (messages as f64 / taken, cpu / messages as f64 * 1e6, worst)
+    (messages as f64 / seconds, cpu / messages as f64 * 1e6, worst)
 }
 
-fn answering() -> Vec<Vec<SocketAddr>> {
+/// Starts partners that answer every call with 200.
+fn start_partners() -> Vec<Vec<SocketAddr>> {
     (0..PARTNERS).map(|_| vec![Server::start_unrecorded(|_| OK).address]).collect()
 }
 
@@ -205,10 +211,11 @@
     values[values.len() / 2]
 }
 
+/// Compares throughput and CPU time of all kinds.
 fn cost() {
     let messages = number("MESSAGES", 20_000);
     let rounds = number("ROUNDS", 7) as usize;
-    let partners = answering();
+    let partners = start_partners();
     let base = std::env::var("FOLDTRACK_BASE").ok();
     let mut kinds = vec![("platform", platform(PROGRAM, &partners)), ("serve", site(&partners, ""))];
     if let Some(base) = &base {
@@ -218,7 +225,7 @@
     for (_, running) in &kinds {
         load(running, usize::MAX, messages / 4);
     }
-    // All kinds at once, each with as many messages: what else the machine does meets them alike.
+    // All kinds run concurrently with the same number of messages, so that other load of the machine affects them alike.
     for round in 0..rounds {
         let done: Vec<_> = scope(|scope| {
             let loads: Vec<_> = kinds
@@ -250,20 +257,20 @@
     }
 }
 
-/// Messages that nobody answers are held, while ten readers ask for everything.
+/// Measures the longest round of the event loop while unanswered messages are held and ten readers request every report.
 fn pause() {
     let held = number("HELD", 10_000);
     let silent = Server::start_unrecorded(|_| Reply::Silence);
-    let mut partners = answering();
+    let mut partners = start_partners();
     partners.push(vec![silent.address]);
     let running = site(&partners, "");
     let mut stream = running.connect();
     for n in 0..held {
-        assert_eq!(running.hand_in(&mut stream, &format!("held-{n}"), PARTNERS as u64), 202);
+        assert_eq!(running.submit(&mut stream, &format!("held-{n}"), PARTNERS as u64), 202);
     }
     let messages = number("MESSAGES", 20_000);
     let longest = |readers: usize, round: usize| {
-        let (stop, asked, longest) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
+        let (stop, responses, longest) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
         running.status();
         sleep(Duration::from_millis(300));
         running.status();
@@ -272,7 +279,7 @@
                 scope.spawn(|| {
                     let mut client = Client::connect(&running.socket()).unwrap();
                     while !stop.load(Ordering::SeqCst) {
-                        for ask in [
+                        for command in [
                             ControlCommand::Status,
                             ControlCommand::Partners,
                             ControlCommand::Endpoints,
@@ -280,10 +287,10 @@
                             ControlCommand::Failures { most: None },
                             ControlCommand::Message { message: "held-7".into() },
                         ] {
-                            if let Ok(ControlResponse::Status(status)) = client.request(ask) {
+                            if let Ok(ControlResponse::Status(status)) = client.request(command) {
                                 longest.fetch_max(status.longest_round_us, Ordering::SeqCst);
                             }
-                            asked.fetch_add(1, Ordering::SeqCst);
+                            responses.fetch_add(1, Ordering::SeqCst);
                         }
                     }
                 });
@@ -293,49 +300,50 @@
             done
         });
         longest.fetch_max(running.status().longest_round_us, Ordering::SeqCst);
-        (longest.into_inner() as f64 / 1e3, asked.into_inner(), rate, worst)
+        (longest.into_inner() as f64 / 1e3, responses.into_inner(), rate, worst)
     };
     println!("pause: {held} messages held, {messages} passing");
     for (round, readers) in [0, 10, 0, 10].into_iter().enumerate() {
-        let (longest, asked, rate, worst) = longest(readers, round);
+        let (longest, responses, rate, worst) = longest(readers, round);
         println!(
-            "  {readers:>2} readers, {asked:>5} answers: longest round {longest:.1} ms, {rate:.0} msgs/s, worst answer to a \
-             client {:.1} ms",
+            "  {readers:>2} readers, {responses:>5} responses: longest round {longest:.1} ms, {rate:.0} msgs/s, longest time to a \
+             202 {:.1} ms",
             worst.as_secs_f64() * 1e3
         );
     }
 }
 
+/// Measures how long a restart takes with and without held messages.
 fn restore() {
     let held = number("HELD", 10_000);
     let silent = Server::start_unrecorded(|_| Reply::Silence);
     let mut running = site(&[vec![silent.address]], "");
     let file = running.folder.path().join("site.toml");
-    let again = |running: &mut Running| {
+    let restart = |running: &mut Running| {
         running.child.kill().unwrap();
         running.child.wait().unwrap();
         let start = Instant::now();
         running.child = Command::new(PROGRAM).args(["serve", "--site"]).arg(&file).spawn().unwrap();
-        running.is_ready();
+        running.wait_until_ready();
         start.elapsed().as_secs_f64() * 1e3
     };
-    let empty = median((0..5).map(|_| again(&mut running)).collect());
+    let empty = median((0..5).map(|_| restart(&mut running)).collect());
     let mut stream = running.connect();
     for n in 0..held {
-        assert_eq!(running.hand_in(&mut stream, &format!("held-{n}"), 0), 202);
+        assert_eq!(running.submit(&mut stream, &format!("held-{n}"), 0), 202);
     }
-    let full = median((0..5).map(|_| again(&mut running)).collect());
+    let full = median((0..5).map(|_| restart(&mut running)).collect());
     assert!(u64::from(running.status().held) + 1000 > held);
     println!("restore: ready after {empty:.0} ms with nothing held, {full:.0} ms with {held} messages");
 }
 
-/// Endpoint 0 is drained and resumed under load; the latest call that came there after the order was sent.
+/// Drains and resumes endpoint 0 under load, and measures how long after the order a call still arrives there.
 fn drains() {
     let count = number("DRAINS", 200);
     let last = Arc::new(Mutex::new(None::<Instant>));
-    let seen = last.clone();
+    let recorded = last.clone();
     let drained = Server::start_unrecorded(move |request| {
-        *seen.lock().unwrap() = Some(request.at);
+        *recorded.lock().unwrap() = Some(request.at);
         Reply::Later(Duration::from_millis(2), 200)
     });
     let other = Server::start_unrecorded(|_| Reply::Later(Duration::from_millis(2), 200));
@@ -351,7 +359,7 @@
                     if stop.load(Ordering::SeqCst) {
                         return;
                     }
-                    running.hand_in(&mut stream, &format!("m{worker}-{n}"), 0);
+                    running.submit(&mut stream, &format!("m{worker}-{n}"), 0);
                 }
             });
         }
@@ -364,19 +372,19 @@
             }
             let ordered = Instant::now();
             client.request(ControlCommand::Drain { endpoint: "p0-0".into() }).unwrap();
-            let acked = Instant::now();
-            acknowledged.push((acked - ordered).as_secs_f64() * 1e3);
+            let acknowledged_at = Instant::now();
+            acknowledged.push((acknowledged_at - ordered).as_secs_f64() * 1e3);
             sleep(Duration::from_millis(100));
             let at = last.lock().unwrap().filter(|at| *at > ordered);
-            after_ack += u64::from(at.is_some_and(|at| at > acked));
+            after_ack += u64::from(at.is_some_and(|at| at > acknowledged_at));
             latest.push(at.map_or(0.0, |at| (at - ordered).as_secs_f64() * 1e3));
             client.request(ControlCommand::Resume { endpoint: Some("p0-0".into()), partner: None }).unwrap();
         }
         stop.store(true, Ordering::SeqCst);
     });
-    let most = latest.iter().copied().fold(0.0, f64::max);
+    let max = latest.iter().copied().fold(0.0, f64::max);
     println!(
-        "drains: {count} under load: the latest new call came {most:.1} ms after the order was sent (median {:.1}), {after_ack} \
+        "drains: {count} under load: the latest call arrived {max:.1} ms after the order was sent (median {:.1}), {after_ack} \
          after its acknowledgement, which took {:.1} ms (median)",
         median(latest),
         median(acknowledged)
--- a/crates/standin/src/call_records.rs
+++ b/crates/standin/src/call_records.rs
@@ -1,86 +1,86 @@
-//! What a partner has seen, and the rules checked from it.
+//! The calls that a partner received, and the check of the delivery rules from them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// What became of a call at the partner.
+/// What a partner did with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// It took effect.
     TookEffect,
-    /// Its key was known: nothing took effect, and it was answered as served.
+    /// Its idempotency key was known: it was answered with success and took no effect.
     Duplicate,
-    /// Turned away: over the limit, or the partner had fallen over.
+    /// It was rejected: above the rate limit, or the partner had failed under overload.
     Rejected,
-    /// Answered with an error before it took effect.
+    /// It failed before it took effect.
     Failed,
-    /// Taken, and never answered. It has taken effect.
+    /// It took effect and was never answered.
     Unanswered,
 }
 
-/// A call that has come.
+/// A call that a partner received.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// `X-Request-Id`.
     pub id: String,
-    /// When its last byte had come.
+    /// When its last byte had arrived.
     pub at: Instant,
-    /// When it was answered, or was to be.
+    /// When it was answered or was due to be.
     pub until: Instant,
-    /// Key and number within it, if its body begins with `key=KEY;seq=NUMBER;`.
-    pub turn: Option<(String, u64)>,
-    /// Class, if its body names one behind that: `class=NAME;`.
+    /// Order key and the number within it, if the body begins with `key=KEY;seq=NUMBER;`.
+    pub position: Option<(String, u64)>,
+    /// Class, if the body goes on with `class=NAME;`; empty otherwise.
     pub class: String,
-    /// What became of it.
+    /// What the partner did with it.
     pub outcome: CallOutcome,
 }
 
-/// The books of one partner.
+/// The records of one partner.
 #[derive(Clone, Debug, Default)]
 pub struct CallRecords {
-    /// Every call, in the order in which they came.
+    /// All calls in order of arrival.
     pub calls: Vec<Call>,
-    /// Waits that were told: from, and until when nothing may come.
+    /// Retry-after waits that the partner sent: when it was sent, and until when no call may arrive.
     pub waits: Vec<(Instant, Instant)>,
-    /// When it fell over for being pushed while it was cold.
+    /// When it failed because it was overloaded during its slow start.
     pub fell_over: Option<Instant>,
 }
 
-/// Calls that come so soon after a wait was told may have been on their way (PROTOCOL, the rules on sockets).
+/// Calls that arrive this soon after a wait was sent may have been in flight (PROTOCOL, the rules on sockets).
 pub const WAIT_GRACE: Duration = Duration::from_millis(100);
 
-/// What the books of some partners say about the rules.
+/// Result of [`check_rules`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RuleCheck {
-    /// Calls that came.
+    /// Calls received.
     pub calls: u64,
     /// Messages that took effect.
     pub effects: u64,
     /// Messages that took effect more than once.
     pub twice: Vec<String>,
-    /// Messages that took effect after a later one of their key.
+    /// Messages that took effect after a later one of the same order key.
     pub out_of_order: Vec<String>,
-    /// Calls that came during a wait.
+    /// Calls that arrived during a wait.
     pub in_waits: u64,
-    /// Partners that fell over.
+    /// Partners that failed under overload.
     pub fell_over: u64,
 }
 
 impl RuleCheck {
-    /// Whether every rule that the books can show was kept.
+    /// Whether no violation was found.
     pub fn is_clean(&self) -> bool {
         self.twice.is_empty() && self.out_of_order.is_empty() && self.in_waits == 0 && self.fell_over == 0
     }
 }
 
-/// Reads `name=value;` at the start of a body.
+/// Parses `name=value;` at the start of a body. Returns the value and the rest.
 fn field<'a>(body: &'a str, name: &str) -> Option<(&'a str, &'a str)> {
     let rest = body.strip_prefix(name)?.strip_prefix('=')?;
     rest.split_once(';')
 }
 
-/// The turn and the class that a body names.
-pub fn names_in(body: &[u8]) -> (Option<(String, u64)>, String) {
+/// Parses the order key, the number within it and the class from a message body.
+pub fn parse_body(body: &[u8]) -> (Option<(String, u64)>, String) {
     let text = String::from_utf8_lossy(&body[..body.len().min(512)]);
     let keyed = field(&text, "key").and_then(|(key, rest)| {
         let (number, rest) = field(rest, "seq")?;
@@ -88,50 +88,50 @@
     });
     let rest = keyed.as_ref().map_or(&*text, |(_, rest)| rest);
     let class = field(rest, "class").map_or("", |(class, _)| class).to_string();
-    (keyed.map(|(turn, _)| turn), class)
+    (keyed.map(|(position, _)| position), class)
 }
 
-/// Judges the rules from the books of partners.
-pub fn check_rules<'a>(books: impl IntoIterator<Item = &'a CallRecords>) -> RuleCheck {
-    let mut verdict = RuleCheck::default();
+/// Checks the delivery rules from the records of partners.
+pub fn check_rules<'a>(records: impl IntoIterator<Item = &'a CallRecords>) -> RuleCheck {
+    let mut result = RuleCheck::default();
     let mut effects: BTreeMap<&str, u64> = BTreeMap::new();
-    for book in books {
-        verdict.calls += book.calls.len() as u64;
-        verdict.fell_over += u64::from(book.fell_over.is_some());
+    for record in records {
+        result.calls += record.calls.len() as u64;
+        result.fell_over += u64::from(record.fell_over.is_some());
         let mut last: HashMap<&str, u64> = HashMap::new();
-        for call in &book.calls {
+        for call in &record.calls {
             let waits =
-                book.waits.iter().filter(|(from, until)| call.at > *from + WAIT_GRACE && call.at < *until);
-            verdict.in_waits += u64::from(waits.count() > 0);
+                record.waits.iter().filter(|(from, until)| call.at > *from + WAIT_GRACE && call.at < *until);
+            result.in_waits += u64::from(waits.count() > 0);
             if !matches!(call.outcome, CallOutcome::TookEffect | CallOutcome::Unanswered) {
                 continue;
             }
             *effects.entry(&call.id).or_default() += 1;
-            let Some((key, number)) = &call.turn else { continue };
+            let Some((key, number)) = &call.position else { continue };
             let highest = last.entry(key).or_insert(*number);
             if *number < *highest {
-                verdict.out_of_order.push(call.id.clone());
+                result.out_of_order.push(call.id.clone());
             }
             *highest = (*highest).max(*number);
         }
     }
-    verdict.effects = effects.len() as u64;
-    verdict.twice = effects.into_iter().filter(|(_, n)| *n > 1).map(|(id, _)| id.to_string()).collect();
-    verdict
+    result.effects = effects.len() as u64;
+    result.twice = effects.into_iter().filter(|(_, n)| *n > 1).map(|(id, _)| id.to_string()).collect();
+    result
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn call(id: &str, at: Instant, turn: Option<(&str, u64)>, fate: CallOutcome) -> Call {
-        let turn = turn.map(|(key, number)| (key.to_string(), number));
-        Call { id: id.into(), at, until: at, turn, class: String::new(), outcome: fate }
+    fn call(id: &str, at: Instant, position: Option<(&str, u64)>, outcome: CallOutcome) -> Call {
+        let position = position.map(|(key, number)| (key.to_string(), number));
+        Call { id: id.into(), at, until: at, position, class: String::new(), outcome }
     }
 
-    /// A judge that finds nothing is no judge: each rule is broken once.
+    /// Records without violations pass, and records that violate each rule once show each violation.
     #[test]
-    fn every_broken_rule_is_found() {
+    fn every_violation_is_found() {
         let now = Instant::now();
         let later = |ms| now + Duration::from_millis(ms);
         let clean = CallRecords {
@@ -144,23 +144,23 @@
             waits: vec![(later(100), later(400))],
             fell_over: None,
         };
-        let verdict = check_rules([&clean]);
-        assert!(verdict.is_clean() && verdict.effects == 2 && verdict.calls == 4, "{verdict:?}");
+        let result = check_rules([&clean]);
+        assert!(result.is_clean() && result.effects == 2 && result.calls == 4, "{result:?}");
         let mut broken = clean.clone();
         broken.calls.push(call("d", later(300), None, CallOutcome::TookEffect));
         broken.calls.push(call("d", later(500), None, CallOutcome::Unanswered));
         broken.calls.push(call("e", later(501), Some(("k", 1)), CallOutcome::TookEffect));
         broken.fell_over = Some(now);
-        let verdict = check_rules([&broken]);
-        assert_eq!((verdict.twice, verdict.out_of_order), (vec!["d".to_string()], vec!["e".to_string()]));
-        assert_eq!((verdict.in_waits, verdict.fell_over), (1, 1));
+        let result = check_rules([&broken]);
+        assert_eq!((result.twice, result.out_of_order), (vec!["d".to_string()], vec!["e".to_string()]));
+        assert_eq!((result.in_waits, result.fell_over), (1, 1));
     }
 
     #[test]
-    fn bodies_name_their_turn_and_class() {
-        assert_eq!(names_in(b"key=p-1;seq=7;class=u;rest"), (Some(("p-1".into(), 7)), "u".into()));
-        assert_eq!(names_in(b"class=fee;x"), (None, "fee".into()));
-        assert_eq!(names_in(b"\xff\xfe"), (None, String::new()));
-        assert_eq!(names_in(b"key=a;seq=x;class=fee;"), (None, String::new()));
+    fn order_key_and_class_are_parsed_from_the_body() {
+        assert_eq!(parse_body(b"key=p-1;seq=7;class=u;rest"), (Some(("p-1".into(), 7)), "u".into()));
+        assert_eq!(parse_body(b"class=fee;x"), (None, "fee".into()));
+        assert_eq!(parse_body(b"\xff\xfe"), (None, String::new()));
+        assert_eq!(parse_body(b"key=a;seq=x;class=fee;"), (None, String::new()));
     }
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that does what a closure says with each request, wrong things included.
+//! An HTTP/1.1 server for tests. A closure decides the reply to each request, including invalid ones.
 
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -9,92 +9,94 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request that is longer than this is not read: its connection ends.
-const LONGEST_BODY: usize = 16 << 20;
+/// Maximum size of a request body. The connection of a longer request is closed.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How an idle connection is dropped.
+/// How the server closes an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleClose {
-    /// By a FIN.
+    /// With a FIN.
     Fin,
-    /// Without a word, as boxes between do: what is written to it later is answered by a reset.
+    /// Without notice, as middleboxes do: data written to it later is answered with a reset.
     Silent,
 }
 
-/// How long a connection that was closed here is listened to, told and untold.
-const LATE: Duration = Duration::from_millis(500);
-const SILENT: Duration = Duration::from_secs(20);
+/// How long late requests are counted on a connection that was closed with a FIN.
+const COUNT_AFTER_FIN: Duration = Duration::from_millis(500);
+/// How long late requests are counted on a connection that was closed without notice.
+const COUNT_AFTER_SILENT_CLOSE: Duration = Duration::from_secs(20);
 
-/// How long after the last byte of an answer a connection is reset that is to be.
-const CUT_OFF: Duration = Duration::from_millis(20);
+/// Delay between the last byte of a response and the reset of [`Reply::RawAndReset`].
+const RESET_DELAY: Duration = Duration::from_millis(20);
 
-/// A request as it came.
+/// A received request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// `POST`, say.
+    /// The method, such as `POST`.
     pub method: String,
-    /// With the query.
+    /// Path and query.
     pub path: String,
-    /// By names in lower case; of a header that stands twice, the last.
+    /// Headers by name in lower case; of a repeated header, the last value.
     pub headers: HashMap<String, String>,
-    /// Any bytes.
+    /// The body.
     pub body: Vec<u8>,
-    /// When its last byte had come.
+    /// When its last byte had arrived.
     pub at: Instant,
-    /// Number of the connection it came on.
+    /// Number of its connection, from 0.
     pub connection: usize,
 }
 
 impl Request {
-    /// Its `X-Request-Id`, empty if it has none.
+    /// Its `X-Request-Id`; empty if it has none.
     pub fn id(&self) -> &str {
         self.headers.get("x-request-id").map_or("", String::as_str)
     }
 }
 
-/// What a stand-in does with a request.
+/// How the server replies to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Answers with a status and header lines.
+    /// Responds with a status and header lines.
     Status(u16, &'static str),
-    /// The same, with header lines made for this answer.
+    /// Responds with a status and header lines that are made for this response.
     Headers(u16, String),
-    /// Answers with a body.
+    /// Responds with 200 and a body.
     Body(Vec<u8>),
-    /// Answers with a body, a few bytes at a time.
+    /// Responds with 200 and a body, written in pieces of this many bytes.
     InPieces(Vec<u8>, usize),
-    /// Writes these bytes, whatever they mean.
+    /// Writes these bytes as they are.
     Raw(&'static [u8]),
-    /// The same, and resets the connection a moment later.
+    /// Writes these bytes and resets the connection 20 ms later.
     RawAndReset(&'static [u8]),
-    /// Answers 200 and closes the connection without having said so.
+    /// Responds with 200 and closes the connection without `Connection: close`.
     OkAndClose,
-    /// Answers after a while.
+    /// Responds with a status after a delay.
     Later(Duration, u16),
-    /// Never answers; keeps the connection open.
+    /// Never responds and keeps the connection open.
     Silence,
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
 }
 
-/// Answers 200 at once.
+/// Responds with 200 at once.
 pub const OK: Reply = Reply::Status(200, "");
 
-type Behaviour = Box<dyn Fn(&Request) -> Reply + Send + Sync>;
+type Behavior = Box<dyn Fn(&Request) -> Reply + Send + Sync>;
 
-/// An HTTP server with a thread for each connection. Its port is freed when the process ends.
+/// An HTTP server with a thread for each connection. It listens until the process ends.
 pub struct Server {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     seen: Mutex<Vec<Request>>,
+    /// Whether requests are recorded in `seen`.
     records: bool,
-    /// Connections closed after an answer, or while they stood idle.
+    /// Connections that the server closed after a response or while they were idle.
     pub closed: AtomicUsize,
-    /// Requests that came on a connection after it had been closed here while it stood idle.
+    /// Connections on which data arrived after the server had closed them as idle.
     pub late_requests: AtomicUsize,
-    /// Connections that stand idle for so long are closed.
+    /// Idle timeout of connections, and how they are closed then.
     idle: Mutex<Option<(Duration, IdleClose)>>,
-    behaviour: Mutex<Arc<Behaviour>>,
+    behavior: Mutex<Arc<Behavior>>,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -114,7 +116,7 @@
         headers.insert(name.to_lowercase(), value.trim().to_string());
     }
     let length = match headers.get("content-length") {
-        Some(text) => text.parse().ok().filter(|n| *n <= LONGEST_BODY)?,
+        Some(text) => text.parse().ok().filter(|n| *n <= MAX_BODY_BYTES)?,
         None => 0,
     };
     let mut body = vec![0; length];
@@ -123,23 +125,23 @@
 }
 
 impl Server {
-    /// Starts one on a port of its own, which keeps every request that it sees.
+    /// Starts a server on a free port that records every request.
     ///
     /// # Panics
-    /// There is no port or descriptor left.
-    pub fn start(behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Arc<Server> {
-        Server::launch(Box::new(behaviour), true)
+    /// No port or descriptor is available.
+    pub fn start(behavior: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Arc<Server> {
+        Server::launch(Box::new(behavior), true)
     }
 
-    /// The same, which keeps nothing of what it sees.
+    /// Starts a server on a free port that records no requests.
     ///
     /// # Panics
-    /// There is no port or descriptor left.
-    pub fn start_unrecorded(behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Arc<Server> {
-        Server::launch(Box::new(behaviour), false)
+    /// No port or descriptor is available.
+    pub fn start_unrecorded(behavior: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Arc<Server> {
+        Server::launch(Box::new(behavior), false)
     }
 
-    fn launch(behaviour: Behaviour, records: bool) -> Arc<Server> {
+    fn launch(behavior: Behavior, records: bool) -> Arc<Server> {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
         let server = Arc::new(Server {
             address: listener.local_addr().expect("the address of a bound socket"),
@@ -148,12 +150,12 @@
             closed: AtomicUsize::new(0),
             late_requests: AtomicUsize::new(0),
             idle: Mutex::default(),
-            behaviour: Mutex::new(Arc::new(behaviour)),
+            behavior: Mutex::new(Arc::new(behavior)),
         });
         let shared = server.clone();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                // Out of descriptors: the next one may fit again.
+                // No descriptor is available at the moment: try again later.
                 let Ok(stream) = stream else {
                     thread::sleep(Duration::from_millis(20));
                     continue;
@@ -169,12 +171,13 @@
         let Ok(reading) = stream.set_nodelay(true).and_then(|()| stream.try_clone()) else { return };
         let mut reader = BufReader::new(reading);
         loop {
-            if !self.waits(&mut reader, &stream) {
+            if !self.wait_for_request(&mut reader, &stream) {
                 return;
             }
             let Some(request) = read_request(&mut reader, connection) else { return };
-            // Before it is seen: whoever waits for it to come may change what the next one meets.
-            let behaviour = locked(&self.behaviour).clone();
+            // Read the behavior before the request is recorded: a test that waits for the record may change the behavior for the
+            // next request.
+            let behavior = locked(&self.behavior).clone();
             if self.records {
                 locked(&self.seen).push(request.clone());
             }
@@ -183,7 +186,7 @@
                     format!("HTTP/1.1 {status} Told\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
                 [head.as_bytes(), body].concat()
             };
-            let answer = match behaviour(&request) {
+            let response = match behavior(&request) {
                 Reply::Status(code, headers) => status(code, headers, b""),
                 Reply::Headers(code, headers) => status(code, &headers, b""),
                 Reply::Body(body) => status(200, "", &body),
@@ -208,8 +211,8 @@
                 }
                 Reply::RawAndReset(bytes) => {
                     let _ = stream.write_all(bytes);
-                    // A reset drops what the other side has not read yet.
-                    thread::sleep(CUT_OFF);
+                    // A reset discards what the other side has not read yet.
+                    thread::sleep(RESET_DELAY);
                     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     return;
                 }
@@ -219,20 +222,20 @@
                 }
                 Reply::Close => return,
             };
-            if stream.write_all(&answer).is_err() {
+            if stream.write_all(&response).is_err() {
                 return;
             }
         }
     }
 
-    /// Drops connections that stand idle for so long, from the next request on; none to leave them.
+    /// Sets the idle timeout of connections and how they are closed, from the next request on. `None` keeps them open.
     pub fn drop_idle(&self, after: Option<(Duration, IdleClose)>) {
         *locked(&self.idle) = after;
     }
 
-    /// Waits for a request's first byte. False if there is none: the connection has ended, or is closed here. Whatever is
-    /// written to it afterwards is counted.
-    fn waits(&self, reader: &mut BufReader<TcpStream>, stream: &TcpStream) -> bool {
+    /// Waits for the first byte of a request. Returns false if the connection has ended or is closed here as idle. Data that
+    /// arrives on it afterwards is counted in `late_requests`.
+    fn wait_for_request(&self, reader: &mut BufReader<TcpStream>, stream: &TcpStream) -> bool {
         let idle = *locked(&self.idle);
         if stream.set_read_timeout(idle.map(|(after, _)| after)).is_err() {
             return false;
@@ -245,8 +248,12 @@
                     let _ = stream.shutdown(Shutdown::Write);
                 }
                 self.closed.fetch_add(1, Ordering::SeqCst);
-                // What comes is left unread: closing the socket then resets the connection.
-                let _ = stream.set_read_timeout(Some(if silent { SILENT } else { LATE }));
+                // Data that arrives stays unread, so that closing the socket resets the connection.
+                let _ = stream.set_read_timeout(Some(if silent {
+                    COUNT_AFTER_SILENT_CLOSE
+                } else {
+                    COUNT_AFTER_FIN
+                }));
                 if reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
                     self.late_requests.fetch_add(1, Ordering::SeqCst);
                 }
@@ -256,17 +263,17 @@
         }
     }
 
-    /// Behaves otherwise from the next request on.
-    pub fn behave(&self, behaviour: impl Fn(&Request) -> Reply + Send + Sync + 'static) {
-        *locked(&self.behaviour) = Arc::new(Box::new(behaviour));
+    /// Changes the behavior from the next request on.
+    pub fn behave(&self, behavior: impl Fn(&Request) -> Reply + Send + Sync + 'static) {
+        *locked(&self.behavior) = Arc::new(Box::new(behavior));
     }
 
-    /// The requests so far.
+    /// The requests recorded so far.
     pub fn seen(&self) -> Vec<Request> {
         locked(&self.seen).clone()
     }
 
-    /// Their ids.
+    /// The ids of the requests recorded so far.
     pub fn ids(&self) -> Vec<String> {
         locked(&self.seen).iter().map(|r| r.id().to_string()).collect()
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-ins on loopback for the outside systems that a forwarder talks to, for tests and for `foldtrack demo`.
 //!
-//! [`http`] is a server with a thread for each connection that behaves as a closure says; [`Partner`] an outside
-//! partner with a pace, a limit and faults by a seed, which keeps books of every call; [`books`] checks the rules from
-//! them, knowing nothing of what the forwarder says of itself; `tls`, behind the feature of that name, puts TLS in front of any of
-//! them, with an authority of its own.
+//! [`http`] is a server with a thread for each connection; a closure decides how it answers. [`Partner`] is an outside partner
+//! with response times, a rate limit and seeded faults, which records every call. [`call_records`] checks the delivery rules from
+//! these records, without using anything that the forwarder reports. `tls`, behind the feature of that name, puts TLS in front of
+//! any of them, with a certificate authority of its own.
 #![warn(missing_docs)]
 
 pub mod call_records;
@@ -16,17 +16,17 @@
 
 use std::time::{Duration, Instant};
 
-/// What is waited for comes at once on an idle machine; this is for one that is not.
+/// Timeout of [`eventually`]. An idle machine needs a small part of it; a busy one may need more.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Waits until a condition holds.
 ///
 /// # Panics
-/// It does not within [`PATIENCE`].
+/// The condition does not hold within [`PATIENCE`].
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "not in {PATIENCE:?}: {what}");
+        assert!(start.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/standin/src/partner.rs
+++ b/crates/standin/src/partner.rs
@@ -1,7 +1,7 @@
-//! An outside partner: answers at its own pace, keeps a limit and tells waits, drops repeats of a key, and has faults
-//! by a seed: errors, lost connections, a silence after which it comes back cold.
+//! An outside partner with response times, a rate limit with retry-after waits, deduplication by idempotency key, and seeded
+//! faults: errors, lost connections, and a time without responses that is followed by a slow start.
 
-use crate::call_records::{names_in, Call, CallOutcome, CallRecords};
+use crate::call_records::{parse_body, Call, CallOutcome, CallRecords};
 use crate::http::{Reply, Request, Server};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -11,45 +11,45 @@
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// The connection ends, and nothing took effect.
+    /// The connection is closed without an effect.
     ResetBefore,
-    /// The connection ends after the call took effect.
+    /// The connection is closed after the call took effect.
     ResetAfter,
-    /// Answered 500 without an effect.
+    /// The call is answered with 500 without an effect.
     Error,
-    /// It takes effect, and is answered a second late.
+    /// The call takes effect and is answered one second late.
     Late,
-    /// Turned away as full, without a wait.
+    /// The call is rejected with 503 without a retry-after wait.
     Full,
 }
 
-/// How much later a call of [`Kind::Late`] is answered.
-const LATE: Duration = Duration::from_secs(1);
+/// Additional response time of a [`FailureKind::Late`] call.
+const LATE_DELAY: Duration = Duration::from_secs(1);
 
 /// How a partner behaves.
 #[derive(Clone, Debug)]
 pub struct PartnerBehavior {
-    /// Answers take between these spans.
+    /// Shortest and longest response time, uniformly distributed.
     pub answers: (Duration, Duration),
-    /// Calls a second that it takes; above, it turns away and tells a wait. None for no limit.
+    /// Calls per second that it accepts; further calls are rejected with a retry-after wait. `None` for no limit.
     pub rate: Option<f64>,
-    /// The wait that it tells.
+    /// The retry-after wait of rejected calls.
     pub wait: Duration,
-    /// Share of calls that fail by one of `kinds`, each as often, 0 to 1.
+    /// Share of calls, from 0 to 1, that fail in one of the ways in `kinds`, each with equal probability.
     pub failing: f64,
-    /// See `failing`.
+    /// The ways in which the calls of `failing` fail.
     pub kinds: Vec<FailureKind>,
-    /// Calls that it works on at once; further ones wait for their turn. 0 for all.
+    /// Maximum number of calls that it processes concurrently; further calls wait. 0 for no limit.
     pub at_once: usize,
-    /// Share of calls that are answered with an error before they take effect, 0 to 1.
+    /// Share of calls, from 0 to 1, that are answered with an error before they take effect.
     pub errors: f64,
-    /// Share of calls whose connection ends without an answer, after they took effect.
+    /// Share of calls, from 0 to 1, whose connection is closed without a response after they took effect.
     pub resets: f64,
-    /// Takes calls and answers none.
+    /// Whether it accepts calls without ever responding.
     pub silent: bool,
-    /// How long it drops repeats of an idempotency key.
+    /// How long it remembers an idempotency key and ignores duplicates.
     pub remembers: Duration,
-    /// Calls a second that it can do when it is warm, for [`Partner::come_back_cold`].
+    /// Full capacity in calls per second; used by [`Partner::recover_with_slow_start`].
     pub capacity: f64,
 }
 
@@ -71,25 +71,31 @@
     }
 }
 
-/// The figures of a returning partner (BRIEF, the rules in figures): it begins with this share of its capacity, has
-/// all of it after the ramp, and falls over at so many times what it can do, sustained for so long.
-const COLD_FROM: f64 = 0.16;
-const RAMP: Duration = Duration::from_secs(14);
-const TIP_MULTIPLE: f64 = 2.5;
-const TIP_AFTER: Duration = Duration::from_secs(2);
+// The slow start of a recovering partner (BRIEF, the rules in figures).
+
+/// Share of its capacity that a recovering partner begins with.
+const INITIAL_CAPACITY_SHARE: f64 = 0.16;
+/// Time until a recovering partner has its full capacity.
+const SLOW_START: Duration = Duration::from_secs(14);
+/// A recovering partner fails when the calls within [`OVERLOAD_WINDOW`] exceed its present capacity by this factor.
+const OVERLOAD_FACTOR: f64 = 2.5;
+/// Time over which the calls to a recovering partner are counted.
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 
 struct State {
-    conduct: PartnerBehavior,
+    behavior: PartnerBehavior,
     random: fastrand::Rng,
-    books: CallRecords,
-    /// Calls taken within the last second, for the limit.
-    taken: VecDeque<Instant>,
+    records: CallRecords,
+    /// Calls accepted within the last second, for the rate limit.
+    recent: VecDeque<Instant>,
+    /// Idempotency keys and when each was first seen.
     keys: HashMap<String, Instant>,
-    cold_since: Option<Instant>,
-    /// Calls that have come while it is cold.
-    came: VecDeque<Instant>,
-    /// When each of the calls that it works on will be done.
-    works_until: Vec<Instant>,
+    /// Beginning of the present slow start.
+    recovering_since: Option<Instant>,
+    /// Recent calls during the slow start.
+    slow_start_calls: VecDeque<Instant>,
+    /// When each of the concurrent calls will be finished.
+    busy_until: Vec<Instant>,
 }
 
 /// A partner on a loopback port of its own.
@@ -103,147 +109,152 @@
 }
 
 impl Partner {
-    /// Starts one whose faults come by a seed.
+    /// Starts a partner whose faults are drawn from a seed.
     ///
     /// # Panics
-    /// There is no port or descriptor left.
-    pub fn start(seed: u64, conduct: PartnerBehavior) -> Partner {
+    /// No port or descriptor is available.
+    pub fn start(seed: u64, behavior: PartnerBehavior) -> Partner {
         let state = Arc::new(Mutex::new(State {
-            conduct,
+            behavior,
             random: fastrand::Rng::with_seed(seed),
-            books: CallRecords::default(),
-            taken: VecDeque::new(),
+            records: CallRecords::default(),
+            recent: VecDeque::new(),
             keys: HashMap::new(),
-            cold_since: None,
-            came: VecDeque::new(),
-            works_until: Vec::new(),
+            recovering_since: None,
+            slow_start_calls: VecDeque::new(),
+            busy_until: Vec::new(),
         }));
         let shared = state.clone();
         let server = Server::start_unrecorded(move |request| locked(&shared).call(request));
         Partner { server, state }
     }
 
-    /// Where it listens.
+    /// Listening address.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Changes how it behaves.
+    /// Changes its behavior.
     pub fn update_behavior(&self, change: impl FnOnce(&mut PartnerBehavior)) {
-        change(&mut locked(&self.state).conduct);
+        change(&mut locked(&self.state).behavior);
     }
 
-    /// Ends a silence: it answers again, at a part of its capacity that grows, and falls over if it is pushed.
+    /// Ends a time without responses. Its capacity starts low and grows; if it is overloaded meanwhile, it fails for good.
     pub fn recover_with_slow_start(&self) {
         let mut state = locked(&self.state);
-        state.conduct.silent = false;
-        state.cold_since = Some(Instant::now());
-        state.came.clear();
+        state.behavior.silent = false;
+        state.recovering_since = Some(Instant::now());
+        state.slow_start_calls.clear();
     }
 
-    /// Its books so far.
+    /// The calls recorded so far.
     pub fn call_records(&self) -> CallRecords {
-        locked(&self.state).books.clone()
+        locked(&self.state).records.clone()
     }
 
-    /// Calls that have come so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> usize {
-        locked(&self.state).books.calls.len()
+        locked(&self.state).records.calls.len()
     }
 }
 
 impl State {
     fn call(&mut self, request: &Request) -> Reply {
         let now = request.at;
-        let (fate, reply) = self.decide(request, now);
-        let took = if let Reply::Later(took, _) = reply { took } else { Duration::ZERO };
-        let (turn, class) = names_in(&request.body);
+        let (outcome, reply) = self.decide(request, now);
+        let delay = if let Reply::Later(delay, _) = reply { delay } else { Duration::ZERO };
+        let (position, class) = parse_body(&request.body);
         let id = request.id().to_string();
-        self.books.calls.push(Call { id, at: now, until: now + took, turn, class, outcome: fate });
+        self.records.calls.push(Call { id, at: now, until: now + delay, position, class, outcome });
         reply
     }
 
     fn decide(&mut self, request: &Request, now: Instant) -> (CallOutcome, Reply) {
-        let down = self.books.fell_over.is_some() || self.is_pushed_over(now);
+        let down = self.records.fell_over.is_some() || self.is_overloaded(now);
         if down {
             return (CallOutcome::Rejected, Reply::Status(503, ""));
         }
-        if let Some(rate) = self.conduct.rate {
-            while self.taken.front().is_some_and(|at| now - *at > Duration::from_secs(1)) {
-                self.taken.pop_front();
+        if let Some(rate) = self.behavior.rate {
+            while self.recent.front().is_some_and(|at| now - *at > Duration::from_secs(1)) {
+                self.recent.pop_front();
             }
-            if self.taken.len() as f64 >= rate {
-                let wait = self.conduct.wait;
-                self.books.waits.push((now, now + wait));
+            if self.recent.len() as f64 >= rate {
+                let wait = self.behavior.wait;
+                self.records.waits.push((now, now + wait));
                 return (
                     CallOutcome::Rejected,
                     Reply::Headers(429, format!("X-Come-Back-Ms: {}\r\n", wait.as_millis())),
                 );
             }
-            self.taken.push_back(now);
+            self.recent.push_back(now);
         }
-        if self.random.f64() < self.conduct.errors {
+        if self.random.f64() < self.behavior.errors {
             return (CallOutcome::Failed, Reply::Status(500, ""));
         }
-        let failing = self.random.f64() < self.conduct.failing && !self.conduct.kinds.is_empty();
-        let kind = failing.then(|| self.conduct.kinds[self.random.usize(0..self.conduct.kinds.len())]);
+        let failing = self.random.f64() < self.behavior.failing && !self.behavior.kinds.is_empty();
+        let kind = failing.then(|| self.behavior.kinds[self.random.usize(0..self.behavior.kinds.len())]);
         match kind {
             Some(FailureKind::ResetBefore) => return (CallOutcome::Failed, Reply::Close),
             Some(FailureKind::Error) => return (CallOutcome::Failed, Reply::Status(500, "")),
             Some(FailureKind::Full) => return (CallOutcome::Rejected, Reply::Status(503, "")),
             Some(FailureKind::ResetAfter | FailureKind::Late) | None => {}
         }
-        let remembers = self.conduct.remembers;
+        let remembers = self.behavior.remembers;
         self.keys.retain(|_, at| now.saturating_duration_since(*at) < remembers);
         let key = request.headers.get("idempotency-key").cloned();
-        let repeat = key.is_some_and(|key| {
+        let duplicate = key.is_some_and(|key| {
             let known = self.keys.contains_key(&key);
             self.keys.entry(key).or_insert(now);
             known
         });
-        if self.conduct.silent {
-            return (if repeat { CallOutcome::Duplicate } else { CallOutcome::Unanswered }, Reply::Silence);
+        if self.behavior.silent {
+            return (
+                if duplicate { CallOutcome::Duplicate } else { CallOutcome::Unanswered },
+                Reply::Silence,
+            );
         }
-        if kind == Some(FailureKind::ResetAfter) || self.random.f64() < self.conduct.resets {
-            return (if repeat { CallOutcome::Duplicate } else { CallOutcome::Unanswered }, Reply::Close);
+        if kind == Some(FailureKind::ResetAfter) || self.random.f64() < self.behavior.resets {
+            return (if duplicate { CallOutcome::Duplicate } else { CallOutcome::Unanswered }, Reply::Close);
         }
-        let (least, most) = self.conduct.answers;
-        let took = least + (most - least).mul_f64(self.random.f64());
-        let took = if kind == Some(FailureKind::Late) { took + LATE } else { took };
-        let took = took + self.turn(now, took);
-        (if repeat { CallOutcome::Duplicate } else { CallOutcome::TookEffect }, Reply::Later(took, 200))
+        let (min, max) = self.behavior.answers;
+        let took = min + (max - min).mul_f64(self.random.f64());
+        let took = if kind == Some(FailureKind::Late) { took + LATE_DELAY } else { took };
+        let took = took + self.queueing_delay(now, took);
+        (if duplicate { CallOutcome::Duplicate } else { CallOutcome::TookEffect }, Reply::Later(took, 200))
     }
 
-    /// How long a call waits until one of those that are worked on is done.
-    fn turn(&mut self, now: Instant, took: Duration) -> Duration {
-        if self.conduct.at_once == 0 {
+    /// How long a call waits for one of the concurrent calls to finish.
+    fn queueing_delay(&mut self, now: Instant, took: Duration) -> Duration {
+        if self.behavior.at_once == 0 {
             return Duration::ZERO;
         }
-        self.works_until.resize(self.conduct.at_once, now);
-        let Some(first) = self.works_until.iter_mut().min() else { return Duration::ZERO };
-        let begins = now.max(*first);
-        *first = begins + took;
-        begins - now
+        self.busy_until.resize(self.behavior.at_once, now);
+        let Some(first) = self.busy_until.iter_mut().min() else { return Duration::ZERO };
+        let starts = now.max(*first);
+        *first = starts + took;
+        starts - now
     }
 
-    /// Whether what has come lately is more than a cold partner stands.
-    fn is_pushed_over(&mut self, now: Instant) -> bool {
-        let Some(since) = self.cold_since else { return false };
-        let warm = now.saturating_duration_since(since).as_secs_f64() / RAMP.as_secs_f64();
-        if warm >= 1.0 {
-            self.cold_since = None;
+    /// Whether the recent calls overload a partner during its slow start.
+    fn is_overloaded(&mut self, now: Instant) -> bool {
+        let Some(since) = self.recovering_since else { return false };
+        let progress = now.saturating_duration_since(since).as_secs_f64() / SLOW_START.as_secs_f64();
+        if progress >= 1.0 {
+            self.recovering_since = None;
             return false;
         }
-        self.came.push_back(now);
-        while self.came.front().is_some_and(|at| now - *at > TIP_AFTER) {
-            self.came.pop_front();
+        self.slow_start_calls.push_back(now);
+        while self.slow_start_calls.front().is_some_and(|at| now - *at > OVERLOAD_WINDOW) {
+            self.slow_start_calls.pop_front();
         }
-        let able = self.conduct.capacity * (COLD_FROM + (1.0 - COLD_FROM) * warm);
-        let pushed = self.came.len() as f64 > TIP_MULTIPLE * able * TIP_AFTER.as_secs_f64();
-        if pushed {
-            self.books.fell_over = Some(now);
+        let capacity =
+            self.behavior.capacity * (INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * progress);
+        let overloaded =
+            self.slow_start_calls.len() as f64 > OVERLOAD_FACTOR * capacity * OVERLOAD_WINDOW.as_secs_f64();
+        if overloaded {
+            self.records.fell_over = Some(now);
         }
-        pushed
+        overloaded
     }
 }
 
@@ -265,25 +276,25 @@
     }
 
     #[test]
-    fn a_partner_serves_drops_repeats_and_tells_waits_above_its_limit() {
+    fn a_partner_ignores_duplicates_and_sends_waits_above_its_limit() {
         let partner = Partner::start(1, PartnerBehavior { rate: Some(3.0), ..PartnerBehavior::default() });
         assert!(call(&partner, "a").starts_with("HTTP/1.1 200"));
         assert!(call(&partner, "a").starts_with("HTTP/1.1 200"));
         assert!(call(&partner, "b").starts_with("HTTP/1.1 200"));
         assert!(call(&partner, "c").contains("X-Come-Back-Ms: 300"));
-        let books = partner.call_records();
-        let fates: Vec<CallOutcome> = books.calls.iter().map(|c| c.outcome).collect();
+        let records = partner.call_records();
+        let outcomes: Vec<CallOutcome> = records.calls.iter().map(|c| c.outcome).collect();
         assert_eq!(
-            fates,
+            outcomes,
             [CallOutcome::TookEffect, CallOutcome::Duplicate, CallOutcome::TookEffect, CallOutcome::Rejected]
         );
-        assert_eq!(books.waits.len(), 1);
+        assert_eq!(records.waits.len(), 1);
     }
 
     #[test]
-    fn calls_fail_by_the_kinds_that_are_stated_and_queue_beyond_what_is_worked_on() {
+    fn calls_fail_in_the_configured_ways_and_queue_above_the_concurrency_limit() {
         let all = |kind| PartnerBehavior { failing: 1.0, kinds: vec![kind], ..PartnerBehavior::default() };
-        for (kind, answer, fate) in [
+        for (kind, answer, outcome) in [
             (FailureKind::ResetBefore, "", CallOutcome::Failed),
             (FailureKind::ResetAfter, "", CallOutcome::Unanswered),
             (FailureKind::Error, "HTTP/1.1 500", CallOutcome::Failed),
@@ -291,9 +302,12 @@
             (FailureKind::Full, "HTTP/1.1 503", CallOutcome::Rejected),
         ] {
             let partner = Partner::start(1, all(kind));
-            let told = call(&partner, "a");
-            assert!(told.starts_with(answer) && told.is_empty() == answer.is_empty(), "{kind:?}: {told}");
-            assert_eq!(partner.call_records().calls[0].outcome, fate, "{kind:?}");
+            let response = call(&partner, "a");
+            assert!(
+                response.starts_with(answer) && response.is_empty() == answer.is_empty(),
+                "{kind:?}: {response}"
+            );
+            assert_eq!(partner.call_records().calls[0].outcome, outcome, "{kind:?}");
         }
         let answers = (Duration::from_millis(80), Duration::from_millis(80));
         let partner =
@@ -311,10 +325,10 @@
     }
 
     #[test]
-    fn a_cold_partner_that_is_pushed_falls_over_and_stays_down() {
+    fn a_partner_that_is_overloaded_during_its_slow_start_fails_for_good() {
         let partner = Partner::start(1, PartnerBehavior { capacity: 10.0, ..PartnerBehavior::default() });
         partner.recover_with_slow_start();
-        // 16% of 10 a second, 2.5 times of that, for 2 s: more than 8 calls.
+        // 16% of 10 calls per second, times 2.5, over 2 s: it fails above 8 calls.
         let down = (0..40).any(|n| call(&partner, &n.to_string()).starts_with("HTTP/1.1 503"));
         assert!(down && partner.call_records().fell_over.is_some());
         assert!(call(&partner, "last").starts_with("HTTP/1.1 503"));
--- a/crates/standin/src/tls.rs
+++ b/crates/standin/src/tls.rs
@@ -1,5 +1,5 @@
-//! TLS in front of a stand-in, with an authority of its own: certificates right and wrong, and a handshake that stands still
-//! after so many bytes.
+//! TLS in front of a stand-in, with a certificate authority of its own: valid and invalid certificates, slow handshakes, and
+//! handshakes that stall after a number of bytes.
 
 use rcgen::{CertificateParams, DnType, ExtendedKeyUsagePurpose, Issuer, KeyPair, KeyUsagePurpose};
 use std::io;
@@ -17,37 +17,37 @@
 use tokio_rustls::rustls::{HandshakeKind, RootCertStore, ServerConfig};
 use tokio_rustls::TlsAcceptor;
 
-/// Signs certificates.
+/// A certificate authority.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
-    /// What those who trust it read.
+    /// Its root certificate in PEM.
     pub pem: String,
     der: rcgen::Certificate,
 }
 
-/// A certificate and its key.
+/// A certificate and its private key.
 pub struct Issued {
     certificate: rcgen::Certificate,
     key: KeyPair,
 }
 
 impl Issued {
-    /// In PEM.
+    /// The certificate in PEM.
     pub fn certificate_pem(&self) -> String {
         self.certificate.pem()
     }
 
-    /// In PEM.
+    /// The private key in PEM.
     pub fn key_pem(&self) -> String {
         self.key.serialize_pem()
     }
 }
 
 impl Authority {
-    /// A new one.
+    /// Creates an authority with a new key.
     ///
     /// # Panics
-    /// No key can be made.
+    /// The key could not be generated.
     pub fn new(name: &str) -> Authority {
         let key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(Vec::new()).expect("no names");
@@ -58,10 +58,10 @@
         Authority { pem: der.pem(), issuer: Issuer::new(params, key), der }
     }
 
-    /// A certificate for these names, valid from and to the first day of these years.
+    /// Issues a certificate for these names, valid from 1 January of the first year to 1 January of the second.
     ///
     /// # Panics
-    /// A name can't stand in a certificate.
+    /// A name is not valid in a certificate.
     pub fn issue(&self, names: &[String], (from, to): (i32, i32)) -> Issued {
         let key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(names.to_vec()).expect("names");
@@ -73,10 +73,10 @@
         Issued { certificate: params.signed_by(&key, &self.issuer).expect("a certificate"), key }
     }
 
-    /// The same as [`Authority::server`], whose sessions can't be resumed.
+    /// The same as [`Authority::server`], without session resumption.
     ///
     /// # Panics
-    /// The certificate can't be used.
+    /// The certificate is not usable.
     pub fn server_without_tickets(issued: &Issued) -> Arc<ServerConfig> {
         let mut config = (*Authority::server(issued, None)).clone();
         config.send_tls13_tickets = 0;
@@ -84,10 +84,10 @@
         Arc::new(config)
     }
 
-    /// What a server of a certificate needs; with `clients`, clients have to show one of that authority.
+    /// Configuration of a server with this certificate. With `clients`, it requires client certificates of that authority.
     ///
     /// # Panics
-    /// The certificate can't be used.
+    /// The certificate is not usable.
     pub fn server(issued: &Issued, clients: Option<&Authority>) -> Arc<ServerConfig> {
         let provider = Arc::new(foldtrack_tls::provider());
         let builder = ServerConfig::builder_with_provider(provider.clone())
@@ -108,45 +108,45 @@
     }
 }
 
-/// How a front behaves.
+/// Settings of a TLS frontend.
 #[derive(Clone)]
 struct FrontendConfig {
     config: Arc<ServerConfig>,
-    /// Bytes after which it says nothing more.
+    /// Number of bytes after which it sends nothing more.
     stall_after: Option<usize>,
-    /// What a handshake takes longer than it must.
+    /// Delay before each handshake.
     delay: Duration,
 }
 
-/// TLS in front of a plain server.
+/// Terminates TLS in front of a plain server.
 pub struct TlsFrontend {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    conduct: Mutex<FrontendConfig>,
-    /// Handshakes done in full, resumed, and broken off.
+    settings: Mutex<FrontendConfig>,
+    /// Number of full handshakes.
     pub full: AtomicUsize,
-    /// See `full`.
+    /// Number of resumed handshakes.
     pub resumed: AtomicUsize,
-    /// See `full`.
+    /// Number of failed handshakes.
     pub broken: AtomicUsize,
 }
 
 impl TlsFrontend {
-    /// Starts one before a server.
+    /// Starts a TLS frontend of the server at `to`.
     ///
     /// # Panics
-    /// There is no port, descriptor or thread left.
+    /// No port, descriptor or thread is available.
     pub fn start(to: SocketAddr, config: Arc<ServerConfig>) -> Arc<TlsFrontend> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
         listener.set_nonblocking(true).expect("a listener that does not block");
-        let front = Arc::new(TlsFrontend {
+        let frontend = Arc::new(TlsFrontend {
             address: listener.local_addr().expect("the address of a bound socket"),
-            conduct: Mutex::new(FrontendConfig { config, stall_after: None, delay: Duration::ZERO }),
+            settings: Mutex::new(FrontendConfig { config, stall_after: None, delay: Duration::ZERO }),
             full: AtomicUsize::new(0),
             resumed: AtomicUsize::new(0),
             broken: AtomicUsize::new(0),
         });
-        let shared = front.clone();
+        let shared = frontend.clone();
         thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -160,33 +160,33 @@
                 }
             });
         });
-        front
+        frontend
     }
 
-    fn conduct(&self) -> MutexGuard<'_, FrontendConfig> {
-        self.conduct.lock().unwrap_or_else(PoisonError::into_inner)
+    fn settings(&self) -> MutexGuard<'_, FrontendConfig> {
+        self.settings.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Shows another certificate from the next connection on.
+    /// Uses another configuration from the next connection on.
     pub fn change(&self, config: Arc<ServerConfig>) {
-        self.conduct().config = config;
+        self.settings().config = config;
     }
 
-    /// Stands still after so many bytes of its own, from the next connection on; none to go on.
+    /// Stalls after sending this many bytes, from the next connection on. `None` ends this.
     pub fn stall_after(&self, bytes: Option<usize>) {
-        self.conduct().stall_after = bytes;
+        self.settings().stall_after = bytes;
     }
 
-    /// Takes so much longer for each handshake.
+    /// Sets the delay before each handshake.
     pub fn delay(&self, delay: Duration) {
-        self.conduct().delay = delay;
+        self.settings().delay = delay;
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream, to: SocketAddr) {
-        let FrontendConfig { config, stall_after, delay } = self.conduct().clone();
+        let FrontendConfig { config, stall_after, delay } = self.settings().clone();
         let _ = stream.set_nodelay(true);
         tokio::time::sleep(delay).await;
-        let stream = Stalling { stream, left: stall_after };
+        let stream = StallingStream { stream, bytes_left: stall_after };
         let Ok(mut stream) = TlsAcceptor::from(config).accept(stream).await else {
             self.broken.fetch_add(1, Ordering::SeqCst);
             return;
@@ -200,13 +200,14 @@
     }
 }
 
-/// A stream that takes so many bytes and then stands still.
-struct Stalling {
+/// A stream that accepts a number of bytes and then stalls.
+struct StallingStream {
     stream: TcpStream,
-    left: Option<usize>,
+    /// Bytes left until it stalls; `None` for no limit.
+    bytes_left: Option<usize>,
 }
 
-impl AsyncRead for Stalling {
+impl AsyncRead for StallingStream {
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
@@ -214,14 +215,14 @@
     }
 }
 
-impl AsyncWrite for Stalling {
+impl AsyncWrite for StallingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let most = self.left.unwrap_or(usize::MAX).min(bytes.len());
-        if most == 0 && !bytes.is_empty() {
+        let max = self.bytes_left.unwrap_or(usize::MAX).min(bytes.len());
+        if max == 0 && !bytes.is_empty() {
             return Poll::Pending;
         }
-        let done = Pin::new(&mut self.stream).poll_write(cx, &bytes[..most]);
-        if let (Poll::Ready(Ok(count)), Some(left)) = (&done, &mut self.left) {
+        let done = Pin::new(&mut self.stream).poll_write(cx, &bytes[..max]);
+        if let (Poll::Ready(Ok(count)), Some(left)) = (&done, &mut self.bytes_left) {
             *left -= count;
         }
         done
