--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -73,11 +73,9 @@
     }
 }
 
-/// A partner of the rig: name, weight of its messages, server, number of endpoints, additional lines of the site file.
-type RigPartner = (&'static str, u32, Partner, usize, &'static str);
-
-/// Starts the partners of a rig.
-fn partners(seed: u64) -> Vec<RigPartner> {
+/// Starts the partners of a rig. Each has a name, a weight of its messages, a server, a number of endpoints, and additional lines
+/// of the site file.
+fn partners(seed: u64) -> Vec<(&'static str, u32, Partner, usize, &'static str)> {
     let ms = Duration::from_millis;
     let remembers = Duration::from_secs(30);
     let steady = PartnerBehavior { answers: (ms(2), ms(15)), remembers, ..PartnerBehavior::default() };
@@ -194,8 +192,9 @@
     progress.set("waiting for messages to finish", 0.85);
     wait_until_finished(&fleet);
     progress.set("checking the rules", 0.98);
-    let mut report = check_run(&fleet, &partners, &client_records, &drains, &closed, &monitor.finish())?;
+    let checked = check_run(&fleet, &partners, &client_records, &drains, &closed, &monitor.finish())?;
     progress.set("finished", 1.0);
+    let mut report = checked;
     report.scenario = config.name.clone();
     report.seed = *seed;
     report.forwarders = *forwarders;
@@ -219,7 +218,7 @@
     fleet: &'a mut Fleet,
     links: Vec<LinkName>,
     scenario: &'a Scenario,
-    partners: &'a [RigPartner],
+    partners: &'a [(&'static str, u32, Partner, usize, &'static str)],
     drains: Vec<Drain>,
     started: Instant,
 }
@@ -490,8 +489,8 @@
 
 /// Checks the rules from all records. Does not check convergence.
 fn check_run(
-    fleet: &Fleet, partners: &[RigPartner], clients: &ClientRecords, drains: &[Drain], closed: &ClosedSeen,
-    delays: &SchedDelays,
+    fleet: &Fleet, partners: &[(&'static str, u32, Partner, usize, &'static str)], clients: &ClientRecords,
+    drains: &[Drain], closed: &ClosedSeen, delays: &SchedDelays,
 ) -> Result<Report, String> {
     let records: Vec<CallRecords> = partners.iter().map(|p| p.2.call_records()).collect();
     let RuleCheck { effects, mut twice, out_of_order, fell_over, calls, .. } = check_rules(&records);
@@ -556,7 +555,7 @@
             "the relays recorded {relayed} of {calls} calls, and {waits} of {refusals} waits"
         ));
     }
-    let partner_counts = |(partner, records): (&RigPartner, &CallRecords)| {
+    let partner_counts = |(partner, records): (&(&str, u32, Partner, usize, &str), &CallRecords)| {
         let effects = records
             .calls
             .iter()
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,73 +1,73 @@
-//! The form of what [`crate::DeliveryScheduler::status`] shows. Spans are microseconds.
+//! Status of destinations, as returned by [`crate::DeliveryScheduler::status`]. Time spans are in microseconds.
 
 use crate::interface::*;
 
-/// How a destination's way looks.
+/// Health of a route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// Calls go and are answered.
+    /// Calls go out and are answered.
     Up,
-    /// Calls go, and many of them fail.
+    /// Calls go out, and many of them fail.
     Failing,
-    /// Looks out: single trials.
+    /// The destination is out: only single trial calls go out.
     Out {
-        /// Until the next may go.
+        /// Time until the next trial.
         next_trial_in: Micros,
     },
-    /// Answers again, and gets more step by step.
+    /// Slow start: the destination answers again, and its load is raised step by step.
     SlowStart {
-        /// Since the first answer.
+        /// Time since the first answer.
         elapsed: Micros,
     },
 }
 
-/// A target.
+/// Status of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetStatus {
-    /// Its name.
+    /// Number of the endpoint.
     pub target: TargetId,
-    /// As listed.
+    /// State in the endpoint list.
     pub state: EndpointState,
-    /// Calls out to it.
+    /// Calls in flight to it.
     pub calls: u32,
-    /// For so long others are taken first.
+    /// Time for which other endpoints are preferred.
     pub avoided_for: Micros,
 }
 
-/// A destination's shared way, or one route apart.
+/// Status of a route: the shared route of a destination, or the independent route of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteStatus {
-    /// Its targets.
+    /// Its endpoints.
     pub targets: Vec<TargetStatus>,
-    /// How it looks.
+    /// Its health.
     pub health: Health,
-    /// How long there has been no answer since the trouble began.
+    /// Time without an answer since the failures began.
     pub unanswered_for: Option<Micros>,
     /// Smoothed share of failures, 0 to 1.
     pub failure_share: f64,
-    /// How much of the evidence that a verdict of being out takes there is, 0 to 1 and a little more.
+    /// Evidence for an outage as a fraction of what the verdict needs: 0 to slightly above 1.
     pub outage_evidence: f64,
-    /// How long the present state has stood: failing, out or warming since; else since the last failure, none if there
-    /// was none.
+    /// How long the present state has lasted: failing, out or slow start. For a healthy route the time since
+    /// the last failure, none if there was none.
     pub state_age: Option<Micros>,
-    /// Rest of a wait that it has told.
+    /// Rest of the wait that the destination requested.
     pub wait_left: Micros,
-    /// Calls that may be out at once.
+    /// Calls that may be in flight at once.
     pub window: f64,
-    /// Calls out.
+    /// Calls in flight.
     pub calls: u32,
-    /// The resend point, 0 until it is trusted.
+    /// Resend point τ, 0 until enough answers are known.
     pub tau: Micros,
-    /// Mean answer time, 0 if there was none.
+    /// Mean answer time, 0 if there was no answer.
     pub mean_latency: Micros,
-    /// Own calls a second, 0 if not limited.
+    /// Calls a second that this sender may make, 0 if not limited.
     pub pace: f64,
-    /// The known limit in calls a second, 0 if not known.
+    /// Known rate limit in calls a second, 0 if none is known.
     pub limit: f64,
 }
 
 impl RouteStatus {
-    /// The verdict, and what it rests on, for somebody who runs a site.
+    /// Describes the health, and the figures behind it, for operators.
     pub fn describe(&self) -> String {
         let percent = |share: f64| format!("{:.0}%", share * 100.0);
         let seconds = |span: Micros| match span {
@@ -80,14 +80,20 @@
         } else {
             String::new()
         };
-        let near = if self.outage_evidence >= 0.5 { "; close to being held out" } else { "" };
+        let close_to_outage = if self.outage_evidence >= 0.5 { "; close to being held out" } else { "" };
         match self.health {
             Health::Up if self.failure_share < 0.005 => format!("sound{waits}"),
             Health::Up => {
-                format!("{} of calls fail, the last {stood} ago{near}{waits}", percent(self.failure_share))
+                format!(
+                    "{} of calls fail, the last {stood} ago{close_to_outage}{waits}",
+                    percent(self.failure_share)
+                )
             }
             Health::Failing => {
-                format!("{} of calls fail, many for {stood}{near}{waits}", percent(self.failure_share))
+                format!(
+                    "{} of calls fail, many for {stood}{close_to_outage}{waits}",
+                    percent(self.failure_share)
+                )
             }
             Health::Out { next_trial_in } if next_trial_in > 0 => {
                 format!("out for {stood}, next trial in {}{waits}", seconds(next_trial_in))
@@ -98,14 +104,14 @@
     }
 }
 
-/// A destination.
+/// Status of a destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationStatus {
-    /// Its name.
+    /// Number of the destination.
     pub destination: DestinationId,
-    /// Messages that could go now.
+    /// Messages that are ready to be sent.
     pub ready: u32,
-    /// Its ways.
+    /// Its routes.
     pub routes: Vec<RouteStatus>,
 }
 
@@ -114,8 +120,8 @@
     use super::*;
 
     #[test]
-    fn the_verdict_is_told_in_words_with_what_it_rests_on() {
-        let lane = RouteStatus {
+    fn the_description_states_the_health_and_its_figures() {
+        let route = RouteStatus {
             targets: Vec::new(),
             health: Health::Up,
             unanswered_for: None,
@@ -130,28 +136,28 @@
             pace: 0.0,
             limit: 0.0,
         };
-        assert_eq!(lane.describe(), "sound");
+        assert_eq!(route.describe(), "sound");
         assert_eq!(
-            RouteStatus { wait_left: 1_500_000, ..lane.clone() }.describe(),
+            RouteStatus { wait_left: 1_500_000, ..route.clone() }.describe(),
             "sound; told to wait 1.5s"
         );
         let some = RouteStatus {
             failure_share: 0.052,
             state_age: Some(400_000),
             outage_evidence: 0.1,
-            ..lane.clone()
+            ..route.clone()
         };
         assert_eq!(some.describe(), "5% of calls fail, the last 0.4s ago");
         let many = RouteStatus { health: Health::Failing, failure_share: 0.31, outage_evidence: 0.7, ..some };
-        assert_eq!(many.describe(), "31% of calls fail, many for 0.4s; close to being held out");
+        assert_eq!(many.describe(), "31% of calls fail, lossy for 0.4s; close to being held out");
         let out = RouteStatus {
             health: Health::Out { next_trial_in: 2_000_000 },
             state_age: Some(61_000_000),
-            ..lane.clone()
+            ..route.clone()
         };
         assert_eq!(out.describe(), "out for 1m01s, next trial in 2.0s");
-        let back =
-            RouteStatus { health: Health::SlowStart { elapsed: 3 }, state_age: Some(3_000_000), ..lane };
-        assert_eq!(back.describe(), "answers again for 3.0s, gets more step by step");
+        let slow_start =
+            RouteStatus { health: Health::SlowStart { elapsed: 3 }, state_age: Some(3_000_000), ..route };
+        assert_eq!(slow_start.describe(), "answers again for 3.0s, gets more step by step");
     }
 }
