--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -134,7 +134,7 @@
         segment.has_valid_header = identity.is_some() && identity == self.identity;
         if !segment.has_valid_header {
             let foreign = identity.is_some();
-            let problem = if foreign { "segment of another journal" } else { "no valid header" };
+            let problem = if foreign { "of another journal" } else { "no header that can be read" };
             // A last segment without records may be one that the process was still creating.
             let incomplete = is_last && length <= HEADER_BYTES as u64;
             let to = if foreign { length } else { length.min(HEADER_BYTES as u64) };
@@ -164,7 +164,8 @@
                 .find(|next| frame::decode_with::<(u64, Record)>(seed, &bytes[*next..]).is_some());
             let to = next.unwrap_or(bytes.len());
             let is_tail = is_last && next.is_none();
-            let problem = if is_tail { "an incomplete record" } else { "no valid record" };
+            let problem =
+                if is_tail { "a record that was not finished" } else { "no record that can be read" };
             self.damage.push(damage(at as u64, to as u64, is_tail, problem));
             at = to;
         }
--- a/src/bin/foldtrack/cli/journal.rs
+++ b/src/bin/foldtrack/cli/journal.rs
@@ -203,11 +203,11 @@
 /// What a restart does about a damaged range.
 fn consequence(damage: &DamagedRange) -> &'static str {
     match (damage.is_tail, damage.bytes) {
-        (true, _) => "a restart truncates it; it was never acknowledged (a running forwarder may be writing it now)",
-        (false, 0) => "its content is lost; a restart continues with the rest",
+        (true, _) => "a restart cuts it off; it was never acknowledged (a running forwarder may be writing it now)",
+        (false, 0) => "what stood there is lost; a restart goes on with the rest",
         (false, _) => {
-            "a restart skips it: a message that began there is lost, an attempt there counts as may have run, and a \
-             message that ended there is open again, with its attempts"
+            "a restart passes it over: a message that began there is lost, an attempt there counts as perhaps run, and a \
+             message that ended there comes back, with its attempts"
         }
     }
 }
@@ -236,7 +236,7 @@
     }
     if !as_json {
         print(&format!(
-            "valid: {} records in {} segments\n",
+            "sound: {} records in {} segments\n",
             journal_data.records,
             journal_data.segments.len()
         ))?;
--- a/tests/site/main.rs
+++ b/tests/site/main.rs
@@ -707,7 +707,7 @@
     assert!(
         code == 1
             && output_text.contains("journal/00000001: byte ")
-            && output_text.contains("a restart skips it"),
+            && output_text.contains("a restart passes it over"),
         "{output_text}"
     );
     assert_eq!(std::fs::read(&path).unwrap(), bytes, "the journal was not modified");
