--- a/src/status.rs
+++ b/src/status.rs
@@ -149,7 +149,7 @@
         };
         assert_eq!(some.describe(), "5% of calls fail, the last 0.4s ago");
         let many = RouteStatus { health: Health::Failing, failure_share: 0.31, outage_evidence: 0.7, ..some };
-        assert_eq!(many.describe(), "31% of calls fail, lossy for 0.4s; close to being held out");
+        assert_eq!(many.describe(), "31% of calls fail, many for 0.4s; close to being held out");
         let out = RouteStatus {
             health: Health::Out { next_trial_in: 2_000_000 },
             state_age: Some(61_000_000),
